--- a/internal/agent/exec/config.go
+++ b/internal/agent/exec/config.go
@@ -8,27 +8,27 @@
 	Incarnation string
 	// Slots is the number of calls that the endpoint takes at once.
 	Slots int
-	// Queue bounds the executions that wait for a slot; further ones are
+	// MaxQueued bounds the executions that wait for a slot; further ones are
 	// answered OutcomeNotRun.
-	Queue int
-	// Keep is how long a result waits for its acknowledgement, and how long a
+	MaxQueued int
+	// ResultTTL is how long a result waits for its acknowledgement, and how long a
 	// non-idempotent attempt is remembered after its end.
-	Keep time.Duration
-	// MaxResults bounds the remembered attempts. When it is reached, attempts
+	ResultTTL time.Duration
+	// MaxRecords bounds the remembered attempts. When it is reached, attempts
 	// that are acknowledged, refused or idempotent are forgotten early; when
 	// that does not help, new executions are answered OutcomeNotRun.
-	MaxResults int
-	// MaxBytes bounds the bodies of results. When it is reached, bodies of
+	MaxRecords int
+	// MaxTotalBodyBytes bounds the bodies of results. When it is reached, bodies of
 	// acknowledged results are dropped first; when that does not help, new
 	// executions are answered OutcomeNotRun. Calls that run already may exceed it.
-	MaxBytes int64
+	MaxTotalBodyBytes int64
 }
 
 // Defaults of Config.
 const (
-	DefaultKeep       = 10 * time.Minute
-	DefaultMaxResults = 16384
-	DefaultMaxBytes   = 24 << 20
+	DefaultResultTTL         = 10 * time.Minute
+	DefaultMaxRecords        = 16384
+	DefaultMaxTotalBodyBytes = 24 << 20
 )
 
 // MaxPermit bounds the permission to start that an execution may carry. Every
@@ -57,15 +57,15 @@
 	if c.Slots <= 0 {
 		c.Slots = 1
 	}
-	if c.Keep <= 0 {
-		c.Keep = DefaultKeep
+	if c.ResultTTL <= 0 {
+		c.ResultTTL = DefaultResultTTL
 	}
-	c.Keep = max(c.Keep, MaxPermit)
-	if c.MaxResults <= 0 {
-		c.MaxResults = DefaultMaxResults
+	c.ResultTTL = max(c.ResultTTL, MaxPermit)
+	if c.MaxRecords <= 0 {
+		c.MaxRecords = DefaultMaxRecords
 	}
-	if c.MaxBytes <= 0 {
-		c.MaxBytes = DefaultMaxBytes
+	if c.MaxTotalBodyBytes <= 0 {
+		c.MaxTotalBodyBytes = DefaultMaxTotalBodyBytes
 	}
 	return c
 }
--- a/internal/agent/exec/core.go
+++ b/internal/agent/exec/core.go
@@ -57,14 +57,14 @@
 	return c.out
 }
 
-// InUse returns the number of executions that run or wait for a slot.
-func (c *Core) InUse() int { return c.running + len(c.queue) }
+// InFlight returns the number of executions that run or wait for a slot.
+func (c *Core) InFlight() int { return c.running + len(c.queue) }
 
 // Idle reports whether the agent can stop without cutting off a request: no
 // execution runs or waits, and no result waits for an entry that is linked or
 // was so shortly before.
 func (c *Core) Idle() bool {
-	if c.InUse() > 0 {
+	if c.InFlight() > 0 {
 		return false
 	}
 	for _, r := range c.records {
@@ -85,7 +85,7 @@
 		c.void(e)
 	case Ack:
 		c.ack(e)
-	case Called:
+	case CallEnded:
 		c.called(e)
 	case LinkUp:
 		c.links[e.Entry] = true
@@ -126,7 +126,7 @@
 		reason = "the body is not complete"
 	case c.floors.refused(e.Stamp):
 		reason = "the permission to start was withdrawn"
-	case reason == "" && c.running >= c.cfg.Slots && len(c.queue) >= c.cfg.Queue:
+	case reason == "" && c.running >= c.cfg.Slots && len(c.queue) >= c.cfg.MaxQueued:
 		reason = "all slots are in use"
 	}
 	if reason != "" {
@@ -161,7 +161,7 @@
 		return "the permission to start has lapsed"
 	case c.now >= r.deadline:
 		return "the timeout has passed"
-	case c.bytes >= c.cfg.MaxBytes:
+	case c.bytes >= c.cfg.MaxTotalBodyBytes:
 		return "too many results wait for their acknowledgement"
 	}
 	return ""
@@ -178,7 +178,7 @@
 		}
 		r.state = stateRunning
 		c.running++
-		c.out = append(c.out, Call{Ref: r.ref, Timeout: r.deadline - c.now})
+		c.out = append(c.out, CallEndpoint{Ref: r.ref, Timeout: r.deadline - c.now})
 	}
 }
 
@@ -245,7 +245,7 @@
 	c.refuse(r, "the execution has not arrived")
 }
 
-func (c *Core) called(e Called) {
+func (c *Core) called(e CallEnded) {
 	r := c.records[e.Ref]
 	if r == nil || r.state != stateRunning {
 		return
@@ -308,7 +308,7 @@
 }
 
 func (c *Core) send(r *record, entry string) {
-	s := Send{Entry: entry, Ref: r.ref, Outcome: r.outcome, Detail: r.detail, FromEndpoint: r.hasBody}
+	s := SendResult{Entry: entry, Ref: r.ref, Outcome: r.outcome, Detail: r.detail, WithReply: r.hasBody}
 	ran := r.outcome == api.OutcomeDone || r.outcome == api.OutcomeFailed
 	if ran && !r.hasBody {
 		s.Outcome = api.OutcomeUnknown
@@ -320,7 +320,7 @@
 }
 
 func (c *Core) sendUnknown(entry string, ref Ref, detail string) {
-	c.out = append(c.out, Send{Entry: entry, Ref: ref, Outcome: api.OutcomeUnknown, Detail: detail})
+	c.out = append(c.out, SendResult{Entry: entry, Ref: ref, Outcome: api.OutcomeUnknown, Detail: detail})
 }
 
 // resendUnacked repeats results that linked entries have not acknowledged for
--- a/internal/agent/exec/memory.go
+++ b/internal/agent/exec/memory.go
@@ -43,14 +43,14 @@
 
 // makeRoom reports whether one more attempt can be remembered.
 func (c *Core) makeRoom() bool {
-	if len(c.records) < c.cfg.MaxResults {
+	if len(c.records) < c.cfg.MaxRecords {
 		return true
 	}
 	if c.lastFull == 0 || c.now-c.lastFull >= pressureInterval {
 		c.lastFull = c.now
 		c.sweep(true)
 	}
-	return len(c.records) < c.cfg.MaxResults
+	return len(c.records) < c.cfg.MaxRecords
 }
 
 // refuseUnrecorded answers OutcomeNotRun without remembering the attempt;
@@ -58,7 +58,7 @@
 func (c *Core) refuseUnrecorded(r *record) {
 	r.state = stateRefused
 	c.floors.add(r)
-	c.out = append(c.out, Send{
+	c.out = append(c.out, SendResult{
 		Entry:   r.waiters[0].entry,
 		Ref:     r.ref,
 		Outcome: api.OutcomeNotRun,
@@ -69,7 +69,7 @@
 // sweep forgets the attempts whose time is over; under pressure earlier.
 func (c *Core) sweep(pressure bool) {
 	expired := c.sorted(func(r *record) bool {
-		return r.over() && c.now > r.keepUntil(c.cfg.Keep, pressure)
+		return r.over() && c.now > r.keepUntil(c.cfg.ResultTTL, pressure)
 	})
 	for _, r := range expired {
 		c.floors.add(r)
@@ -84,7 +84,7 @@
 
 // trimBodies drops bodies of acknowledged results while there are too many bytes.
 func (c *Core) trimBodies() {
-	for c.bytes > c.cfg.MaxBytes && len(c.ackedBodies) > 0 {
+	for c.bytes > c.cfg.MaxTotalBodyBytes && len(c.ackedBodies) > 0 {
 		r := c.records[c.ackedBodies[0]]
 		c.ackedBodies = c.ackedBodies[1:]
 		if r == nil {
@@ -103,5 +103,5 @@
 	}
 	r.hasBody = false
 	c.bytes -= r.size
-	c.out = append(c.out, Forget{Ref: r.ref})
+	c.out = append(c.out, DropBodies{Ref: r.ref})
 }
--- a/internal/agent/exec/scenario_test.go
+++ b/internal/agent/exec/scenario_test.go
@@ -60,8 +60,8 @@
 	if d.Cmd == "new" {
 		s.now = 0
 		s.core = New(Config{
-			Incarnation: "i1", Slots: s.number("slots", 1), Queue: s.number("queue", 0), Keep: s.duration("keep", time.Minute),
-			MaxResults: s.number("max-results", 0), MaxBytes: int64(s.number("max-bytes", 0)),
+			Incarnation: "i1", Slots: s.number("slots", 1), MaxQueued: s.number("queue", 0), ResultTTL: s.duration("keep", time.Minute),
+			MaxRecords: s.number("max-results", 0), MaxTotalBodyBytes: int64(s.number("max-bytes", 0)),
 		})
 		return s.step(Permission{Allowed: true}) + s.step(LinkUp{"e1"}) + s.step(LinkUp{"e2"})
 	}
@@ -74,7 +74,7 @@
 		out.WriteString(s.step(e))
 	}
 	if d.HasArg("state") {
-		fmt.Fprintf(&out, "in-use=%d idle=%t known=%d bytes=%d\n", s.core.InUse(), s.core.Idle(), len(s.core.records), s.core.bytes)
+		fmt.Fprintf(&out, "in-use=%d idle=%t known=%d bytes=%d\n", s.core.InFlight(), s.core.Idle(), len(s.core.records), s.core.bytes)
 	}
 	return out.String()
 }
@@ -95,7 +95,7 @@
 	case "ack":
 		return Ack{entry, ref}
 	case "called":
-		return Called{Ref: ref, Outcome: api.Outcome(s.text("outcome", "done")), Size: int64(s.number("size", 10))}
+		return CallEnded{Ref: ref, Outcome: api.Outcome(s.text("outcome", "done")), Size: int64(s.number("size", 10))}
 	case "link-up":
 		return LinkUp{entry}
 	case "link-down":
@@ -115,11 +115,11 @@
 	var out strings.Builder
 	for _, action := range s.core.Step(s.now, e) {
 		switch a := action.(type) {
-		case Call:
+		case CallEndpoint:
 			fmt.Fprintf(&out, "%v call %s/%d timeout=%v\n", s.now, a.Ref.ID, a.Ref.Attempt, a.Timeout)
-		case Send:
-			fmt.Fprintf(&out, "%v send %s/%d %s to %s body=%t %s\n", s.now, a.Ref.ID, a.Ref.Attempt, a.Outcome, a.Entry, a.FromEndpoint, a.Detail)
-		case Forget:
+		case SendResult:
+			fmt.Fprintf(&out, "%v send %s/%d %s to %s body=%t %s\n", s.now, a.Ref.ID, a.Ref.Attempt, a.Outcome, a.Entry, a.WithReply, a.Detail)
+		case DropBodies:
 			fmt.Fprintf(&out, "%v forget %s/%d\n", s.now, a.Ref.ID, a.Ref.Attempt)
 		}
 	}
--- a/internal/agent/exec/types.go
+++ b/internal/agent/exec/types.go
@@ -50,9 +50,9 @@
 	Ref   Ref
 }
 
-// Called ends a call of the endpoint. The body, of Size bytes, stays with the
+// CallEnded ends a call of the endpoint. The body, of Size bytes, stays with the
 // shell until Forget.
-type Called struct {
+type CallEnded struct {
 	Ref     Ref
 	Outcome api.Outcome
 	Detail  string
@@ -79,7 +79,7 @@
 func (Execute) event()    {}
 func (Void) event()       {}
 func (Ack) event()        {}
-func (Called) event()     {}
+func (CallEnded) event()  {}
 func (LinkUp) event()     {}
 func (LinkDown) event()   {}
 func (Permission) event() {}
@@ -89,24 +89,24 @@
 // Action is an output of the core.
 type Action interface{ action() }
 
-// Call starts the call of the endpoint, on one slot.
-type Call struct {
+// CallEndpoint starts the call of the endpoint, on one slot.
+type CallEndpoint struct {
 	Ref     Ref
 	Timeout time.Duration
 }
 
-// Send sends a result to an entry. With FromEndpoint the shell adds the body.
-type Send struct {
-	Entry        string
-	Ref          Ref
-	Outcome      api.Outcome
-	Detail       string
-	FromEndpoint bool
+// SendResult sends a result to an entry. With FromEndpoint the shell adds the body.
+type SendResult struct {
+	Entry     string
+	Ref       Ref
+	Outcome   api.Outcome
+	Detail    string
+	WithReply bool
 }
 
-// Forget lets the shell drop the bodies of an attempt.
-type Forget struct{ Ref Ref }
+// DropBodies lets the shell drop the bodies of an attempt.
+type DropBodies struct{ Ref Ref }
 
-func (Call) action()   {}
-func (Send) action()   {}
-func (Forget) action() {}
+func (CallEndpoint) action() {}
+func (SendResult) action()   {}
+func (DropBodies) action()   {}
--- a/internal/agent/groups/config.go
+++ b/internal/agent/groups/config.go
@@ -13,28 +13,28 @@
 	// the owner renews them. It is at least the longest lease of a group, so
 	// that the worker's own leases have ended by then.
 	AdoptLease time.Duration
-	// WorkerTimeout bounds one call of the worker.
-	WorkerTimeout time.Duration
-	// StopRetry is the time between two StopTask actions for one task.
-	StopRetry time.Duration
+	// WorkerCallTimeout bounds one call of the worker.
+	WorkerCallTimeout time.Duration
+	// StopRetryInterval is the time between two StopTask actions for one task.
+	StopRetryInterval time.Duration
 	// ReportInterval is the time between two reports on a running group.
 	ReportInterval time.Duration
-	// FinalTTL is how long a final report is kept after it was last asked for.
-	FinalTTL time.Duration
-	// MaxFinals bounds the final reports kept, MaxTombstones the refused refs.
-	MaxFinals     int
-	MaxTombstones int
+	// FinalReportTTL is how long a final report is kept after it was last asked for.
+	FinalReportTTL time.Duration
+	// MaxFinalReports bounds the final reports kept, MaxTombstones the refused refs.
+	MaxFinalReports int
+	MaxTombstones   int
 }
 
 // The defaults of a Config.
 const (
-	DefaultAdoptLease     = 10 * time.Second
-	DefaultWorkerTimeout  = 2 * time.Second
-	DefaultStopRetry      = time.Second
-	DefaultReportInterval = time.Second
-	DefaultFinalTTL       = 10 * time.Minute
-	DefaultMaxFinals      = 512
-	DefaultMaxTombstones  = 8192
+	DefaultAdoptLease        = 10 * time.Second
+	DefaultWorkerCallTimeout = 2 * time.Second
+	DefaultStopRetryInterval = time.Second
+	DefaultReportInterval    = time.Second
+	DefaultFinalReportTTL    = 10 * time.Minute
+	DefaultMaxFinalReports   = 512
+	DefaultMaxTombstones     = 8192
 )
 
 // maxGroupTasks bounds the tasks of one group.
@@ -42,12 +42,12 @@
 
 func (c Config) withDefaults() Config {
 	setDuration(&c.AdoptLease, DefaultAdoptLease)
-	setDuration(&c.WorkerTimeout, DefaultWorkerTimeout)
-	setDuration(&c.StopRetry, DefaultStopRetry)
+	setDuration(&c.WorkerCallTimeout, DefaultWorkerCallTimeout)
+	setDuration(&c.StopRetryInterval, DefaultStopRetryInterval)
 	setDuration(&c.ReportInterval, DefaultReportInterval)
-	setDuration(&c.FinalTTL, DefaultFinalTTL)
-	if c.MaxFinals <= 0 {
-		c.MaxFinals = DefaultMaxFinals
+	setDuration(&c.FinalReportTTL, DefaultFinalReportTTL)
+	if c.MaxFinalReports <= 0 {
+		c.MaxFinalReports = DefaultMaxFinalReports
 	}
 	if c.MaxTombstones <= 0 {
 		c.MaxTombstones = DefaultMaxTombstones
--- a/internal/agent/groups/core.go
+++ b/internal/agent/groups/core.go
@@ -23,14 +23,14 @@
 
 // Counters counts what a Core has refused and ended.
 type Counters struct {
-	LowerEpoch    uint64 `json:"lower_epoch"`
+	StaleEpochs   uint64 `json:"lower_epoch"`
 	HoldsRefused  uint64 `json:"holds_refused"`
 	StartsRefused uint64 `json:"starts_refused"`
-	HoldsLapsed   uint64 `json:"holds_lapsed"`
-	LeasesLapsed  uint64 `json:"leases_lapsed"`
+	HoldsExpired  uint64 `json:"holds_lapsed"`
+	LeasesExpired uint64 `json:"leases_lapsed"`
 	Started       uint64 `json:"started"`
 	Adopted       uint64 `json:"adopted"`
-	Strays        uint64 `json:"strays"`
+	StrayTasks    uint64 `json:"strays"`
 }
 
 // New returns a core without groups. It starts nothing before a Permission.
@@ -70,9 +70,9 @@
 		c.stop(e)
 	case Renew:
 		c.renew(e)
-	case Caretaker:
+	case StoreDown:
 		c.caretaker(e)
-	case OwnerSeen:
+	case EpochObserved:
 		c.epoch = max(c.epoch, e.Epoch)
 	case Permission:
 		c.allowed = e.Allowed
@@ -92,7 +92,7 @@
 // obeys reports whether a message of the epoch counts, and notes the epoch.
 func (c *Core) obeys(epoch uint64) bool {
 	if epoch < c.epoch {
-		c.counters.LowerEpoch++
+		c.counters.StaleEpochs++
 		return false
 	}
 	c.epoch = epoch
--- a/internal/agent/groups/dump.go
+++ b/internal/agent/groups/dump.go
@@ -4,15 +4,15 @@
 
 // DumpState is a Core's state for operators.
 type DumpState struct {
-	Epoch      uint64        `json:"epoch"`
-	Allowed    bool          `json:"allowed"`
-	Leaving    bool          `json:"leaving"`
-	Capacity   api.Resources `json:"capacity"`
-	Free       api.Resources `json:"free"`
-	Groups     []DumpGroup   `json:"groups"`
-	Finals     int           `json:"finals"`
-	Tombstones int           `json:"tombstones"`
-	Counters   Counters      `json:"counters"`
+	Epoch        uint64        `json:"epoch"`
+	Allowed      bool          `json:"allowed"`
+	Leaving      bool          `json:"leaving"`
+	Capacity     api.Resources `json:"capacity"`
+	Free         api.Resources `json:"free"`
+	Groups       []DumpGroup   `json:"groups"`
+	FinalReports int           `json:"finals"`
+	Tombstones   int           `json:"tombstones"`
+	Counters     Counters      `json:"counters"`
 }
 
 // DumpGroup is one group that holds capacity.
@@ -30,15 +30,15 @@
 // Dump returns the state for the state dump.
 func (c *Core) Dump() any {
 	state := DumpState{
-		Epoch:      c.epoch,
-		Allowed:    c.allowed,
-		Leaving:    c.leaving,
-		Capacity:   c.cfg.Capacity,
-		Free:       c.free(),
-		Groups:     []DumpGroup{},
-		Finals:     len(c.ended.finals),
-		Tombstones: len(c.ended.tombstones),
-		Counters:   c.counters,
+		Epoch:        c.epoch,
+		Allowed:      c.allowed,
+		Leaving:      c.leaving,
+		Capacity:     c.cfg.Capacity,
+		Free:         c.free(),
+		Groups:       []DumpGroup{},
+		FinalReports: len(c.ended.finals),
+		Tombstones:   len(c.ended.tombstones),
+		Counters:     c.counters,
 	}
 	for _, g := range c.sorted() {
 		state.Groups = append(state.Groups, DumpGroup{
--- a/internal/agent/groups/ended.go
+++ b/internal/agent/groups/ended.go
@@ -43,7 +43,7 @@
 func (e *endedGroups) keep(r Report, now time.Duration) {
 	e.finals[r.Ref] = &final{r, now}
 	e.finalOrder = append(e.finalOrder, r.Ref)
-	if len(e.finalOrder) > e.cfg.MaxFinals {
+	if len(e.finalOrder) > e.cfg.MaxFinalReports {
 		e.forget(e.finalOrder[0])
 		e.finalOrder = e.finalOrder[1:]
 	}
@@ -74,7 +74,7 @@
 func (e *endedGroups) expire(now time.Duration) {
 	kept := e.finalOrder[:0]
 	for _, ref := range e.finalOrder {
-		if now-e.finals[ref].asked >= e.cfg.FinalTTL {
+		if now-e.finals[ref].asked >= e.cfg.FinalReportTTL {
 			e.forget(ref)
 			continue
 		}
--- a/internal/agent/groups/holdstart.go
+++ b/internal/agent/groups/holdstart.go
@@ -101,7 +101,7 @@
 	g.phase = phaseRunning
 	g.first = e.FirstTask
 	g.leaseBy = e.Stamp + e.Lease
-	g.workerBy = g.leaseBy + c.cfg.WorkerTimeout
+	g.workerBy = g.leaseBy + c.cfg.WorkerCallTimeout
 	g.nextReport = c.now + c.cfg.ReportInterval
 	// A start at the last moment must not outlive the lease either.
 	startBy := min(e.Stamp+e.Permit, c.now+(g.leaseBy-c.now)/2)
--- a/internal/agent/groups/lease.go
+++ b/internal/agent/groups/lease.go
@@ -10,10 +10,10 @@
 		}
 		switch g.phase {
 		case phaseHeld:
-			c.counters.HoldsLapsed++
+			c.counters.HoldsExpired++
 			c.release(g, "hold has lapsed")
 		case phaseRunning:
-			c.counters.LeasesLapsed++
+			c.counters.LeasesExpired++
 			c.end(g, causeLapsed, "lease has lapsed")
 		}
 	}
@@ -35,7 +35,7 @@
 	c.renewTasks(ids, e.Stamp+e.Lease)
 }
 
-func (c *Core) caretaker(e Caretaker) {
+func (c *Core) caretaker(e StoreDown) {
 	var ids []string
 	for _, g := range c.sorted() {
 		if g.phase == phaseRunning {
@@ -56,12 +56,12 @@
 	if g.phase == phaseHeld {
 		return nil
 	}
-	g.workerBy = by + c.cfg.WorkerTimeout
+	g.workerBy = by + c.cfg.WorkerCallTimeout
 	return g.runningIDs()
 }
 
 func (c *Core) renewTasks(ids []string, by time.Duration) {
 	if len(ids) > 0 {
-		c.emit(RenewTasks{IDs: ids, Lease: by - c.now, By: by})
+		c.emit(RenewTasks{IDs: ids, Lease: by - c.now, LeaseEnd: by})
 	}
 }
--- a/internal/agent/groups/machine_test.go
+++ b/internal/agent/groups/machine_test.go
@@ -58,8 +58,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &groupsMachine{
 			core: New(Config{
-				Capacity:      api.Resources{Accelerators: machineCapacity},
-				WorkerTimeout: machineTimeout,
+				Capacity:          api.Resources{Accelerators: machineCapacity},
+				WorkerCallTimeout: machineTimeout,
 			}),
 			groups: map[Ref]*modelGroup{},
 			worker: map[string]*modelTask{},
@@ -72,9 +72,9 @@
 			"hold-start": m.holdAndStart,
 			"stop":       m.stop,
 			"renew":      m.renew,
-			"caretaker":  func(t *rapid.T) { m.step(t, Caretaker{m.drawStamp(t), drawLease(t)}) },
+			"caretaker":  func(t *rapid.T) { m.step(t, StoreDown{m.drawStamp(t), drawLease(t)}) },
 			"permission": func(t *rapid.T) { m.step(t, Permission{rapid.Bool().Draw(t, "allowed")}) },
-			"owner":      func(t *rapid.T) { m.step(t, OwnerSeen{drawEpoch(t)}) },
+			"owner":      func(t *rapid.T) { m.step(t, EpochObserved{drawEpoch(t)}) },
 			"leave":      m.leave,
 			"tick":       func(t *rapid.T) { m.step(t, Tick{}) },
 			"deliver":    m.deliver,
@@ -195,7 +195,7 @@
 		if task := m.worker[a.Task.ID]; task != nil {
 			return []external.TaskStatus{task.status}
 		}
-		name, ok := ParseTask(a.Task.ID)
+		name, ok := ParseTaskName(a.Task.ID)
 		if !ok {
 			t.Fatalf("task ID %q", a.Task.ID)
 		}
@@ -305,13 +305,13 @@
 				m.extend(ref, e.Stamp, e.Lease)
 			}
 		}
-	case Caretaker:
+	case StoreDown:
 		for ref, g := range m.groups {
 			if g.started {
 				m.extend(ref, e.Stamp, e.Lease)
 			}
 		}
-	case OwnerSeen:
+	case EpochObserved:
 		m.epoch = max(m.epoch, e.Epoch)
 	case Permission:
 		m.allowed = e.Allowed
@@ -338,7 +338,7 @@
 			started[m.judgeStart(t, ev, a)]++
 			m.calls = append(m.calls, call{a, m.now})
 		case StopTask:
-			if name, ok := ParseTask(a.ID); ok {
+			if name, ok := ParseTaskName(a.ID); ok {
 				m.group(name.Ref).stopSent[a.ID] = true
 			}
 			m.calls = append(m.calls, call{a, m.now})
@@ -363,7 +363,7 @@
 	if !ok {
 		t.Fatalf("%T started %s", ev, a.Task.ID)
 	}
-	name, _ := ParseTask(a.Task.ID)
+	name, _ := ParseTaskName(a.Task.ID)
 	g := m.group(e.Ref)
 	first := name.Index == name.First
 	if name.Ref != e.Ref || g.never || (first && (!g.held || g.started)) {
@@ -379,8 +379,8 @@
 
 func (m *groupsMachine) judgeRenew(t *rapid.T, a RenewTasks) {
 	for _, id := range a.IDs {
-		name, _ := ParseTask(id)
-		if g := m.group(name.Ref); m.now+a.Lease > g.leaseBy || a.By != m.now+a.Lease {
+		name, _ := ParseTaskName(id)
+		if g := m.group(name.Ref); m.now+a.Lease > g.leaseBy || a.LeaseEnd != m.now+a.Lease {
 			t.Fatalf("%s renewed until %s, its lease ends at %s", id, m.now+a.Lease, g.leaseBy)
 		}
 	}
--- a/internal/agent/groups/scenario_test.go
+++ b/internal/agent/groups/scenario_test.go
@@ -60,9 +60,9 @@
 	case "renew":
 		return Renew{epoch, stamp, argDuration(t, d, "lease", 10*time.Second), []Ref{ref}}
 	case "caretaker":
-		return Caretaker{stamp, argDuration(t, d, "lease", 10*time.Second)}
+		return StoreDown{stamp, argDuration(t, d, "lease", 10*time.Second)}
 	case "owner-seen":
-		return OwnerSeen{epoch}
+		return EpochObserved{epoch}
 	case "allow", "forbid":
 		return Permission{d.Cmd == "allow"}
 	case "task":
@@ -140,7 +140,7 @@
 		case CheckpointTask:
 			fmt.Fprintf(&out, "checkpoint %s\n", a.ID)
 		case RenewTasks:
-			fmt.Fprintf(&out, "renew %s lease=%s by=%s\n", strings.Join(a.IDs, " "), a.Lease, a.By)
+			fmt.Fprintf(&out, "renew %s lease=%s by=%s\n", strings.Join(a.IDs, " "), a.Lease, a.LeaseEnd)
 		case Report:
 			out.WriteString(formatReports([]Report{a}))
 		}
--- a/internal/agent/groups/stop.go
+++ b/internal/agent/groups/stop.go
@@ -36,7 +36,7 @@
 	g.detail = detail
 	g.graceBy = c.now
 	// The worker has time to answer, also when its leases have ended already.
-	g.workerBy = max(g.workerBy, c.now+c.cfg.WorkerTimeout)
+	g.workerBy = max(g.workerBy, c.now+c.cfg.WorkerCallTimeout)
 	c.stopTasks(g)
 }
 
@@ -62,7 +62,7 @@
 }
 
 func (c *Core) stopTasks(g *group) {
-	g.nextStop = c.now + c.cfg.StopRetry
+	g.nextStop = c.now + c.cfg.StopRetryInterval
 	for _, id := range g.runningIDs() {
 		c.emit(StopTask{ID: id})
 	}
--- a/internal/agent/groups/taskname.go
+++ b/internal/agent/groups/taskname.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("%s/%d/%d+%d/%d", n.Ref.JobID, n.Ref.Attempt, n.First, n.Tasks, n.Index)
 }
 
-// ParseTask is the inverse of TaskName.String.
-func ParseTask(id string) (TaskName, bool) {
+// ParseTaskName is the inverse of TaskName.String.
+func ParseTaskName(id string) (TaskName, bool) {
 	rest, index, ok1 := cutLast(id)
 	rest, size, ok2 := cutLast(rest)
 	job, attempt, ok3 := cutLast(rest)
--- a/internal/agent/groups/tasks.go
+++ b/internal/agent/groups/tasks.go
@@ -8,7 +8,7 @@
 )
 
 func (c *Core) taskUpdate(s external.TaskStatus) {
-	name, ok := ParseTask(s.ID)
+	name, ok := ParseTaskName(s.ID)
 	if !ok {
 		return // not a task of ours
 	}
@@ -30,7 +30,7 @@
 // stray stops a task that no group accounts for.
 func (c *Core) stray(s external.TaskStatus) {
 	if s.State == external.TaskRunning {
-		c.counters.Strays++
+		c.counters.StrayTasks++
 		c.emit(StopTask{ID: s.ID})
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 func (c *Core) taskLost(e TaskLost) {
-	name, ok := ParseTask(e.ID)
+	name, ok := ParseTaskName(e.ID)
 	if !ok {
 		return
 	}
@@ -86,7 +86,7 @@
 func (c *Core) adopt(e Adopt) {
 	found := map[Ref]*group{}
 	for _, s := range e.Tasks {
-		name, ok := ParseTask(s.ID)
+		name, ok := ParseTaskName(s.ID)
 		if !ok {
 			c.stray(s)
 			continue
@@ -135,7 +135,7 @@
 		perTask: make([]api.Resources, name.Tasks),
 		leaseBy: c.now + c.cfg.AdoptLease,
 	}
-	g.workerBy = g.leaseBy + c.cfg.WorkerTimeout
+	g.workerBy = g.leaseBy + c.cfg.WorkerCallTimeout
 	for i := range name.Tasks {
 		name.Index = name.First + i
 		g.tasks = append(g.tasks, task{id: name.String()})
--- a/internal/agent/groups/types.go
+++ b/internal/agent/groups/types.go
@@ -64,15 +64,15 @@
 	Refs  []Ref
 }
 
-// Caretaker extends the leases of running groups to Stamp + Lease while every entry reports the
+// StoreDown extends the leases of running groups to Stamp + Lease while every entry reports the
 // store as down, so that nobody can place the groups again.
-type Caretaker struct {
+type StoreDown struct {
 	Stamp time.Duration
 	Lease time.Duration
 }
 
-// OwnerSeen brings the highest epoch that an entry has reported.
-type OwnerSeen struct{ Epoch uint64 }
+// EpochObserved brings the highest epoch that an entry has reported.
+type EpochObserved struct{ Epoch uint64 }
 
 // Permission tells whether work may start now.
 type Permission struct{ Allowed bool }
@@ -100,18 +100,18 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Hold) event()       {}
-func (Start) event()      {}
-func (Stop) event()       {}
-func (Renew) event()      {}
-func (Caretaker) event()  {}
-func (OwnerSeen) event()  {}
-func (Permission) event() {}
-func (TaskUpdate) event() {}
-func (TaskLost) event()   {}
-func (Adopt) event()      {}
-func (Leave) event()      {}
-func (Tick) event()       {}
+func (Hold) event()          {}
+func (Start) event()         {}
+func (Stop) event()          {}
+func (Renew) event()         {}
+func (StoreDown) event()     {}
+func (EpochObserved) event() {}
+func (Permission) event()    {}
+func (TaskUpdate) event()    {}
+func (TaskLost) event()      {}
+func (Adopt) event()         {}
+func (Leave) event()         {}
+func (Tick) event()          {}
 
 // State is the state of a group, as reported to entries.
 type State string
@@ -150,9 +150,9 @@
 
 // RenewTasks extends the worker's own leases by Lease, which ends at By.
 type RenewTasks struct {
-	IDs   []string
-	Lease time.Duration
-	By    time.Duration
+	IDs      []string
+	Lease    time.Duration
+	LeaseEnd time.Duration
 }
 
 // Report tells all entries the state of a group.
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -50,9 +50,9 @@
 		core: exec.New(exec.Config{
 			Incarnation: a.incarnation,
 			Slots:       a.cfg.Slots,
-			Queue:       a.cfg.Slots * localQueuePerSlot,
-			Keep:        resultKeep,
-			MaxResults:  maxResults,
+			MaxQueued:   a.cfg.Slots * localQueuePerSlot,
+			ResultTTL:   resultKeep,
+			MaxRecords:  maxResults,
 		}),
 		bodies: map[exec.Ref]*execution{},
 	}
@@ -74,20 +74,20 @@
 
 func (h *requestHost) apply(act exec.Action) {
 	switch act := act.(type) {
-	case exec.Call:
+	case exec.CallEndpoint:
 		metrics.GetOrRegisterCounter("requests.calls", h.agent.registry).Inc(1)
 		decided := h.agent.clock()
 		x := h.bodies[act.Ref]
 		h.running.Add(1)
 		go h.call(act, x, decided)
-	case exec.Send:
+	case exec.SendResult:
 		h.send(act)
-	case exec.Forget:
+	case exec.DropBodies:
 		delete(h.bodies, act.Ref)
 	}
 }
 
-func (h *requestHost) call(act exec.Call, x *execution, decided time.Duration) {
+func (h *requestHost) call(act exec.CallEndpoint, x *execution, decided time.Duration) {
 	defer h.running.Done()
 	ctx, cancel := context.WithTimeout(context.Background(), act.Timeout)
 	defer cancel()
@@ -95,7 +95,7 @@
 	reply, err := h.minion.Call(external.WithStartBy(ctx, startBy), x.request)
 	outcome, detail := callOutcome(reply, err)
 	size := h.called(act.Ref, x, reply, err)
-	h.step(exec.Called{Ref: act.Ref, Outcome: outcome, Detail: detail, Size: size})
+	h.step(exec.CallEnded{Ref: act.Ref, Outcome: outcome, Detail: detail, Size: size})
 }
 
 // called keeps the answer of a call in place of the request, unless no message
@@ -129,7 +129,7 @@
 	return api.OutcomeDone, ""
 }
 
-func (h *requestHost) send(act exec.Send) {
+func (h *requestHost) send(act exec.SendResult) {
 	metrics.GetOrRegisterCounter("requests.results."+string(act.Outcome), h.agent.registry).Inc(1)
 	m := &rpc.RequestResult{
 		RequestId: act.Ref.ID,
@@ -137,7 +137,7 @@
 		Outcome:   rpc.FromOutcome(act.Outcome),
 		Detail:    act.Detail,
 	}
-	if x := h.bodies[act.Ref]; act.FromEndpoint && x != nil && x.reply != nil {
+	if x := h.bodies[act.Ref]; act.WithReply && x != nil && x.reply != nil {
 		m.Status = int32(x.reply.Status)
 		m.ContentType = x.reply.ContentType
 		m.Body = x.reply.Body
@@ -169,7 +169,7 @@
 	allowed := h.agent.allowed()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.core.Known(ref) {
+	if !h.core.HasRecord(ref) {
 		h.bodies[ref] = &execution{request: external.MinionRequest{
 			RequestID:   x.RequestId,
 			Attempt:     x.Attempt,
@@ -187,7 +187,7 @@
 		Idempotent:  x.Idempotent,
 		Corrupt:     !rpc.Intact(x.Body, x.Length, x.Digest),
 	})
-	if !h.core.Known(ref) {
+	if !h.core.HasRecord(ref) {
 		delete(h.bodies, ref)
 	}
 }
@@ -215,7 +215,7 @@
 func (h *requestHost) slotsInUse() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.core.InUse()
+	return h.core.InFlight()
 }
 
 func (h *requestHost) dump() any {
--- a/internal/agent/tasks.go
+++ b/internal/agent/tasks.go
@@ -114,7 +114,7 @@
 // so that a call delayed by a pause of this process would outlive By.
 func (h *taskHost) renew(act groups.RenewTasks) {
 	now := h.agent.clock()
-	lease := act.By - now - pauseLimit
+	lease := act.LeaseEnd - now - pauseLimit
 	if lease <= 0 {
 		return
 	}
@@ -277,10 +277,10 @@
 }
 
 func (h *taskHost) caretaker(stamp time.Duration) {
-	h.step(groups.Caretaker{Stamp: stamp, Lease: sched.GroupLease})
+	h.step(groups.StoreDown{Stamp: stamp, Lease: sched.GroupLease})
 }
 
-func (h *taskHost) ownerSeen(epoch uint64) { h.step(groups.OwnerSeen{Epoch: epoch}) }
+func (h *taskHost) ownerSeen(epoch uint64) { h.step(groups.EpochObserved{Epoch: epoch}) }
 func (h *taskHost) linkUp(string)          {}
 func (h *taskHost) linkDown(string)        {}
 func (h *taskHost) leave()                 { h.step(groups.Leave{}) }
@@ -291,7 +291,7 @@
 func (h *taskHost) settled() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.core.Settled() && h.ops.idle()
+	return h.core.AllRunning() && h.ops.idle()
 }
 
 func (h *taskHost) dump() any {
--- a/internal/agent/tasks_test.go
+++ b/internal/agent/tasks_test.go
@@ -74,7 +74,7 @@
 	w := &renewalWorker{}
 	a := New(Config{ID: "a", Kind: KindWorker}, nil, w, metrics.NewRegistry(), zerolog.Nop())
 	by := a.clock() + sched.GroupLease
-	a.tasks.renew(groups.RenewTasks{IDs: []string{"t"}, Lease: sched.GroupLease, By: by})
+	a.tasks.renew(groups.RenewTasks{IDs: []string{"t"}, Lease: sched.GroupLease, LeaseEnd: by})
 	if !w.guarded {
 		t.Fatal("the renewal may be sent at any time after a pause")
 	}
--- a/internal/route/machine_test.go
+++ b/internal/route/machine_test.go
@@ -230,7 +230,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		if !a.core.Idle() || a.core.InUse() > 0 {
+		if !a.core.Idle() || a.core.InFlight() > 0 {
 			w.oracle.fail("%v: %s is not idle: %+v", w.now, a.name, a.core.Dump())
 		}
 	}
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -276,7 +276,7 @@
 	gen, inc := l.gen, a.gen
 	clock := w.clock(a)
 	status := route.AgentStatus{
-		Agent: a.name, ClockMS: clock.Milliseconds(), InUse: a.core.InUse(), Leaving: a.leaving > 0, Healthy: true,
+		Agent: a.name, ClockMS: clock.Milliseconds(), InUse: a.core.InFlight(), Leaving: a.leaving > 0, Healthy: true,
 	}
 	w.send(l, &e.proc, func() {
 		if l.gen != gen || !l.entryUp {
@@ -390,18 +390,18 @@
 func (w *world) stepAgent(a *agentSim, ev exec.Event) {
 	for _, action := range a.core.Step(w.clock(a), ev) {
 		switch x := action.(type) {
-		case exec.Call:
+		case exec.CallEndpoint:
 			w.call(a, x)
-		case exec.Forget:
+		case exec.DropBodies:
 			delete(a.bodies, x.Ref)
-		case exec.Send:
+		case exec.SendResult:
 			w.reply(a, x)
 		}
 	}
 }
 
 // call runs the endpoint; a call that does not reach it has not run.
-func (w *world) call(a *agentSim, x exec.Call) {
+func (w *world) call(a *agentSim, x exec.CallEndpoint) {
 	outcome := api.OutcomeDone
 	switch p := w.rnd.Float64(); {
 	case w.calm || p < 0.85:
@@ -425,14 +425,14 @@
 		a.reach(gen, func() {
 			w.oracle.ended(run, outcome)
 			a.bodies[x.Ref] = run
-			w.stepAgent(a, exec.Called{Ref: x.Ref, Outcome: outcome, Size: 100})
+			w.stepAgent(a, exec.CallEnded{Ref: x.Ref, Outcome: outcome, Size: 100})
 		})
 	})
 }
 
-func (w *world) reply(a *agentSim, x exec.Send) {
+func (w *world) reply(a *agentSim, x exec.SendResult) {
 	body := 0
-	if x.FromEndpoint {
+	if x.WithReply {
 		body = a.bodies[x.Ref]
 	}
 	for _, e := range w.entries {
@@ -471,7 +471,7 @@
 // restartAgent replaces an agent by a new incarnation.
 func (w *world) restartAgent(a *agentSim) {
 	*a = agentSim{proc: proc{gen: a.gen + 1}, name: a.name, zone: a.zone, born: w.now, bodies: map[exec.Ref]int{}}
-	a.core = exec.New(exec.Config{Incarnation: a.incarnation(), Slots: 2, Queue: 1, Keep: 20 * time.Second, MaxResults: 6, MaxBytes: 300})
+	a.core = exec.New(exec.Config{Incarnation: a.incarnation(), Slots: 2, MaxQueued: 1, ResultTTL: 20 * time.Second, MaxRecords: 6, MaxTotalBodyBytes: 300})
 	for _, e := range w.entries {
 		l := w.link(e, a)
 		if l.entryUp {
--- a/test/procs/harness/jobs.go
+++ b/test/procs/harness/jobs.go
@@ -136,7 +136,7 @@
 	byNumber := map[uint32]*attempt{}
 	var list []*attempt
 	for _, task := range h.Tasks() {
-		name, ok := groups.ParseTask(task.ID)
+		name, ok := groups.ParseTaskName(task.ID)
 		if !ok || name.Ref.JobID != jobID {
 			continue
 		}
--- a/test/procs/harness/tasks.go
+++ b/test/procs/harness/tasks.go
@@ -37,7 +37,7 @@
 func (h *Harness) countRunning(counts func(groups.TaskName) bool) int {
 	n := 0
 	for _, task := range h.Tasks() {
-		name, ok := groups.ParseTask(task.ID)
+		name, ok := groups.ParseTaskName(task.ID)
 		if ok && task.State == external.TaskRunning && counts(name) {
 			n++
 		}
