--- a/internal/agent/groups/config.go
+++ b/internal/agent/groups/config.go
@@ -41,11 +41,11 @@
 const maxGroupTasks = 1024
 
 func (c Config) withDefaults() Config {
-	setDuration(&c.AdoptLease, DefaultAdoptLease)
-	setDuration(&c.WorkerCallTimeout, DefaultWorkerCallTimeout)
-	setDuration(&c.StopRetryInterval, DefaultStopRetryInterval)
-	setDuration(&c.ReportInterval, DefaultReportInterval)
-	setDuration(&c.FinalReportTTL, DefaultFinalReportTTL)
+	setDefaultDuration(&c.AdoptLease, DefaultAdoptLease)
+	setDefaultDuration(&c.WorkerCallTimeout, DefaultWorkerCallTimeout)
+	setDefaultDuration(&c.StopRetryInterval, DefaultStopRetryInterval)
+	setDefaultDuration(&c.ReportInterval, DefaultReportInterval)
+	setDefaultDuration(&c.FinalReportTTL, DefaultFinalReportTTL)
 	if c.MaxFinalReports <= 0 {
 		c.MaxFinalReports = DefaultMaxFinalReports
 	}
@@ -55,8 +55,8 @@
 	return c
 }
 
-func setDuration(d *time.Duration, absent time.Duration) {
+func setDefaultDuration(d *time.Duration, fallback time.Duration) {
 	if *d <= 0 {
-		*d = absent
+		*d = fallback
 	}
 }
--- a/internal/agent/groups/core.go
+++ b/internal/agent/groups/core.go
@@ -54,43 +54,43 @@
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(now, c.now)
 	c.actions = nil
-	c.expire()
-	c.apply(ev)
-	c.settle()
+	c.expireLeases()
+	c.handleEvent(ev)
+	c.finishEndedGroups()
 	return c.actions
 }
 
-func (c *Core) apply(ev Event) {
+func (c *Core) handleEvent(ev Event) {
 	switch e := ev.(type) {
 	case Hold:
-		c.hold(e)
+		c.handleHold(e)
 	case Start:
-		c.start(e)
+		c.handleStart(e)
 	case Stop:
-		c.stop(e)
+		c.handleStop(e)
 	case Renew:
-		c.renew(e)
+		c.handleRenew(e)
 	case StoreDown:
-		c.caretaker(e)
+		c.handleStoreDown(e)
 	case EpochObserved:
 		c.epoch = max(c.epoch, e.Epoch)
 	case Permission:
 		c.allowed = e.Allowed
 	case TaskUpdate:
-		c.taskUpdate(e.Status)
+		c.handleTaskUpdate(e.Status)
 	case TaskLost:
-		c.taskLost(e)
+		c.handleTaskLost(e)
 	case Adopt:
-		c.adopt(e)
+		c.handleAdopt(e)
 	case Leave:
 		c.leaving = true
 	case Tick:
-		c.tick()
+		c.handleTick()
 	}
 }
 
-// obeys reports whether a message of the epoch counts, and notes the epoch.
-func (c *Core) obeys(epoch uint64) bool {
+// acceptEpoch reports whether a message of the epoch counts, and notes the epoch.
+func (c *Core) acceptEpoch(epoch uint64) bool {
 	if epoch < c.epoch {
 		c.counters.StaleEpochs++
 		return false
@@ -101,8 +101,8 @@
 
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// free returns the capacity that is neither held nor in use.
-func (c *Core) free() api.Resources {
+// freeCapacity returns the capacity that is neither held nor in use.
+func (c *Core) freeCapacity() api.Resources {
 	free := c.cfg.Capacity
 	for _, g := range c.groups {
 		free = free.Sub(g.resources())
@@ -110,8 +110,8 @@
 	return free
 }
 
-// sorted returns the groups in order of their refs.
-func (c *Core) sorted() []*group {
+// sortedGroups returns the groups in order of their refs.
+func (c *Core) sortedGroups() []*group {
 	list := make([]*group, 0, len(c.groups))
 	for _, g := range c.groups {
 		list = append(list, g)
--- a/internal/agent/groups/dump.go
+++ b/internal/agent/groups/dump.go
@@ -34,20 +34,20 @@
 		Allowed:      c.allowed,
 		Leaving:      c.leaving,
 		Capacity:     c.cfg.Capacity,
-		Free:         c.free(),
+		Free:         c.freeCapacity(),
 		Groups:       []DumpGroup{},
-		FinalReports: len(c.ended.finals),
+		FinalReports: len(c.ended.finalReports),
 		Tombstones:   len(c.ended.tombstones),
 		Counters:     c.counters,
 	}
-	for _, g := range c.sorted() {
+	for _, g := range c.sortedGroups() {
 		state.Groups = append(state.Groups, DumpGroup{
 			JobID:       g.ref.JobID,
 			Attempt:     g.ref.Attempt,
 			Phase:       string(g.phase),
-			Tasks:       len(g.perTask),
-			Running:     g.runningIDs(),
-			LeaseLeftMS: (g.leaseBy - c.now).Milliseconds(),
+			Tasks:       len(g.taskResources),
+			Running:     g.runningTaskIDs(),
+			LeaseLeftMS: (g.leaseEnd - c.now).Milliseconds(),
 			Cause:       string(g.cause),
 			Detail:      g.detail,
 		})
--- a/internal/agent/groups/group.go
+++ b/internal/agent/groups/group.go
@@ -17,33 +17,33 @@
 	phaseEnding  phase = "ending" // tasks are being stopped
 )
 
-// cause says why a group ends before its tasks are done.
-type cause string
+// endCause says why a group ends before its tasks are done.
+type endCause string
 
 const (
-	causeNone   cause = ""
-	causeAsked  cause = "asked"
-	causeLapsed cause = "lease lapsed"
-	causeFailed cause = "task failed"
-	causeBroken cause = "task stopped by the worker"
+	causeNone         endCause = ""
+	causeRequested    endCause = "asked"
+	causeLeaseExpired endCause = "lease lapsed"
+	causeTaskFailed   endCause = "task failed"
+	causeTaskStopped  endCause = "task stopped by the worker"
 )
 
 // group is the tasks of one job attempt while they hold capacity.
 type group struct {
-	ref     Ref
-	phase   phase
-	first   int
-	perTask []api.Resources // of each task
-	tasks   []task
-	leaseBy time.Duration
-	// workerBy is when the worker's own leases have ended for certain.
-	workerBy   time.Duration
-	nextReport time.Duration
-
-	cause       cause
+	ref           Ref
+	phase         phase
+	firstTask     int
+	taskResources []api.Resources // of each task
+	tasks         []task
+	leaseEnd      time.Duration
+	// workerLeaseEnd is when the worker's own leases have ended for certain.
+	workerLeaseEnd time.Duration
+	nextReport     time.Duration
+
+	cause       endCause
 	detail      string
 	workerFault bool
-	graceBy     time.Duration // a checkpoint has until then
+	graceEnd    time.Duration // a checkpoint has until then
 	nextStop    time.Duration
 }
 
@@ -60,14 +60,14 @@
 
 func (g *group) resources() api.Resources {
 	var sum api.Resources
-	for _, r := range g.perTask {
+	for _, r := range g.taskResources {
 		sum = sum.Add(r)
 	}
 	return sum
 }
 
-// all reports whether every task is in the state.
-func (g *group) all(state external.TaskState) bool {
+// allTasksIn reports whether every task is in the state.
+func (g *group) allTasksIn(state external.TaskState) bool {
 	for i := range g.tasks {
 		if g.tasks[i].state != state {
 			return false
@@ -76,7 +76,7 @@
 	return true
 }
 
-func (g *group) ended() bool {
+func (g *group) allTasksEnded() bool {
 	for i := range g.tasks {
 		if !g.tasks[i].ended() {
 			return false
@@ -85,8 +85,8 @@
 	return true
 }
 
-// runningIDs returns the IDs of the tasks that may run.
-func (g *group) runningIDs() []string {
+// runningTaskIDs returns the IDs of the tasks that may run.
+func (g *group) runningTaskIDs() []string {
 	var ids []string
 	for i := range g.tasks {
 		if !g.tasks[i].ended() {
@@ -96,7 +96,7 @@
 	return ids
 }
 
-func (g *group) task(id string) *task {
+func (g *group) findTask(id string) *task {
 	for i := range g.tasks {
 		if g.tasks[i].id == id {
 			return &g.tasks[i]
@@ -107,12 +107,12 @@
 
 // report returns the state of a group that is held or may run.
 func (g *group) report() Report {
-	r := Report{Ref: g.ref, State: Held, Tasks: len(g.perTask)}
+	r := Report{Ref: g.ref, State: Held, Tasks: len(g.taskResources)}
 	if g.phase == phaseHeld {
 		return r
 	}
 	r.State = Running
-	r.Progress, r.Usage = g.progress()
+	r.Progress, r.Usage = g.progressAndUsage()
 	if g.phase == phaseEnding {
 		r.Detail = "stopping: " + g.detail
 	}
@@ -122,23 +122,23 @@
 // finalReport returns the state of a group whose tasks have all ended.
 func (g *group) finalReport() Report {
 	r := Report{Ref: g.ref, State: Stopped, Tasks: len(g.tasks), Detail: g.detail}
-	r.Progress, r.Usage = g.progress()
+	r.Progress, r.Usage = g.progressAndUsage()
 	switch {
-	case g.all(external.TaskDone):
+	case g.allTasksIn(external.TaskDone):
 		r.State = Done
 		r.Detail = ""
-		r.Result = g.result()
-	case g.cause == causeFailed:
+		r.Result = g.resultJSON()
+	case g.cause == causeTaskFailed:
 		r.State = Failed
 		r.WorkerFault = g.workerFault
-	case g.all(external.TaskCheckpointed):
+	case g.allTasksIn(external.TaskCheckpointed):
 		r.State = Checkpointed
 		r.Checkpoint = checkpointName(g.ref)
 	}
 	return r
 }
 
-func (g *group) progress() (time.Duration, api.Resources) {
+func (g *group) progressAndUsage() (time.Duration, api.Resources) {
 	var usage api.Resources
 	progress := g.tasks[0].progress
 	for i := range g.tasks {
@@ -148,9 +148,9 @@
 	return progress, usage
 }
 
-// result returns the tasks' outputs as a JSON array; an output that is not
+// resultJSON returns the tasks' outputs as a JSON array; an output that is not
 // JSON is given as a string.
-func (g *group) result() json.RawMessage {
+func (g *group) resultJSON() json.RawMessage {
 	outputs := make([]json.RawMessage, len(g.tasks))
 	for i := range g.tasks {
 		out := g.tasks[i].output
--- a/internal/agent/groups/lease.go
+++ b/internal/agent/groups/lease.go
@@ -2,66 +2,66 @@
 
 import "time"
 
-// expire ends what has outlived its lease.
-func (c *Core) expire() {
-	for _, g := range c.sorted() {
-		if c.now < g.leaseBy {
+// expireLeases ends what has outlived its lease.
+func (c *Core) expireLeases() {
+	for _, g := range c.sortedGroups() {
+		if c.now < g.leaseEnd {
 			continue
 		}
 		switch g.phase {
 		case phaseHeld:
 			c.counters.HoldsExpired++
-			c.release(g, "hold has lapsed")
+			c.releaseHold(g, "hold has lapsed")
 		case phaseRunning:
 			c.counters.LeasesExpired++
-			c.end(g, causeLapsed, "lease has lapsed")
+			c.endGroup(g, causeLeaseExpired, "lease has lapsed")
 		}
 	}
 }
 
-func (c *Core) renew(e Renew) {
-	if !c.obeys(e.Epoch) {
+func (c *Core) handleRenew(e Renew) {
+	if !c.acceptEpoch(e.Epoch) {
 		return
 	}
 	var ids []string
 	for _, ref := range e.Refs {
 		g := c.groups[ref]
 		if g == nil {
-			c.reportOrRefuse(ref)
+			c.reportOrTombstone(ref)
 			continue
 		}
-		ids = append(ids, c.extend(g, e.Stamp, e.Lease)...)
+		ids = append(ids, c.extendLease(g, e.Stamp, e.Lease)...)
 	}
 	c.renewTasks(ids, e.Stamp+e.Lease)
 }
 
-func (c *Core) caretaker(e StoreDown) {
+func (c *Core) handleStoreDown(e StoreDown) {
 	var ids []string
-	for _, g := range c.sorted() {
+	for _, g := range c.sortedGroups() {
 		if g.phase == phaseRunning {
-			ids = append(ids, c.extend(g, e.Stamp, e.Lease)...)
+			ids = append(ids, c.extendLease(g, e.Stamp, e.Lease)...)
 		}
 	}
 	c.renewTasks(ids, e.Stamp+e.Lease)
 }
 
-// extend moves the lease of a group that is not ending to stamp + lease, if
+// extendLease moves the lease of a group that is not ending to stamp + lease, if
 // that is later, and returns the tasks to renew.
-func (c *Core) extend(g *group, stamp, lease time.Duration) []string {
-	by := stamp + lease
-	if stamp > c.now || by <= g.leaseBy || g.phase == phaseEnding {
+func (c *Core) extendLease(g *group, stamp, lease time.Duration) []string {
+	leaseEnd := stamp + lease
+	if stamp > c.now || leaseEnd <= g.leaseEnd || g.phase == phaseEnding {
 		return nil
 	}
-	g.leaseBy = by
+	g.leaseEnd = leaseEnd
 	if g.phase == phaseHeld {
 		return nil
 	}
-	g.workerBy = by + c.cfg.WorkerCallTimeout
-	return g.runningIDs()
+	g.workerLeaseEnd = leaseEnd + c.cfg.WorkerCallTimeout
+	return g.runningTaskIDs()
 }
 
-func (c *Core) renewTasks(ids []string, by time.Duration) {
+func (c *Core) renewTasks(ids []string, leaseEnd time.Duration) {
 	if len(ids) > 0 {
-		c.emit(RenewTasks{IDs: ids, Lease: by - c.now, LeaseEnd: by})
+		c.emit(RenewTasks{IDs: ids, Lease: leaseEnd - c.now, LeaseEnd: leaseEnd})
 	}
 }
--- a/internal/agent/groups/machine_test.go
+++ b/internal/agent/groups/machine_test.go
@@ -23,35 +23,35 @@
 
 // modelTask is a task on the model's worker.
 type modelTask struct {
-	ref     Ref
-	status  external.TaskStatus
-	leaseBy time.Duration
+	ref      Ref
+	status   external.TaskStatus
+	leaseEnd time.Duration
 }
 
 // modelGroup is what the oracle knows of a ref.
 type modelGroup struct {
-	tasks    int
-	held     bool
-	started  bool
-	leaseBy  time.Duration
-	stopSent map[string]bool
-	final    State
-	never    bool // refused for good
+	tasks          int
+	held           bool
+	started        bool
+	leaseEnd       time.Duration
+	stopSent       map[string]bool
+	final          State
+	refusedForGood bool // refused for good
 }
 
 // groupsMachine drives a core, a worker that is reached with delays, losses
 // and repetitions, and an oracle of what either may do.
 type groupsMachine struct {
-	core    *Core
-	now     time.Duration
-	epoch   uint64
-	allowed bool
-	leaving bool
-	groups  map[Ref]*modelGroup
-	worker  map[string]*modelTask
-	order   []string // IDs of worker in order of start
-	calls   []call
-	updates []external.TaskStatus // answers on their way to the core
+	core       *Core
+	now        time.Duration
+	epoch      uint64
+	allowed    bool
+	leaving    bool
+	groups     map[Ref]*modelGroup
+	worker     map[string]*modelTask
+	startOrder []string // IDs of worker in order of start
+	calls      []call
+	updates    []external.TaskStatus // answers on their way to the core
 }
 
 func TestGroupsMachine(t *testing.T) {
@@ -66,7 +66,7 @@
 		}
 		m.step(t, Permission{true})
 		t.Repeat(map[string]func(*rapid.T){
-			"pass":       m.pass,
+			"pass":       m.passTime,
 			"hold":       m.hold,
 			"start":      m.start,
 			"hold-start": m.holdAndStart,
@@ -77,12 +77,12 @@
 			"owner":      func(t *rapid.T) { m.step(t, EpochObserved{drawEpoch(t)}) },
 			"leave":      m.leave,
 			"tick":       func(t *rapid.T) { m.step(t, Tick{}) },
-			"deliver":    m.deliver,
-			"deliver-2":  m.deliver,
-			"update":     m.update,
+			"deliver":    m.deliverCall,
+			"deliver-2":  m.deliverCall,
+			"update":     m.deliverUpdate,
 			"end-task":   m.endTask,
-			"list":       m.list,
-			"":           m.check,
+			"list":       m.listTasks,
+			"":           m.checkInvariants,
 		})
 		m.drain(t)
 	})
@@ -105,16 +105,16 @@
 	return m.now + time.Duration(rapid.SampledFrom([]int{0, 0, -100, -500, -3000, 700}).Draw(t, "stamp"))*time.Millisecond
 }
 
-func (m *groupsMachine) pass(t *rapid.T) {
+func (m *groupsMachine) passTime(t *rapid.T) {
 	m.advance(time.Duration(rapid.SampledFrom([]int{1, 50, 300, 1000, 4000, 60_000}).Draw(t, "ms")) * time.Millisecond)
 }
 
 // advance lets time pass; the worker stops what has outlived its lease there.
 func (m *groupsMachine) advance(d time.Duration) {
 	m.now += d
-	for _, id := range m.order {
+	for _, id := range m.startOrder {
 		task := m.worker[id]
-		if task.status.State == external.TaskRunning && m.now >= task.leaseBy {
+		if task.status.State == external.TaskRunning && m.now >= task.leaseEnd {
 			task.status.State = external.TaskStopped
 		}
 	}
@@ -159,9 +159,9 @@
 	}
 }
 
-// deliver brings one call to the worker, in any order; its answer may be lost,
+// deliverCall brings one call to the worker, in any order; its answer may be lost,
 // and the call may be repeated.
-func (m *groupsMachine) deliver(t *rapid.T) {
+func (m *groupsMachine) deliverCall(t *rapid.T) {
 	if len(m.calls) == 0 {
 		return
 	}
@@ -181,15 +181,15 @@
 			m.step(t, TaskLost{ID: start.Task.ID, Detail: "timeout"})
 		}
 	default:
-		answers := m.reach(t, c.action)
+		answers := m.applyOnWorker(t, c.action)
 		if rapid.IntRange(0, 4).Draw(t, "lost") > 0 {
 			m.updates = append(m.updates, answers...)
 		}
 	}
 }
 
-// reach applies a call on the worker and returns its answers.
-func (m *groupsMachine) reach(t *rapid.T, a Action) []external.TaskStatus {
+// applyOnWorker applies a call on the worker and returns its answers.
+func (m *groupsMachine) applyOnWorker(t *rapid.T, a Action) []external.TaskStatus {
 	switch a := a.(type) {
 	case StartTask:
 		if task := m.worker[a.Task.ID]; task != nil {
@@ -202,12 +202,12 @@
 		lease := time.Duration(a.Task.LeaseMS) * time.Millisecond
 		task := &modelTask{name.Ref, external.TaskStatus{ID: a.Task.ID, State: external.TaskRunning}, m.now + lease}
 		m.worker[a.Task.ID] = task
-		m.order = append(m.order, a.Task.ID)
+		m.startOrder = append(m.startOrder, a.Task.ID)
 		return []external.TaskStatus{task.status}
 	case RenewTasks:
 		for _, id := range a.IDs {
 			if task := m.worker[id]; task != nil && task.status.State == external.TaskRunning {
-				task.leaseBy = m.now + a.Lease
+				task.leaseEnd = m.now + a.Lease
 			}
 		}
 	case StopTask:
@@ -229,8 +229,8 @@
 	return []external.TaskStatus{task.status}
 }
 
-// update brings one answer to the core, in any order.
-func (m *groupsMachine) update(t *rapid.T) {
+// deliverUpdate brings one answer to the core, in any order.
+func (m *groupsMachine) deliverUpdate(t *rapid.T) {
 	if len(m.updates) == 0 {
 		return
 	}
@@ -241,20 +241,20 @@
 }
 
 func (m *groupsMachine) endTask(t *rapid.T) {
-	if len(m.order) > 0 {
-		id := rapid.SampledFrom(m.order).Draw(t, "task")
+	if len(m.startOrder) > 0 {
+		id := rapid.SampledFrom(m.startOrder).Draw(t, "task")
 		m.endOnWorker(id, rapid.SampledFrom([]external.TaskState{external.TaskDone, external.TaskDone, external.TaskFailed}).Draw(t, "end"))
 	}
 }
 
-// list lets the agent poll the worker.
-func (m *groupsMachine) list(t *rapid.T) {
-	for _, id := range m.order {
+// listTasks lets the agent poll the worker.
+func (m *groupsMachine) listTasks(t *rapid.T) {
+	for _, id := range m.startOrder {
 		m.step(t, TaskUpdate{m.worker[id].status})
 	}
 }
 
-func (m *groupsMachine) group(ref Ref) *modelGroup {
+func (m *groupsMachine) groupOf(ref Ref) *modelGroup {
 	g := m.groups[ref]
 	if g == nil {
 		g = &modelGroup{stopSent: map[string]bool{}}
@@ -266,27 +266,27 @@
 // step passes an event to the core and judges the actions. Leases are dealt
 // with by a step of their own, so that the rest can be laid to the event.
 func (m *groupsMachine) step(t *rapid.T, ev Event) {
-	m.judge(t, Tick{}, m.core.Step(m.now, Tick{}))
-	m.lapse()
-	lower := m.note(ev)
+	m.checkActions(t, Tick{}, m.core.Step(m.now, Tick{}))
+	m.expireHolds()
+	stale := m.recordEvent(ev)
 	actions := m.core.Step(m.now, ev)
-	if lower && len(actions) > 0 {
+	if stale && len(actions) > 0 {
 		t.Fatalf("a lower epoch was obeyed: %+v gave %+v", ev, actions)
 	}
-	m.judge(t, ev, actions)
+	m.checkActions(t, ev, actions)
 }
 
-// lapse ends the holds that have lapsed.
-func (m *groupsMachine) lapse() {
+// expireHolds ends the holds that have lapsed.
+func (m *groupsMachine) expireHolds() {
 	for _, g := range m.groups {
-		if g.held && m.now >= g.leaseBy {
+		if g.held && m.now >= g.leaseEnd {
 			g.held = false
 		}
 	}
 }
 
-// note keeps the oracle's own state of an event and tells whether its epoch is too low.
-func (m *groupsMachine) note(ev Event) (lower bool) {
+// recordEvent keeps the oracle's own state of an event and tells whether its epoch is too low.
+func (m *groupsMachine) recordEvent(ev Event) (stale bool) {
 	epoch := m.epoch
 	switch e := ev.(type) {
 	case Hold:
@@ -296,19 +296,19 @@
 	case Stop:
 		epoch = e.Epoch
 		if e.Epoch >= m.epoch {
-			m.group(e.Ref).held = false
+			m.groupOf(e.Ref).held = false
 		}
 	case Renew:
 		epoch = e.Epoch
 		for _, ref := range e.Refs {
 			if e.Epoch >= m.epoch {
-				m.extend(ref, e.Stamp, e.Lease)
+				m.extendLease(ref, e.Stamp, e.Lease)
 			}
 		}
 	case StoreDown:
 		for ref, g := range m.groups {
 			if g.started {
-				m.extend(ref, e.Stamp, e.Lease)
+				m.extendLease(ref, e.Stamp, e.Lease)
 			}
 		}
 	case EpochObserved:
@@ -318,105 +318,105 @@
 	case Leave:
 		m.leaving = true
 	}
-	lower = epoch < m.epoch
+	stale = epoch < m.epoch
 	m.epoch = max(m.epoch, epoch)
-	return lower
+	return stale
 }
 
-func (m *groupsMachine) extend(ref Ref, stamp, lease time.Duration) {
-	g := m.group(ref)
-	if (g.held || g.started) && m.now < g.leaseBy && stamp <= m.now {
-		g.leaseBy = max(g.leaseBy, stamp+lease)
+func (m *groupsMachine) extendLease(ref Ref, stamp, lease time.Duration) {
+	g := m.groupOf(ref)
+	if (g.held || g.started) && m.now < g.leaseEnd && stamp <= m.now {
+		g.leaseEnd = max(g.leaseEnd, stamp+lease)
 	}
 }
 
-func (m *groupsMachine) judge(t *rapid.T, ev Event, actions []Action) {
+func (m *groupsMachine) checkActions(t *rapid.T, ev Event, actions []Action) {
 	started := map[Ref]int{}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartTask:
-			started[m.judgeStart(t, ev, a)]++
+			started[m.checkStart(t, ev, a)]++
 			m.calls = append(m.calls, call{a, m.now})
 		case StopTask:
 			if name, ok := ParseTaskName(a.ID); ok {
-				m.group(name.Ref).stopSent[a.ID] = true
+				m.groupOf(name.Ref).stopSent[a.ID] = true
 			}
 			m.calls = append(m.calls, call{a, m.now})
 		case RenewTasks:
-			m.judgeRenew(t, a)
+			m.checkRenew(t, a)
 			m.calls = append(m.calls, call{a, m.now})
 		case CheckpointTask:
 			m.calls = append(m.calls, call{a, m.now})
 		case Report:
-			m.judgeReport(t, ev, a)
+			m.checkReport(t, ev, a)
 		}
 	}
 	for ref, n := range started {
-		if want := m.group(ref).tasks; n != want {
+		if want := m.groupOf(ref).tasks; n != want {
 			t.Fatalf("%v started with %d of %d tasks", ref, n, want)
 		}
 	}
 }
 
-func (m *groupsMachine) judgeStart(t *rapid.T, ev Event, a StartTask) Ref {
+func (m *groupsMachine) checkStart(t *rapid.T, ev Event, a StartTask) Ref {
 	e, ok := ev.(Start)
 	if !ok {
 		t.Fatalf("%T started %s", ev, a.Task.ID)
 	}
 	name, _ := ParseTaskName(a.Task.ID)
-	g := m.group(e.Ref)
+	g := m.groupOf(e.Ref)
 	first := name.Index == name.First
-	if name.Ref != e.Ref || g.never || (first && (!g.held || g.started)) {
+	if name.Ref != e.Ref || g.refusedForGood || (first && (!g.held || g.started)) {
 		t.Fatalf("%s started without a hold of its own, or again", a.Task.ID)
 	}
 	if !m.allowed || m.leaving || e.Stamp > m.now || m.now >= e.Stamp+e.Permit {
 		t.Fatalf("%s started without permission at %s: %+v", a.Task.ID, m.now, e)
 	}
 	g.held, g.started = false, true
-	g.leaseBy = e.Stamp + e.Lease
+	g.leaseEnd = e.Stamp + e.Lease
 	return e.Ref
 }
 
-func (m *groupsMachine) judgeRenew(t *rapid.T, a RenewTasks) {
+func (m *groupsMachine) checkRenew(t *rapid.T, a RenewTasks) {
 	for _, id := range a.IDs {
 		name, _ := ParseTaskName(id)
-		if g := m.group(name.Ref); m.now+a.Lease > g.leaseBy || a.LeaseEnd != m.now+a.Lease {
-			t.Fatalf("%s renewed until %s, its lease ends at %s", id, m.now+a.Lease, g.leaseBy)
+		if g := m.groupOf(name.Ref); m.now+a.Lease > g.leaseEnd || a.LeaseEnd != m.now+a.Lease {
+			t.Fatalf("%s renewed until %s, its lease ends at %s", id, m.now+a.Lease, g.leaseEnd)
 		}
 	}
 }
 
-func (m *groupsMachine) judgeReport(t *rapid.T, ev Event, r Report) {
-	g := m.group(r.Ref)
+func (m *groupsMachine) checkReport(t *rapid.T, ev Event, r Report) {
+	g := m.groupOf(r.Ref)
 	switch r.State {
 	case Held:
 		if e, ok := ev.(Hold); ok && e.Ref == r.Ref && !g.held {
 			if g.started || g.final != "" {
 				t.Fatalf("%v is held again after %+v", r.Ref, g)
 			}
-			g.held, g.tasks, g.leaseBy = true, r.Tasks, e.Stamp+e.Lease
+			g.held, g.tasks, g.leaseEnd = true, r.Tasks, e.Stamp+e.Lease
 		}
 	case Refused:
 		if g.started {
 			t.Fatalf("%v is refused after its start", r.Ref)
 		}
 		if _, hold := ev.(Hold); !hold {
-			g.never = true
+			g.refusedForGood = true
 		}
 		g.held = false
 	case Running:
 	default:
 		g.held = false
-		m.judgeFinal(t, g, r)
+		m.checkFinalReport(t, g, r)
 	}
 }
 
-func (m *groupsMachine) judgeFinal(t *rapid.T, g *modelGroup, r Report) {
+func (m *groupsMachine) checkFinalReport(t *rapid.T, g *modelGroup, r Report) {
 	if g.final != "" && g.final != r.State {
 		t.Fatalf("%v was %s and is now %s", r.Ref, g.final, r.State)
 	}
 	g.final = r.State
-	for _, id := range m.order {
+	for _, id := range m.startOrder {
 		task := m.worker[id]
 		if task.ref != r.Ref {
 			continue
@@ -430,24 +430,24 @@
 	}
 }
 
-// check is the invariant after each action of the machine.
-func (m *groupsMachine) check(t *rapid.T) {
-	m.judge(t, Tick{}, m.core.Step(m.now, Tick{}))
-	m.lapse()
+// checkInvariants is the invariant after each action of the machine.
+func (m *groupsMachine) checkInvariants(t *rapid.T) {
+	m.checkActions(t, Tick{}, m.core.Step(m.now, Tick{}))
+	m.expireHolds()
 	used := 0
 	for _, g := range m.groups {
 		if g.held {
 			used += g.tasks
 		}
 	}
-	for _, id := range m.order {
+	for _, id := range m.startOrder {
 		task := m.worker[id]
 		if task.status.State != external.TaskRunning {
 			continue
 		}
 		used++
-		if g := m.group(task.ref); m.now >= g.leaseBy && !g.stopSent[id] {
-			t.Fatalf("%s runs at %s, its lease ended at %s, and was not stopped", id, m.now, g.leaseBy)
+		if g := m.groupOf(task.ref); m.now >= g.leaseEnd && !g.stopSent[id] {
+			t.Fatalf("%s runs at %s, its lease ended at %s, and was not stopped", id, m.now, g.leaseEnd)
 		}
 	}
 	if used > machineCapacity {
@@ -462,7 +462,7 @@
 func (m *groupsMachine) drain(t *rapid.T) {
 	for range 10 {
 		m.advance(5 * time.Second)
-		m.judge(t, Tick{}, m.core.Step(m.now, Tick{}))
+		m.checkActions(t, Tick{}, m.core.Step(m.now, Tick{}))
 	}
 	if !m.core.Idle() {
 		t.Fatalf("not idle long after all leases: %s", fmt.Sprintf("%+v", m.core.Dump()))
--- a/internal/agent/groups/scenario_test.go
+++ b/internal/agent/groups/scenario_test.go
@@ -45,9 +45,9 @@
 	permit := argDuration(t, d, "permit", 1200*time.Millisecond)
 	switch d.Cmd {
 	case "hold":
-		per := api.Resources{Accelerators: argInt(t, d, "accelerators", 1)}
+		perTask := api.Resources{Accelerators: argInt(t, d, "accelerators", 1)}
 		lease := argDuration(t, d, "lease", 3*time.Second)
-		return Hold{epoch, ref, argInt(t, d, "tasks", 1), per, stamp, permit, lease}
+		return Hold{epoch, ref, argInt(t, d, "tasks", 1), perTask, stamp, permit, lease}
 	case "start":
 		return Start{
 			Epoch: epoch, Ref: ref, Stamp: stamp, Permit: permit,
@@ -103,20 +103,20 @@
 	return list
 }
 
-func argInt(t *testing.T, d *datadriven.TestData, key string, absent int) int {
-	d.MaybeScanArgs(t, key, &absent)
-	return absent
+func argInt(t *testing.T, d *datadriven.TestData, key string, fallback int) int {
+	d.MaybeScanArgs(t, key, &fallback)
+	return fallback
 }
 
-func argString(t *testing.T, d *datadriven.TestData, key, absent string) string {
-	d.MaybeScanArgs(t, key, &absent)
-	return absent
+func argString(t *testing.T, d *datadriven.TestData, key, fallback string) string {
+	d.MaybeScanArgs(t, key, &fallback)
+	return fallback
 }
 
-func argDuration(t *testing.T, d *datadriven.TestData, key string, absent time.Duration) time.Duration {
+func argDuration(t *testing.T, d *datadriven.TestData, key string, fallback time.Duration) time.Duration {
 	text := argString(t, d, key, "")
 	if text == "" {
-		return absent
+		return fallback
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
--- a/internal/agent/groups/stop.go
+++ b/internal/agent/groups/stop.go
@@ -6,89 +6,89 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-func (c *Core) stop(e Stop) {
-	if !c.obeys(e.Epoch) {
+func (c *Core) handleStop(e Stop) {
+	if !c.acceptEpoch(e.Epoch) {
 		return
 	}
 	g := c.groups[e.Ref]
 	if g == nil {
-		c.reportOrRefuse(e.Ref)
+		c.reportOrTombstone(e.Ref)
 		return
 	}
 	switch {
 	case g.phase == phaseHeld:
-		c.release(g, e.Reason)
+		c.releaseHold(g, e.Reason)
 	case g.phase == phaseEnding:
 		if e.Grace <= 0 {
 			c.abandonCheckpoint(g)
 		}
 	case e.Grace > 0:
-		c.checkpoint(g, e.Grace, e.Reason)
+		c.requestCheckpoint(g, e.Grace, e.Reason)
 	default:
-		c.end(g, causeAsked, e.Reason)
+		c.endGroup(g, causeRequested, e.Reason)
 	}
 }
 
-// end stops all tasks of a running group.
-func (c *Core) end(g *group, why cause, detail string) {
+// endGroup stops all tasks of a running group.
+func (c *Core) endGroup(g *group, cause endCause, detail string) {
 	g.phase = phaseEnding
-	g.cause = why
+	g.cause = cause
 	g.detail = detail
-	g.graceBy = c.now
+	g.graceEnd = c.now
 	// The worker has time to answer, also when its leases have ended already.
-	g.workerBy = max(g.workerBy, c.now+c.cfg.WorkerCallTimeout)
+	g.workerLeaseEnd = max(g.workerLeaseEnd, c.now+c.cfg.WorkerCallTimeout)
 	c.stopTasks(g)
 }
 
-// checkpoint asks for a checkpoint of all tasks, which ends them. Those that
+// requestCheckpoint asks for a requestCheckpoint of all tasks, which ends them. Those that
 // still run at the end of the grace time or of the lease are stopped.
-func (c *Core) checkpoint(g *group, grace time.Duration, detail string) {
+func (c *Core) requestCheckpoint(g *group, grace time.Duration, detail string) {
 	g.phase = phaseEnding
-	g.cause = causeAsked
+	g.cause = causeRequested
 	g.detail = detail
-	g.graceBy = min(c.now+grace, g.leaseBy)
-	g.nextStop = g.graceBy
-	for _, id := range g.runningIDs() {
+	g.graceEnd = min(c.now+grace, g.leaseEnd)
+	g.nextStop = g.graceEnd
+	for _, id := range g.runningTaskIDs() {
 		c.emit(CheckpointTask{ID: id})
 	}
 }
 
 // abandonCheckpoint stops the tasks of a group that still has grace time.
 func (c *Core) abandonCheckpoint(g *group) {
-	if c.now < g.graceBy {
-		g.graceBy = c.now
+	if c.now < g.graceEnd {
+		g.graceEnd = c.now
 		c.stopTasks(g)
 	}
 }
 
 func (c *Core) stopTasks(g *group) {
 	g.nextStop = c.now + c.cfg.StopRetryInterval
-	for _, id := range g.runningIDs() {
+	for _, id := range g.runningTaskIDs() {
 		c.emit(StopTask{ID: id})
 	}
 }
 
-// settle repeats stops, counts tasks as stopped when the worker's own lease
+// finishEndedGroups repeats stops, counts tasks as stopped when the worker's own lease
 // has ended them, and reports the groups whose tasks have all ended.
-func (c *Core) settle() {
-	for _, g := range c.sorted() {
+func (c *Core) finishEndedGroups() {
+	for _, g := range c.sortedGroups() {
 		if g.phase == phaseHeld {
 			continue
 		}
 		if g.phase == phaseEnding {
-			c.settleEnding(g)
+			c.advanceEnding(g)
 		}
-		if g.ended() {
+		if g.allTasksEnded() {
 			delete(c.groups, g.ref)
 			r := g.finalReport()
-			c.ended.keep(r, c.now)
+			c.ended.addReport(r, c.now)
 			c.emit(r)
 		}
 	}
 }
 
-func (c *Core) settleEnding(g *group) {
-	if c.now >= g.workerBy {
+func (c *Core) advanceEnding(g *group) {
+	if c.now >= g.workerLeaseEnd {
 		for i := range g.tasks {
 			if !g.tasks[i].ended() {
 				g.tasks[i].state = external.TaskStopped
@@ -101,10 +101,10 @@
 	}
 }
 
-// tick reports on running groups now and then and forgets old final reports.
-func (c *Core) tick() {
-	c.ended.expire(c.now)
-	for _, g := range c.sorted() {
+// handleTick reports on running groups now and then and forgets old final reports.
+func (c *Core) handleTick() {
+	c.ended.expireReports(c.now)
+	for _, g := range c.sortedGroups() {
 		if g.phase != phaseHeld && c.now >= g.nextReport {
 			g.nextReport = c.now + c.cfg.ReportInterval
 			c.emit(g.report())
--- a/internal/agent/groups/taskname.go
+++ b/internal/agent/groups/taskname.go
@@ -23,18 +23,18 @@
 
 // ParseTaskName is the inverse of TaskName.String.
 func ParseTaskName(id string) (TaskName, bool) {
-	rest, index, ok1 := cutLast(id)
-	rest, size, ok2 := cutLast(rest)
-	job, attempt, ok3 := cutLast(rest)
-	first, tasks, ok4 := strings.Cut(size, "+")
-	if !ok1 || !ok2 || !ok3 || !ok4 || job == "" {
+	rest, index, okIndex := cutLast(id)
+	rest, taskRange, okRange := cutLast(rest)
+	job, attempt, okAttempt := cutLast(rest)
+	first, tasks, okTasks := strings.Cut(taskRange, "+")
+	if !okIndex || !okRange || !okAttempt || !okTasks || job == "" {
 		return TaskName{}, false
 	}
-	number, err := strconv.ParseUint(attempt, 10, 32)
+	attemptNumber, err := strconv.ParseUint(attempt, 10, 32)
 	if err != nil {
 		return TaskName{}, false
 	}
-	n := TaskName{Ref: Ref{JobID: job, Attempt: uint32(number)}}
+	n := TaskName{Ref: Ref{JobID: job, Attempt: uint32(attemptNumber)}}
 	for _, field := range []struct {
 		text  string
 		value *int
--- a/internal/agent/groups/tasks.go
+++ b/internal/agent/groups/tasks.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-func (c *Core) taskUpdate(s external.TaskStatus) {
+func (c *Core) handleTaskUpdate(s external.TaskStatus) {
 	name, ok := ParseTaskName(s.ID)
 	if !ok {
 		return // not a task of ours
@@ -15,36 +15,36 @@
 	var t *task
 	g := c.groups[name.Ref]
 	if g != nil {
-		t = g.task(s.ID)
+		t = g.findTask(s.ID)
 	}
 	switch {
 	case t == nil:
-		c.stray(s)
+		c.stopStray(s)
 	case t.ended():
-		c.strayOfGroup(s, t)
+		c.handleLateUpdate(s, t)
 	default:
-		c.update(g, t, s)
+		c.updateTask(g, t, s)
 	}
 }
 
-// stray stops a task that no group accounts for.
-func (c *Core) stray(s external.TaskStatus) {
+// stopStray stops a task that no group accounts for.
+func (c *Core) stopStray(s external.TaskStatus) {
 	if s.State == external.TaskRunning {
 		c.counters.StrayTasks++
 		c.emit(StopTask{ID: s.ID})
 	}
 }
 
-// strayOfGroup stops a task that runs although its lease on the worker must
+// handleLateUpdate stops a task that runs although its lease on the worker must
 // have ended it. Late news of a task that has ended are ignored.
-func (c *Core) strayOfGroup(s external.TaskStatus, t *task) {
+func (c *Core) handleLateUpdate(s external.TaskStatus, t *task) {
 	if t.state == external.TaskStopped {
-		c.stray(s)
+		c.stopStray(s)
 	}
 }
 
-// update applies the worker's state of a task that was last known to run.
-func (c *Core) update(g *group, t *task, s external.TaskStatus) {
+// updateTask applies the worker's state of a task that was last known to run.
+func (c *Core) updateTask(g *group, t *task, s external.TaskStatus) {
 	t.state = s.State
 	t.progress = max(t.progress, time.Duration(s.ProgressMS)*time.Millisecond)
 	t.usage = s.Usage
@@ -55,13 +55,13 @@
 	switch s.State {
 	case external.TaskFailed:
 		g.workerFault = s.WorkerFault
-		c.end(g, causeFailed, s.Detail)
+		c.endGroup(g, causeTaskFailed, s.Detail)
 	case external.TaskStopped, external.TaskCheckpointed:
-		c.end(g, causeBroken, s.Detail)
+		c.endGroup(g, causeTaskStopped, s.Detail)
 	}
 }
 
-func (c *Core) taskLost(e TaskLost) {
+func (c *Core) handleTaskLost(e TaskLost) {
 	name, ok := ParseTaskName(e.ID)
 	if !ok {
 		return
@@ -70,55 +70,55 @@
 	if g == nil || g.phase != phaseRunning {
 		return
 	}
-	t := g.task(e.ID)
+	t := g.findTask(e.ID)
 	switch {
 	case t == nil || t.ended():
 	case e.NotSent:
 		t.state = external.TaskStopped
-		c.end(g, causeBroken, e.Detail)
+		c.endGroup(g, causeTaskStopped, e.Detail)
 	default:
 		g.workerFault = true
-		c.end(g, causeFailed, e.Detail)
+		c.endGroup(g, causeTaskFailed, e.Detail)
 	}
 }
 
-// adopt takes over the tasks of an earlier process of this agent.
-func (c *Core) adopt(e Adopt) {
+// handleAdopt takes over the tasks of an earlier process of this agent.
+func (c *Core) handleAdopt(e Adopt) {
 	found := map[Ref]*group{}
 	for _, s := range e.Tasks {
 		name, ok := ParseTaskName(s.ID)
 		if !ok {
-			c.stray(s)
+			c.stopStray(s)
 			continue
 		}
-		if c.knows(name.Ref) {
-			c.taskUpdate(s)
+		if c.isKnown(name.Ref) {
+			c.handleTaskUpdate(s)
 			continue
 		}
 		g := found[name.Ref]
 		if g == nil {
-			g = c.emptyGroup(name)
+			g = c.newAdoptedGroup(name)
 			found[name.Ref] = g
 		}
-		if t := g.task(s.ID); t != nil {
-			g.perTask[name.Index-g.first] = s.Resources
+		if t := g.findTask(s.ID); t != nil {
+			g.taskResources[name.Index-g.firstTask] = s.Resources
 			t.state = external.TaskRunning
-			c.update(g, t, s)
+			c.updateTask(g, t, s)
 		} else {
-			c.stray(s) // the group has other bounds
+			c.stopStray(s) // the group has other bounds
 		}
 	}
 	for ref, g := range found {
 		c.groups[ref] = g
 	}
-	for _, g := range c.sorted() {
+	for _, g := range c.sortedGroups() {
 		if found[g.ref] != nil {
 			c.completeAdoption(g)
 		}
 	}
 }
 
-func (c *Core) knows(ref Ref) bool {
+func (c *Core) isKnown(ref Ref) bool {
 	if c.groups[ref] != nil {
 		return true
 	}
@@ -126,16 +126,16 @@
 	return known
 }
 
-// emptyGroup returns a group of the name's size of which no task was found.
-func (c *Core) emptyGroup(name TaskName) *group {
+// newAdoptedGroup returns a group of the name's size of which no task was found.
+func (c *Core) newAdoptedGroup(name TaskName) *group {
 	g := &group{
-		ref:     name.Ref,
-		phase:   phaseRunning,
-		first:   name.First,
-		perTask: make([]api.Resources, name.Tasks),
-		leaseBy: c.now + c.cfg.AdoptLease,
+		ref:           name.Ref,
+		phase:         phaseRunning,
+		firstTask:     name.First,
+		taskResources: make([]api.Resources, name.Tasks),
+		leaseEnd:      c.now + c.cfg.AdoptLease,
 	}
-	g.workerBy = g.leaseBy + c.cfg.WorkerCallTimeout
+	g.workerLeaseEnd = g.leaseEnd + c.cfg.WorkerCallTimeout
 	for i := range name.Tasks {
 		name.Index = name.First + i
 		g.tasks = append(g.tasks, task{id: name.String()})
@@ -156,7 +156,7 @@
 		return
 	}
 	if missing {
-		c.end(g, causeBroken, "some tasks are missing after a restart of the agent")
+		c.endGroup(g, causeTaskStopped, "some tasks are missing after a restart of the agent")
 		return
 	}
 	c.counters.Adopted++
