--- a/internal/agent/groups/config.go
+++ b/internal/agent/groups/config.go
@@ -6,27 +6,28 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// Config holds the settings of a Core. Zero values get the defaults below.
+// Config holds the settings of a Core. Zero values take the defaults below.
 type Config struct {
 	Capacity api.Resources
-	// AdoptLease is how long tasks found at the agent's start may run before
-	// the owner renews them. It is at least the longest lease of a group, so
-	// that the worker's own leases have ended by then.
+	// AdoptLease is the lease of a group adopted at the agent's start, until
+	// the owner renews it. It is at least the longest group lease, so that the
+	// worker's own leases have expired when it ends.
 	AdoptLease time.Duration
-	// WorkerCallTimeout bounds one call of the worker.
+	// WorkerCallTimeout bounds one call to the worker.
 	WorkerCallTimeout time.Duration
-	// StopRetryInterval is the time between two StopTask actions for one task.
+	// StopRetryInterval is the time between StopTask actions for the same task.
 	StopRetryInterval time.Duration
-	// ReportInterval is the time between two reports on a running group.
+	// ReportInterval is the time between periodic reports on a running group.
 	ReportInterval time.Duration
-	// FinalReportTTL is how long a final report is kept after it was last asked for.
+	// FinalReportTTL is how long a final report is kept after it was last requested.
 	FinalReportTTL time.Duration
-	// MaxFinalReports bounds the final reports kept, MaxTombstones the refused refs.
+	// MaxFinalReports bounds the number of final reports kept, MaxTombstones
+	// that of tombstones: refs kept without a report that must never start.
 	MaxFinalReports int
 	MaxTombstones   int
 }
 
-// The defaults of a Config.
+// Defaults of Config.
 const (
 	DefaultAdoptLease        = 10 * time.Second
 	DefaultWorkerCallTimeout = 2 * time.Second
@@ -37,7 +38,7 @@
 	DefaultMaxTombstones     = 8192
 )
 
-// maxGroupTasks bounds the tasks of one group.
+// maxGroupTasks bounds the number of tasks in one group.
 const maxGroupTasks = 1024
 
 func (c Config) withDefaults() Config {
--- a/internal/agent/groups/core.go
+++ b/internal/agent/groups/core.go
@@ -8,7 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// Core decides for one worker. It is not safe for concurrent use.
+// Core decides which groups hold capacity and run on one worker. It is not safe
+// for concurrent use.
 type Core struct {
 	cfg      Config
 	now      time.Duration
@@ -21,7 +22,9 @@
 	actions  []Action
 }
 
-// Counters counts what a Core has refused and ended.
+// Counters counts messages refused and groups started, adopted and expired.
+// StaleEpochs counts messages refused for a lower epoch, StrayTasks running
+// tasks stopped because no group accounts for them.
 type Counters struct {
 	StaleEpochs   uint64 `json:"lower_epoch"`
 	HoldsRefused  uint64 `json:"holds_refused"`
@@ -33,7 +36,8 @@
 	StrayTasks    uint64 `json:"strays"`
 }
 
-// New returns a core without groups. It starts nothing before a Permission.
+// New returns a core without groups. It accepts no hold or start before a
+// Permission event allows work.
 func New(cfg Config) *Core {
 	cfg = cfg.withDefaults()
 	return &Core{
@@ -49,8 +53,8 @@
 // Idle reports whether no capacity is held and no task may be running.
 func (c *Core) Idle() bool { return len(c.groups) == 0 }
 
-// Step applies one event at the time now and returns the actions, in order.
-// Leases that have lapsed are dealt with before the event.
+// Step applies one event at the time now and returns the resulting actions in
+// order. Leases that have expired by now are ended before the event is applied.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(now, c.now)
 	c.actions = nil
@@ -89,7 +93,8 @@
 	}
 }
 
-// acceptEpoch reports whether a message of the epoch counts, and notes the epoch.
+// acceptEpoch reports whether a message with this epoch is to be obeyed. If so,
+// lower epochs are refused from then on.
 func (c *Core) acceptEpoch(epoch uint64) bool {
 	if epoch < c.epoch {
 		c.counters.StaleEpochs++
@@ -110,7 +115,7 @@
 	return free
 }
 
-// sortedGroups returns the groups in order of their refs.
+// sortedGroups returns the groups ordered by ref.
 func (c *Core) sortedGroups() []*group {
 	list := make([]*group, 0, len(c.groups))
 	for _, g := range c.groups {
@@ -124,8 +129,8 @@
 	return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// Reports returns a report on each group that is held, runs, or has ended and
-// is still remembered, in order of their refs.
+// Reports returns the reports on all groups that are held or running, and the
+// final reports that are still kept, ordered by ref.
 func (c *Core) Reports() []Report {
 	list := c.ended.reports()
 	for _, g := range c.groups {
--- a/internal/agent/groups/dump.go
+++ b/internal/agent/groups/dump.go
@@ -2,7 +2,7 @@
 
 import "github.com/coltsfootlug/coltsfootlug/internal/api"
 
-// DumpState is a Core's state for operators.
+// DumpState is the part of a Core's state shown in the state dump.
 type DumpState struct {
 	Epoch        uint64        `json:"epoch"`
 	Allowed      bool          `json:"allowed"`
@@ -27,7 +27,7 @@
 	Detail      string   `json:"detail,omitempty"`
 }
 
-// Dump returns the state for the state dump.
+// Dump returns a DumpState.
 func (c *Core) Dump() any {
 	state := DumpState{
 		Epoch:        c.epoch,
--- a/internal/agent/groups/ended.go
+++ b/internal/agent/groups/ended.go
@@ -2,11 +2,10 @@
 
 import "time"
 
-// endedGroups remembers the groups that must not start again: the last ones
-// with their final reports, those before them by their refs alone. Both are
-// bounded. A ref that has been forgotten cannot start either unless the owner
-// holds and starts it anew with a fresh permission, which the attempt's row in
-// the table prevents.
+// endedGroups remembers the groups that must not start again: recent ones with
+// their final reports, older ones as tombstones (the ref alone). Both are
+// bounded. A forgotten ref could start again only if the owner held and started
+// it anew with a fresh permission, which the attempt's row in the table prevents.
 type endedGroups struct {
 	cfg              Config
 	finalReports     map[Ref]*finalReport
@@ -15,7 +14,7 @@
 	tombstoneOrder   []Ref // oldest first
 }
 
-// finalReport is a finalReport report and when it was last asked for.
+// finalReport is the last report on a group, with the time it was last requested.
 type finalReport struct {
 	report        Report
 	lastRequested time.Duration
@@ -29,7 +28,8 @@
 	}
 }
 
-// find returns what is reported for a ref that has ended.
+// find returns the report on an ended or refused ref. It counts as a request of
+// a final report.
 func (e *endedGroups) find(ref Ref, now time.Duration) (Report, bool) {
 	if f := e.finalReports[ref]; f != nil {
 		f.lastRequested = now
@@ -39,7 +39,8 @@
 	return Report{Ref: ref, State: state}, found
 }
 
-// addReport remembers a final report. Beyond the bound the oldest one goes.
+// addReport stores a final report. Beyond MaxFinalReports the oldest one is
+// replaced by a tombstone.
 func (e *endedGroups) addReport(r Report, now time.Duration) {
 	e.finalReports[r.Ref] = &finalReport{r, now}
 	e.finalReportOrder = append(e.finalReportOrder, r.Ref)
@@ -49,15 +50,15 @@
 	}
 }
 
-// forgetReport keeps only the ref of a final report.
+// forgetReport replaces a final report by a tombstone.
 func (e *endedGroups) forgetReport(ref Ref) {
 	delete(e.finalReports, ref)
 	e.addTombstone(ref, Absent)
 }
 
-// addTombstone remembers a ref that never starts from now on: as Refused when it has
-// certainly not started before either, as Absent otherwise. Beyond the bound
-// the oldest one goes.
+// addTombstone marks a ref as one that must never start. The state is Refused
+// if no task of it can have started before, otherwise Absent. Beyond
+// MaxTombstones the oldest tombstone is dropped.
 func (e *endedGroups) addTombstone(ref Ref, state State) {
 	if _, known := e.tombstones[ref]; known {
 		return
@@ -70,7 +71,8 @@
 	}
 }
 
-// expireReports forgets the final reports that nobody has asked for in a while.
+// expireReports replaces final reports not requested for FinalReportTTL by
+// tombstones.
 func (e *endedGroups) expireReports(now time.Duration) {
 	kept := e.finalReportOrder[:0]
 	for _, ref := range e.finalReportOrder {
--- a/internal/agent/groups/group.go
+++ b/internal/agent/groups/group.go
@@ -8,16 +8,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// phase is the part of its life that a group is in.
+// phase is the lifecycle phase of a group that holds capacity.
 type phase string
 
 const (
 	phaseHeld    phase = "held"
 	phaseRunning phase = "running"
-	phaseEnding  phase = "ending" // tasks are being stopped
+	phaseEnding  phase = "ending" // tasks are being stopped or checkpointed
 )
 
-// endCause says why a group ends before its tasks are done.
+// endCause is the reason why a group ends before its tasks are done.
 type endCause string
 
 const (
@@ -28,26 +28,27 @@
 	causeTaskStopped  endCause = "task stopped by the worker"
 )
 
-// group is the tasks of one job attempt while they hold capacity.
+// group is the set of tasks of one job attempt while they hold capacity.
 type group struct {
 	ref           Ref
 	phase         phase
 	firstTask     int
-	taskResources []api.Resources // of each task
+	taskResources []api.Resources // one element for each task
 	tasks         []task
 	leaseEnd      time.Duration
-	// workerLeaseEnd is when the worker's own leases have ended for certain.
+	// workerLeaseEnd is the latest time at which the worker's own leases of
+	// the tasks expire.
 	workerLeaseEnd time.Duration
 	nextReport     time.Duration
 
 	cause       endCause
 	detail      string
 	workerFault bool
-	graceEnd    time.Duration // a checkpoint has until then
+	graceEnd    time.Duration // end of the time for a checkpoint
 	nextStop    time.Duration
 }
 
-// task is one task of a running group.
+// task is one task of a group that has been started.
 type task struct {
 	id       string
 	state    external.TaskState
@@ -66,7 +67,7 @@
 	return sum
 }
 
-// allTasksIn reports whether every task is in the state.
+// allTasksIn reports whether every task is in the given state.
 func (g *group) allTasksIn(state external.TaskState) bool {
 	for i := range g.tasks {
 		if g.tasks[i].state != state {
@@ -85,7 +86,7 @@
 	return true
 }
 
-// runningTaskIDs returns the IDs of the tasks that may run.
+// runningTaskIDs returns the IDs of the tasks not known to have ended.
 func (g *group) runningTaskIDs() []string {
 	var ids []string
 	for i := range g.tasks {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// report returns the state of a group that is held or may run.
+// report returns the report on a group that holds capacity.
 func (g *group) report() Report {
 	r := Report{Ref: g.ref, State: Held, Tasks: len(g.taskResources)}
 	if g.phase == phaseHeld {
@@ -119,7 +120,7 @@
 	return r
 }
 
-// finalReport returns the state of a group whose tasks have all ended.
+// finalReport returns the report on a group whose tasks have all ended.
 func (g *group) finalReport() Report {
 	r := Report{Ref: g.ref, State: Stopped, Tasks: len(g.tasks), Detail: g.detail}
 	r.Progress, r.Usage = g.progressAndUsage()
@@ -138,6 +139,8 @@
 	return r
 }
 
+// progressAndUsage returns the least progress of the tasks and the sum of their
+// usage.
 func (g *group) progressAndUsage() (time.Duration, api.Resources) {
 	var usage api.Resources
 	progress := g.tasks[0].progress
@@ -148,8 +151,8 @@
 	return progress, usage
 }
 
-// resultJSON returns the tasks' outputs as a JSON array; an output that is not
-// JSON is given as a string.
+// resultJSON returns the tasks' outputs as a JSON array. An output that is not
+// valid JSON is encoded as a JSON string.
 func (g *group) resultJSON() json.RawMessage {
 	outputs := make([]json.RawMessage, len(g.tasks))
 	for i := range g.tasks {
--- a/internal/agent/groups/holdstart.go
+++ b/internal/agent/groups/holdstart.go
@@ -25,7 +25,8 @@
 	c.emit(g.report())
 }
 
-// reportIfKnown reports the state of a ref that is known already, if it is.
+// reportIfKnown emits the report on a ref that is known already, and reports
+// whether it was.
 func (c *Core) reportIfKnown(ref Ref) bool {
 	if g := c.groups[ref]; g != nil {
 		c.emit(g.report())
@@ -38,7 +39,7 @@
 	return known
 }
 
-// holdRefusalReason returns why a hold is refused, or "".
+// holdRefusalReason returns the reason to refuse a hold, or "".
 func (c *Core) holdRefusalReason(e Hold) string {
 	if reason := c.startRefusalReason(e.Stamp, e.Permit, e.Lease); reason != "" {
 		return reason
@@ -56,8 +57,8 @@
 	return ""
 }
 
-// startRefusalReason returns why a message that was stamped and permitted like this
-// may start nothing now, or "".
+// startRefusalReason returns the reason why a message with this stamp, permit
+// and lease may not start work now, or "".
 func (c *Core) startRefusalReason(stamp, permit, lease time.Duration) string {
 	switch {
 	case c.leaving:
@@ -103,7 +104,9 @@
 	g.leaseEnd = e.Stamp + e.Lease
 	g.workerLeaseEnd = g.leaseEnd + c.cfg.WorkerCallTimeout
 	g.nextReport = c.now + c.cfg.ReportInterval
-	// A start at the last moment must not outlive the lease either.
+	// The tasks' own lease is the time from startBy to leaseEnd, so that a task
+	// started as late as startBy does not outlive the group's lease. startBy
+	// leaves them at least half of the remaining lease.
 	startBy := min(e.Stamp+e.Permit, c.now+(g.leaseEnd-c.now)/2)
 	for i := range g.taskResources {
 		name := TaskName{Ref: g.ref, First: g.firstTask, Tasks: len(g.taskResources), Index: g.firstTask + i}
@@ -120,8 +123,8 @@
 	c.emit(g.report())
 }
 
-// reportOrTombstone reports a known ref; any other is answered absent and refused
-// from then on.
+// reportOrTombstone emits the report on a known ref. An unknown ref is reported
+// absent and never starts from then on.
 func (c *Core) reportOrTombstone(ref Ref) {
 	if c.reportIfKnown(ref) {
 		return
@@ -130,7 +133,8 @@
 	c.emit(Report{Ref: ref, State: Absent})
 }
 
-// releaseHold gives up a held group, which never starts from then on.
+// releaseHold frees the capacity of a held group and reports it refused. The
+// group never starts from then on.
 func (c *Core) releaseHold(g *group, detail string) {
 	delete(c.groups, g.ref)
 	c.ended.addTombstone(g.ref, Refused)
--- a/internal/agent/groups/lease.go
+++ b/internal/agent/groups/lease.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// expireLeases ends what has outlived its lease.
+// expireLeases releases the holds and ends the running groups whose lease has
+// expired.
 func (c *Core) expireLeases() {
 	for _, g := range c.sortedGroups() {
 		if c.now < g.leaseEnd {
@@ -45,8 +46,8 @@
 	c.renewTasks(ids, e.Stamp+e.Lease)
 }
 
-// extendLease moves the lease of a group that is not ending to stamp + lease, if
-// that is later, and returns the tasks to renew.
+// extendLease moves the lease end of a group that is not ending to stamp + lease
+// if that is later. It returns the IDs of the tasks to renew on the worker.
 func (c *Core) extendLease(g *group, stamp, lease time.Duration) []string {
 	leaseEnd := stamp + lease
 	if stamp > c.now || leaseEnd <= g.leaseEnd || g.phase == phaseEnding {
--- a/internal/agent/groups/machine_test.go
+++ b/internal/agent/groups/machine_test.go
@@ -15,20 +15,20 @@
 	machineTimeout  = time.Second
 )
 
-// call is an action on its way to the worker.
+// call is an action in transit to the worker.
 type call struct {
 	action Action
 	issued time.Duration
 }
 
-// modelTask is a task on the model's worker.
+// modelTask is a task on the simulated worker.
 type modelTask struct {
 	ref      Ref
 	status   external.TaskStatus
 	leaseEnd time.Duration
 }
 
-// modelGroup is what the oracle knows of a ref.
+// modelGroup is the oracle's state of a group.
 type modelGroup struct {
 	tasks          int
 	held           bool
@@ -36,11 +36,11 @@
 	leaseEnd       time.Duration
 	stopSent       map[string]bool
 	final          State
-	refusedForGood bool // refused for good
+	refusedForGood bool // refused, and not for a hold that may be repeated
 }
 
-// groupsMachine drives a core, a worker that is reached with delays, losses
-// and repetitions, and an oracle of what either may do.
+// groupsMachine drives a core and a simulated worker, with calls and answers
+// that are delayed, reordered, lost and repeated. An oracle checks every action.
 type groupsMachine struct {
 	core       *Core
 	now        time.Duration
@@ -49,9 +49,9 @@
 	leaving    bool
 	groups     map[Ref]*modelGroup
 	worker     map[string]*modelTask
-	startOrder []string // IDs of worker in order of start
+	startOrder []string // keys of worker in order of start
 	calls      []call
-	updates    []external.TaskStatus // answers on their way to the core
+	updates    []external.TaskStatus // answers in transit to the core
 }
 
 func TestGroupsMachine(t *testing.T) {
@@ -100,7 +100,8 @@
 	return time.Duration(rapid.IntRange(500, 10_000).Draw(t, "lease")) * time.Millisecond
 }
 
-// drawStamp is mostly recent, at times old or ahead of the clock.
+// drawStamp returns a time that is mostly recent, sometimes old or ahead of the
+// clock.
 func (m *groupsMachine) drawStamp(t *rapid.T) time.Duration {
 	return m.now + time.Duration(rapid.SampledFrom([]int{0, 0, -100, -500, -3000, 700}).Draw(t, "stamp"))*time.Millisecond
 }
@@ -109,7 +110,7 @@
 	m.advance(time.Duration(rapid.SampledFrom([]int{1, 50, 300, 1000, 4000, 60_000}).Draw(t, "ms")) * time.Millisecond)
 }
 
-// advance lets time pass; the worker stops what has outlived its lease there.
+// advance lets time pass. The worker stops tasks whose own lease has expired.
 func (m *groupsMachine) advance(d time.Duration) {
 	m.now += d
 	for _, id := range m.startOrder {
@@ -136,7 +137,7 @@
 
 func (m *groupsMachine) start(t *rapid.T) { m.step(t, m.drawStart(t, drawEpoch(t), drawRef(t))) }
 
-// holdAndStart makes runs with started groups frequent.
+// holdAndStart makes started groups frequent.
 func (m *groupsMachine) holdAndStart(t *rapid.T) {
 	ref := drawRef(t)
 	m.step(t, Hold{m.epoch, ref, 2, api.Resources{Accelerators: 1}, m.now, time.Second, 3 * time.Second})
@@ -159,8 +160,8 @@
 	}
 }
 
-// deliverCall brings one call to the worker, in any order; its answer may be lost,
-// and the call may be repeated.
+// deliverCall delivers one call to the worker, in any order. The call may be
+// repeated later, and its answer may be lost.
 func (m *groupsMachine) deliverCall(t *rapid.T) {
 	if len(m.calls) == 0 {
 		return
@@ -173,7 +174,7 @@
 	start, isStart := c.action.(StartTask)
 	switch {
 	case isStart && m.now > start.StartBy:
-		if m.worker[start.Task.ID] == nil { // a repeated call is not the shell's
+		if m.worker[start.Task.ID] == nil { // a repeated call is not one that the agent makes
 			m.step(t, TaskLost{ID: start.Task.ID, Detail: "too late", NotSent: true})
 		}
 	case m.now > c.issued+machineTimeout:
@@ -188,7 +189,7 @@
 	}
 }
 
-// applyOnWorker applies a call on the worker and returns its answers.
+// applyOnWorker applies a call to the worker and returns the answers.
 func (m *groupsMachine) applyOnWorker(t *rapid.T, a Action) []external.TaskStatus {
 	switch a := a.(type) {
 	case StartTask:
@@ -229,7 +230,7 @@
 	return []external.TaskStatus{task.status}
 }
 
-// deliverUpdate brings one answer to the core, in any order.
+// deliverUpdate delivers one answer to the core, in any order.
 func (m *groupsMachine) deliverUpdate(t *rapid.T) {
 	if len(m.updates) == 0 {
 		return
@@ -247,7 +248,8 @@
 	}
 }
 
-// listTasks lets the agent poll the worker.
+// listTasks passes the status of all tasks on the worker to the core, as the
+// agent's poll of the worker does.
 func (m *groupsMachine) listTasks(t *rapid.T) {
 	for _, id := range m.startOrder {
 		m.step(t, TaskUpdate{m.worker[id].status})
@@ -263,8 +265,8 @@
 	return g
 }
 
-// step passes an event to the core and judges the actions. Leases are dealt
-// with by a step of their own, so that the rest can be laid to the event.
+// step applies an event to the core and checks the actions. A tick before it
+// ends expired leases, so that the remaining actions are due to the event.
 func (m *groupsMachine) step(t *rapid.T, ev Event) {
 	m.checkActions(t, Tick{}, m.core.Step(m.now, Tick{}))
 	m.expireHolds()
@@ -276,7 +278,7 @@
 	m.checkActions(t, ev, actions)
 }
 
-// expireHolds ends the holds that have lapsed.
+// expireHolds ends the expired holds in the oracle.
 func (m *groupsMachine) expireHolds() {
 	for _, g := range m.groups {
 		if g.held && m.now >= g.leaseEnd {
@@ -285,7 +287,8 @@
 	}
 }
 
-// recordEvent keeps the oracle's own state of an event and tells whether its epoch is too low.
+// recordEvent updates the oracle's state and reports whether the event's epoch is
+// lower than the highest one seen.
 func (m *groupsMachine) recordEvent(ev Event) (stale bool) {
 	epoch := m.epoch
 	switch e := ev.(type) {
@@ -430,7 +433,8 @@
 	}
 }
 
-// checkInvariants is the invariant after each action of the machine.
+// checkInvariants runs after each action of the machine. Capacity is never
+// exceeded, and no task outlives its group's lease without having been stopped.
 func (m *groupsMachine) checkInvariants(t *rapid.T) {
 	m.checkActions(t, Tick{}, m.core.Step(m.now, Tick{}))
 	m.expireHolds()
@@ -458,7 +462,7 @@
 	}
 }
 
-// drain lets time pass without any owner until nothing is left.
+// drain lets time pass without an owner and checks that all groups end.
 func (m *groupsMachine) drain(t *rapid.T) {
 	for range 10 {
 		m.advance(5 * time.Second)
--- a/internal/agent/groups/scenario_test.go
+++ b/internal/agent/groups/scenario_test.go
@@ -12,9 +12,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// TestScenarios runs the scripts of testdata. Each command but reports and
-// dump is one event; "at" is the time of the step, other times are its
-// arguments of the same names.
+// TestScenarios runs the scripts in testdata. Each command except new, reports
+// and dump is one event. "at" is the time of the step; other arguments are the
+// fields of the event.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var core *Core
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// scenarioStatuses reads lines "ID STATE [progress in ms] [output]".
+// scenarioStatuses parses lines of the form "ID STATE [progress in ms] [output]".
 func scenarioStatuses(t *testing.T, d *datadriven.TestData) []external.TaskStatus {
 	var list []external.TaskStatus
 	for _, line := range strings.Split(d.Input, "\n") {
--- a/internal/agent/groups/stop.go
+++ b/internal/agent/groups/stop.go
@@ -29,19 +29,19 @@
 	}
 }
 
-// endGroup stops all tasks of a running group.
+// endGroup starts to stop all tasks of a running group.
 func (c *Core) endGroup(g *group, cause endCause, detail string) {
 	g.phase = phaseEnding
 	g.cause = cause
 	g.detail = detail
 	g.graceEnd = c.now
-	// The worker has time to answer, also when its leases have ended already.
+	// The worker gets time to answer even if its own leases have expired already.
 	g.workerLeaseEnd = max(g.workerLeaseEnd, c.now+c.cfg.WorkerCallTimeout)
 	c.stopTasks(g)
 }
 
-// requestCheckpoint asks for a requestCheckpoint of all tasks, which ends them. Those that
-// still run at the end of the grace time or of the lease are stopped.
+// requestCheckpoint asks the worker to checkpoint all tasks, which ends them.
+// Tasks that still run at the end of the grace period or the lease are stopped.
 func (c *Core) requestCheckpoint(g *group, grace time.Duration, detail string) {
 	g.phase = phaseEnding
 	g.cause = causeRequested
@@ -53,7 +53,7 @@
 	}
 }
 
-// abandonCheckpoint stops the tasks of a group that still has grace time.
+// abandonCheckpoint ends the grace period of a group early and stops its tasks.
 func (c *Core) abandonCheckpoint(g *group) {
 	if c.now < g.graceEnd {
 		g.graceEnd = c.now
@@ -68,8 +68,8 @@
 	}
 }
 
-// finishEndedGroups repeats stops, counts tasks as stopped when the worker's own lease
-// has ended them, and reports the groups whose tasks have all ended.
+// finishEndedGroups advances the groups that are ending and reports and frees
+// those whose tasks have all ended.
 func (c *Core) finishEndedGroups() {
 	for _, g := range c.sortedGroups() {
 		if g.phase == phaseHeld {
@@ -87,6 +87,8 @@
 	}
 }
 
+// advanceEnding stops the remaining tasks again after StopRetryInterval. Once
+// the worker's own leases have expired, the remaining tasks count as stopped.
 func (c *Core) advanceEnding(g *group) {
 	if c.now >= g.workerLeaseEnd {
 		for i := range g.tasks {
@@ -101,7 +103,8 @@
 	}
 }
 
-// handleTick reports on running groups now and then and forgets old final reports.
+// handleTick emits the periodic reports on running groups and expires old final
+// reports.
 func (c *Core) handleTick() {
 	c.ended.expireReports(c.now)
 	for _, g := range c.sortedGroups() {
--- a/internal/agent/groups/taskname.go
+++ b/internal/agent/groups/taskname.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// TaskName names one task of a group of Tasks tasks that are numbered from
-// First on. It carries the group's size so that a group of which some tasks
-// were never started can be told from a whole one.
+// TaskName identifies one task of a group with Tasks tasks, whose indexes start
+// at First. It includes the size of the group so that a partly started group can
+// be told from a complete one.
 type TaskName struct {
 	Ref   Ref
 	First int
@@ -21,7 +21,8 @@
 	return fmt.Sprintf("%s/%d/%d+%d/%d", n.Ref.JobID, n.Ref.Attempt, n.First, n.Tasks, n.Index)
 }
 
-// ParseTaskName is the inverse of TaskName.String.
+// ParseTaskName is the inverse of TaskName.String. It reports false for an ID
+// that String cannot return.
 func ParseTaskName(id string) (TaskName, bool) {
 	rest, index, okIndex := cutLast(id)
 	rest, taskRange, okRange := cutLast(rest)
@@ -51,6 +52,7 @@
 		n.Index >= n.First && n.Index < n.First+n.Tasks
 }
 
+// cutLast splits s at its last slash.
 func cutLast(s string) (before, after string, ok bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 {
@@ -59,12 +61,14 @@
 	return s[:i], s[i+1:], true
 }
 
-// checkpointName names the checkpoints of all tasks of an attempt.
+// checkpointName returns the name shared by the checkpoints of all tasks of an
+// attempt.
 func checkpointName(r Ref) string {
 	return fmt.Sprintf("checkpoints/%s/%d", r.JobID, r.Attempt)
 }
 
-// checkpointKey is the object store key of one task's checkpoint.
+// checkpointKey returns the object store key of one task's checkpoint, or "" if
+// there is no checkpoint name.
 func checkpointKey(name string, index int) string {
 	if name == "" {
 		return ""
--- a/internal/agent/groups/tasks.go
+++ b/internal/agent/groups/tasks.go
@@ -10,7 +10,7 @@
 func (c *Core) handleTaskUpdate(s external.TaskStatus) {
 	name, ok := ParseTaskName(s.ID)
 	if !ok {
-		return // not a task of ours
+		return // not started by this agent
 	}
 	var t *task
 	g := c.groups[name.Ref]
@@ -27,7 +27,7 @@
 	}
 }
 
-// stopStray stops a task that no group accounts for.
+// stopStray stops a task that runs although no group accounts for it.
 func (c *Core) stopStray(s external.TaskStatus) {
 	if s.State == external.TaskRunning {
 		c.counters.StrayTasks++
@@ -35,15 +35,17 @@
 	}
 }
 
-// handleLateUpdate stops a task that runs although its lease on the worker must
-// have ended it. Late news of a task that has ended are ignored.
+// handleLateUpdate handles the status of a task already known to have ended. A
+// task known as stopped that runs, although its lease on the worker must have
+// expired, is stopped. Any other late update is ignored.
 func (c *Core) handleLateUpdate(s external.TaskStatus, t *task) {
 	if t.state == external.TaskStopped {
 		c.stopStray(s)
 	}
 }
 
-// updateTask applies the worker's state of a task that was last known to run.
+// updateTask applies the worker's status of a task last known to be running. A
+// task that fails or stops unasked ends the whole group.
 func (c *Core) updateTask(g *group, t *task, s external.TaskStatus) {
 	t.state = s.State
 	t.progress = max(t.progress, time.Duration(s.ProgressMS)*time.Millisecond)
@@ -61,6 +63,9 @@
 	}
 }
 
+// handleTaskLost ends the group of a lost task. If the start was never sent, the
+// task does not run and counts as stopped. Otherwise it may still run, and the
+// loss is a fault of the worker.
 func (c *Core) handleTaskLost(e TaskLost) {
 	name, ok := ParseTaskName(e.ID)
 	if !ok {
@@ -82,7 +87,7 @@
 	}
 }
 
-// handleAdopt takes over the tasks of an earlier process of this agent.
+// handleAdopt takes over the tasks started by an earlier process of this agent.
 func (c *Core) handleAdopt(e Adopt) {
 	found := map[Ref]*group{}
 	for _, s := range e.Tasks {
@@ -105,7 +110,7 @@
 			t.state = external.TaskRunning
 			c.updateTask(g, t, s)
 		} else {
-			c.stopStray(s) // the group has other bounds
+			c.stopStray(s) // the ID names another range of tasks than its group
 		}
 	}
 	for ref, g := range found {
@@ -126,7 +131,8 @@
 	return known
 }
 
-// newAdoptedGroup returns a group of the name's size of which no task was found.
+// newAdoptedGroup returns a group with the task range of name. Its tasks have an
+// empty state until they are found on the worker.
 func (c *Core) newAdoptedGroup(name TaskName) *group {
 	g := &group{
 		ref:           name.Ref,
@@ -143,7 +149,8 @@
 	return g
 }
 
-// completeAdoption ends a group of which some tasks were not found.
+// completeAdoption reports an adopted group, or ends it if some of its tasks
+// were not found on the worker.
 func (c *Core) completeAdoption(g *group) {
 	missing := false
 	for i := range g.tasks {
--- a/internal/agent/groups/types.go
+++ b/internal/agent/groups/types.go
@@ -1,8 +1,10 @@
-// Package groups is the agent's decision core for gang members on one worker:
-// which capacity is held, which groups may start, and when a lease ends them.
-// It is pure: no I/O, no clock, no goroutines. Times are durations on the
-// agent's monotonic clock. Hold, Start, Stop and Renew of a lower epoch than
-// the highest one seen are refused.
+// Package groups is the agent's decision core for gang members on one worker. A
+// group is the tasks of one job attempt on that worker. The core decides which
+// groups hold capacity, which may start, and when an expired lease ends them.
+//
+// The package is pure: no I/O, no clock, no goroutines. Times are durations on
+// the agent's monotonic clock. Hold, Start, Stop and Renew with an epoch lower
+// than the highest one seen are refused.
 package groups
 
 import (
@@ -13,7 +15,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// Ref names the tasks of one job attempt on this worker.
+// Ref identifies the group of one job attempt on this worker.
 type Ref struct {
 	JobID   string
 	Attempt uint32
@@ -22,7 +24,8 @@
 // Event is an input of the core.
 type Event interface{ event() }
 
-// Hold asks for capacity under a lease.
+// Hold asks to hold capacity for a group until Stamp + Lease. It is valid until
+// Stamp + Permit, where Stamp is a time on this agent's clock.
 type Hold struct {
 	Epoch   uint64
 	Ref     Ref
@@ -33,7 +36,8 @@
 	Lease   time.Duration
 }
 
-// Start starts the tasks of a held group.
+// Start starts the tasks of a held group, under a lease until Stamp + Lease. The
+// permission to start ends at Stamp + Permit.
 type Start struct {
 	Epoch      uint64
 	Ref        Ref
@@ -45,9 +49,9 @@
 	Checkpoint string
 }
 
-// Stop ends a group; with Grace a checkpoint is tried first. A group that is
-// held only is answered refused, one that is not known absent, and both never
-// start from then on.
+// Stop ends a group. With a positive Grace its tasks are checkpointed first if
+// that succeeds within Grace. A group that is only held is reported refused, an
+// unknown one absent; neither starts from then on.
 type Stop struct {
 	Epoch  uint64
 	Ref    Ref
@@ -55,8 +59,8 @@
 	Reason string
 }
 
-// Renew extends leases to Stamp + Lease. Groups that are not known are
-// answered absent.
+// Renew extends the leases of Refs to Stamp + Lease. Unknown groups are reported
+// absent and never start from then on.
 type Renew struct {
 	Epoch uint64
 	Stamp time.Duration
@@ -64,40 +68,41 @@
 	Refs  []Ref
 }
 
-// StoreDown extends the leases of running groups to Stamp + Lease while every entry reports the
-// store as down, so that nobody can place the groups again.
+// StoreDown extends the leases of running groups to Stamp + Lease without an
+// owner. It is valid while every entry reports the store as down, since no entry
+// can place the groups again then.
 type StoreDown struct {
 	Stamp time.Duration
 	Lease time.Duration
 }
 
-// EpochObserved brings the highest epoch that an entry has reported.
+// EpochObserved carries the highest epoch reported by an entry.
 type EpochObserved struct{ Epoch uint64 }
 
-// Permission tells whether work may start now.
+// Permission sets whether work may start from now on.
 type Permission struct{ Allowed bool }
 
-// TaskUpdate is the worker's state of one task.
+// TaskUpdate carries the worker's status of one task.
 type TaskUpdate struct{ Status external.TaskStatus }
 
-// TaskLost says that the worker does not know the task or did not answer in
-// time; with NotSent, that the start was never asked of it.
+// TaskLost reports that the worker does not list a task or that its start
+// failed. NotSent is set if the call to start it was never sent.
 type TaskLost struct {
 	ID      string
 	Detail  string
 	NotSent bool
 }
 
-// Adopt brings the tasks that the worker had when the agent started. Whole
-// groups among those that still run are adopted, without renewing their leases
-// on the worker, so that they end when the former agent's leases do unless the
-// owner renews them. Everything else that runs is stopped.
+// Adopt carries the tasks found on the worker when the agent started. Complete
+// groups are adopted; all other running tasks are stopped. Adoption does not
+// renew the leases on the worker, so that adopted tasks end when the previous
+// agent's leases expire unless the owner renews them.
 type Adopt struct{ Tasks []external.TaskStatus }
 
-// Leave refuses new holds and starts for good, for a planned stop.
+// Leave makes the core refuse all further holds and starts, for a planned stop.
 type Leave struct{}
 
-// Tick lets time pass.
+// Tick advances the time. It triggers periodic reports and expires old ones.
 type Tick struct{}
 
 func (Hold) event()          {}
@@ -116,10 +121,10 @@
 // State is the state of a group, as reported to entries.
 type State string
 
-// The states of a group. Refused and Absent both say that the agent holds
-// nothing of the attempt; Refused, unlike Absent, that it has not started any
-// task of it either. A hold that is refused may be asked for again, any other
-// group that is reported like this never starts.
+// The states of a group. Refused and Absent both mean that the agent holds
+// nothing of the attempt. Refused means in addition that it has started no task
+// of it. A refused hold may be requested again; any other group reported Refused
+// or Absent never starts.
 const (
 	Held         State = "held"
 	Refused      State = "refused"
@@ -135,8 +140,9 @@
 type Action interface{ action() }
 
 // StartTask starts one task on the worker. Its ID is a TaskName. The call must
-// not be made after StartBy, which the shell checks once more before the call;
-// the task's own lease is such that even then it does not outlive the group's.
+// not be made after StartBy; the code that carries out actions checks this again
+// right before the call. The task's own lease is short enough that a start as
+// late as StartBy does not outlive the group's lease.
 type StartTask struct {
 	Task    external.Task
 	StartBy time.Duration
@@ -145,30 +151,32 @@
 // StopTask stops one task on the worker.
 type StopTask struct{ ID string }
 
-// CheckpointTask asks the worker for a checkpoint of one task, which ends it.
+// CheckpointTask asks the worker to checkpoint one task, which ends the task.
 type CheckpointTask struct{ ID string }
 
-// RenewTasks extends the worker's own leases by Lease, which ends at By.
+// RenewTasks renews the worker's own leases of the tasks for Lease from now,
+// which ends at LeaseEnd.
 type RenewTasks struct {
 	IDs      []string
 	Lease    time.Duration
 	LeaseEnd time.Duration
 }
 
-// Report tells all entries the state of a group.
+// Report sends the state of a group to all entries.
 type Report struct {
 	Ref   Ref
 	State State
 	Tasks int
-	// Progress is that of the task that is furthest behind.
+	// Progress is the least progress of the tasks.
 	Progress time.Duration
 	// Usage is the sum over the tasks.
 	Usage  api.Resources
 	Detail string
-	// Result is a JSON array of the tasks' outputs, in order of their indexes.
+	// Result is a JSON array of the tasks' outputs, ordered by task index.
 	Result json.RawMessage
-	// Checkpoint names the checkpoints of all tasks of the attempt; another
-	// attempt resumes from it however its tasks are spread over workers.
+	// Checkpoint is the name shared by the checkpoints of all tasks of the
+	// attempt. Another attempt can resume from it with its tasks distributed
+	// differently over workers.
 	Checkpoint  string
 	WorkerFault bool
 }
