--- a/internal/agent/exec/core.go
+++ b/internal/agent/exec/core.go
@@ -13,31 +13,31 @@
 type Core struct {
 	cfg     Config
 	now     time.Duration
-	out     []Action
+	actions []Action
 	allowed bool
 	leaving bool
 	links   map[string]bool
 
-	records map[Ref]*record
-	seq     uint64
-	queue   []*record
-	running int
-	bytes   int64
+	records   map[Ref]*record
+	lastSeq   uint64
+	queue     []*record
+	running   int
+	bodyBytes int64
 	// ackedBodies lists acknowledged attempts whose body is kept, oldest first.
-	ackedBodies []Ref
-	lastSweep   time.Duration
-	lastFull    time.Duration
-	floors      floors
+	ackedBodies       []Ref
+	lastSweep         time.Duration
+	lastPressureSweep time.Duration
+	watermarks        watermarks
 }
 
 // New returns a core without executions. Work may start once a Permission
 // allows it.
 func New(cfg Config) *Core {
 	return &Core{
-		cfg:     cfg.withDefaults(),
-		links:   map[string]bool{},
-		records: map[Ref]*record{},
-		floors:  newFloors(),
+		cfg:        cfg.withDefaults(),
+		links:      map[string]bool{},
+		records:    map[Ref]*record{},
+		watermarks: newWatermarks(),
 	}
 }
 
@@ -45,16 +45,16 @@
 // returns the actions to carry out, in order.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
-	c.out = nil
-	c.handle(ev)
-	c.refuseLapsed()
+	c.actions = nil
+	c.handleEvent(ev)
+	c.refuseUnstartable()
 	c.startQueued()
 	if c.now-c.lastSweep >= sweepInterval {
 		c.lastSweep = c.now
 		c.sweep(false)
 		c.resendUnacked()
 	}
-	return c.out
+	return c.actions
 }
 
 // InFlight returns the number of executions that run or wait for a slot.
@@ -69,7 +69,7 @@
 	}
 	for _, r := range c.records {
 		for _, w := range r.waiters {
-			if !w.acked && (c.links[w.entry] || c.now-r.ended < linkGrace) {
+			if !w.acked && (c.links[w.entry] || c.now-r.endedAt < linkGrace) {
 				return false
 			}
 		}
@@ -77,22 +77,22 @@
 	return true
 }
 
-func (c *Core) handle(ev Event) {
+func (c *Core) handleEvent(ev Event) {
 	switch e := ev.(type) {
 	case Execute:
-		c.execute(e)
+		c.handleExecute(e)
 	case Void:
-		c.void(e)
+		c.handleVoid(e)
 	case Ack:
-		c.ack(e)
+		c.handleAck(e)
 	case CallEnded:
-		c.called(e)
+		c.handleCallEnded(e)
 	case LinkUp:
 		c.links[e.Entry] = true
-		c.resend(e.Entry)
+		c.resendTo(e.Entry)
 	case LinkDown:
 		delete(c.links, e.Entry)
-		c.refuseQueued("the link with the entry is lost", func(r *record) bool { return r.waiters[0].entry == e.Entry })
+		c.refuseMatching("the link with the entry is lost", func(r *record) bool { return r.waiters[0].entry == e.Entry })
 	case Permission:
 		c.allowed = e.Allowed
 	case Leave:
@@ -101,16 +101,16 @@
 	}
 }
 
-func (c *Core) execute(e Execute) {
+func (c *Core) handleExecute(e Execute) {
 	if e.Incarnation != c.cfg.Incarnation {
 		c.sendUnknown(e.Entry, e.Ref, "the execution was meant for another incarnation of the agent")
 		return
 	}
 	if r := c.records[e.Ref]; r != nil {
-		c.tell(r, e.Entry)
+		c.sendWhenEnded(r, e.Entry)
 		return
 	}
-	if c.floors.mayHaveRun(e.Stamp, e.Idempotent) {
+	if c.watermarks.mayHaveRun(e.Stamp, e.Idempotent) {
 		c.sendUnknown(e.Entry, e.Ref, "the agent may have forgotten the execution")
 		return
 	}
@@ -120,11 +120,11 @@
 		return
 	}
 	c.records[r.ref] = r
-	reason := c.refusal(r)
+	reason := c.refusalReason(r)
 	switch {
 	case e.Corrupt:
 		reason = "the body is not complete"
-	case c.floors.refused(e.Stamp):
+	case c.watermarks.mayHaveBeenRefused(e.Stamp):
 		reason = "the permission to start was withdrawn"
 	case reason == "" && c.running >= c.cfg.Slots && len(c.queue) >= c.cfg.MaxQueued:
 		reason = "all slots are in use"
@@ -138,10 +138,10 @@
 }
 
 func (c *Core) newRecord(e Execute) *record {
-	c.seq++
+	c.lastSeq++
 	return &record{
 		ref:        e.Ref,
-		seq:        c.seq,
+		seq:        c.lastSeq,
 		idempotent: e.Idempotent,
 		stamp:      e.Stamp,
 		permitEnd:  e.Stamp + min(e.Permit, MaxPermit),
@@ -150,8 +150,8 @@
 	}
 }
 
-// refusal returns why the attempt may not start now, or "".
-func (c *Core) refusal(r *record) string {
+// refusalReason returns why the attempt may not start now, or "".
+func (c *Core) refusalReason(r *record) string {
 	switch {
 	case c.leaving:
 		return "the endpoint is leaving"
@@ -161,7 +161,7 @@
 		return "the permission to start has lapsed"
 	case c.now >= r.deadline:
 		return "the timeout has passed"
-	case c.bytes >= c.cfg.MaxTotalBodyBytes:
+	case c.bodyBytes >= c.cfg.MaxTotalBodyBytes:
 		return "too many results wait for their acknowledgement"
 	}
 	return ""
@@ -172,21 +172,21 @@
 	for c.running < c.cfg.Slots && len(c.queue) > 0 {
 		r := c.queue[0]
 		c.queue = c.queue[1:]
-		if reason := c.refusal(r); reason != "" {
+		if reason := c.refusalReason(r); reason != "" {
 			c.refuse(r, reason)
 			continue
 		}
 		r.state = stateRunning
 		c.running++
-		c.out = append(c.out, CallEndpoint{Ref: r.ref, Timeout: r.deadline - c.now})
+		c.actions = append(c.actions, CallEndpoint{Ref: r.ref, Timeout: r.deadline - c.now})
 	}
 }
 
-// refuseLapsed answers queued executions that may not start any more.
-func (c *Core) refuseLapsed() { c.filterQueue(c.refusal) }
+// refuseUnstartable answers queued executions that may not start any more.
+func (c *Core) refuseUnstartable() { c.filterQueue(c.refusalReason) }
 
-// refuseQueued refuses the queued executions that match.
-func (c *Core) refuseQueued(reason string, match func(*record) bool) {
+// refuseMatching refuses the queued executions that match.
+func (c *Core) refuseMatching(reason string, match func(*record) bool) {
 	c.filterQueue(func(r *record) string {
 		if match(r) {
 			return reason
@@ -196,10 +196,10 @@
 }
 
 // filterQueue refuses the queued executions for which check gives a reason.
-func (c *Core) filterQueue(check func(*record) string) {
+func (c *Core) filterQueue(refusalReason func(*record) string) {
 	kept := c.queue[:0]
 	for _, r := range c.queue {
-		if reason := check(r); reason != "" {
+		if reason := refusalReason(r); reason != "" {
 			c.refuse(r, reason)
 			continue
 		}
@@ -208,28 +208,28 @@
 	c.queue = kept
 }
 
-func (c *Core) void(e Void) {
+func (c *Core) handleVoid(e Void) {
 	if e.Incarnation != c.cfg.Incarnation {
 		c.sendUnknown(e.Entry, e.Ref, "the execution belonged to another incarnation of the agent")
 		return
 	}
 	r := c.records[e.Ref]
 	if r == nil {
-		c.voidUnseen(e)
+		c.voidUnknown(e)
 		return
 	}
 	if r.state == stateQueued {
-		r.await(e.Entry)
-		c.refuseQueued("withdrawn before its start", func(q *record) bool { return q == r })
+		r.addWaiter(e.Entry)
+		c.refuseMatching("withdrawn before its start", func(q *record) bool { return q == r })
 		return
 	}
-	c.tell(r, e.Entry)
+	c.sendWhenEnded(r, e.Entry)
 }
 
-// voidUnseen leaves a refused record, so that the attempt does not run when
+// voidUnknown leaves a refused record, so that the attempt does not run when
 // its Execute arrives later.
-func (c *Core) voidUnseen(e Void) {
-	if c.floors.mayHaveRun(e.Stamp, false) {
+func (c *Core) voidUnknown(e Void) {
+	if c.watermarks.mayHaveRun(e.Stamp, false) {
 		c.sendUnknown(e.Entry, e.Ref, "the agent may have forgotten the execution")
 		return
 	}
@@ -245,13 +245,13 @@
 	c.refuse(r, "the execution has not arrived")
 }
 
-func (c *Core) called(e CallEnded) {
+func (c *Core) handleCallEnded(e CallEnded) {
 	r := c.records[e.Ref]
 	if r == nil || r.state != stateRunning {
 		return
 	}
 	c.running--
-	r.ended = c.now
+	r.endedAt = c.now
 	r.outcome = e.Outcome
 	r.detail = e.Detail
 	r.state = stateRan
@@ -260,30 +260,30 @@
 	}
 	if e.Outcome == api.OutcomeDone || e.Outcome == api.OutcomeFailed {
 		r.hasBody = true
-		r.size = e.Size
-		c.bytes += e.Size
+		r.bodySize = e.Size
+		c.bodyBytes += e.Size
 	}
 	c.trimBodies()
 	for _, w := range r.waiters {
-		c.send(r, w.entry)
+		c.sendResult(r, w.entry)
 	}
 }
 
-func (c *Core) ack(e Ack) {
+func (c *Core) handleAck(e Ack) {
 	r := c.records[e.Ref]
-	if r == nil || !r.over() {
+	if r == nil || !r.ended() {
 		return
 	}
-	before := r.acked()
-	r.ack(e.Entry)
-	if before || !r.acked() || !r.hasBody || r.listed {
+	wasAcked := r.firstWaiterAcked()
+	r.markAcked(e.Entry)
+	if wasAcked || !r.firstWaiterAcked() || !r.hasBody || r.inAckedBodies {
 		return
 	}
 	if r.idempotent {
 		c.dropBody(r)
 		return
 	}
-	r.listed = true
+	r.inAckedBodies = true
 	c.ackedBodies = append(c.ackedBodies, r.ref)
 	c.trimBodies()
 }
@@ -291,72 +291,72 @@
 // refuse ends an attempt that has not started, for good.
 func (c *Core) refuse(r *record, reason string) {
 	r.state = stateRefused
-	r.ended = c.now
+	r.endedAt = c.now
 	r.outcome = api.OutcomeNotRun
 	r.detail = reason
 	for _, w := range r.waiters {
-		c.send(r, w.entry)
+		c.sendResult(r, w.entry)
 	}
 }
 
-// tell sends the result to an entry, now or once it is there.
-func (c *Core) tell(r *record, entry string) {
-	r.await(entry)
-	if r.over() {
-		c.send(r, entry)
+// sendWhenEnded sends the result to an entry, now or once it is there.
+func (c *Core) sendWhenEnded(r *record, entry string) {
+	r.addWaiter(entry)
+	if r.ended() {
+		c.sendResult(r, entry)
 	}
 }
 
-func (c *Core) send(r *record, entry string) {
-	s := SendResult{Entry: entry, Ref: r.ref, Outcome: r.outcome, Detail: r.detail, WithReply: r.hasBody}
+func (c *Core) sendResult(r *record, entry string) {
+	result := SendResult{Entry: entry, Ref: r.ref, Outcome: r.outcome, Detail: r.detail, WithReply: r.hasBody}
 	ran := r.outcome == api.OutcomeDone || r.outcome == api.OutcomeFailed
 	if ran && !r.hasBody {
-		s.Outcome = api.OutcomeUnknown
-		s.Detail = "the execution has ended; its answer was delivered and is no longer kept"
+		result.Outcome = api.OutcomeUnknown
+		result.Detail = "the execution has ended; its answer was delivered and is no longer kept"
 	}
-	c.out = append(c.out, s)
-	r.interval = max(r.interval, resendInterval)
-	r.resendAt = c.now + r.interval
+	c.actions = append(c.actions, result)
+	r.resendDelay = max(r.resendDelay, resendInterval)
+	r.resendAt = c.now + r.resendDelay
 }
 
 func (c *Core) sendUnknown(entry string, ref Ref, detail string) {
-	c.out = append(c.out, SendResult{Entry: entry, Ref: ref, Outcome: api.OutcomeUnknown, Detail: detail})
+	c.actions = append(c.actions, SendResult{Entry: entry, Ref: ref, Outcome: api.OutcomeUnknown, Detail: detail})
 }
 
 // resendUnacked repeats results that linked entries have not acknowledged for
 // some time.
 func (c *Core) resendUnacked() {
-	due := c.sorted(func(r *record) bool { return r.over() && c.now >= r.resendAt && c.awaited(r) })
+	due := c.sortedRecords(func(r *record) bool { return r.ended() && c.now >= r.resendAt && c.hasLinkedWaiter(r) })
 	for _, r := range due {
-		r.interval = min(2*r.interval, maxResendInterval)
+		r.resendDelay = min(2*r.resendDelay, maxResendInterval)
 		for _, w := range r.waiters {
 			if !w.acked && c.links[w.entry] {
-				c.send(r, w.entry)
+				c.sendResult(r, w.entry)
 			}
 		}
 	}
 }
 
-// awaited reports whether a linked entry has not acknowledged the result.
-func (c *Core) awaited(r *record) bool {
+// hasLinkedWaiter reports whether a linked entry has not acknowledged the result.
+func (c *Core) hasLinkedWaiter(r *record) bool {
 	return slices.ContainsFunc(r.waiters, func(w waiter) bool { return !w.acked && c.links[w.entry] })
 }
 
-// resend repeats the results that an entry has not acknowledged, oldest first.
-func (c *Core) resend(entry string) {
-	for _, r := range c.sorted(func(r *record) bool { return r.over() && r.waiting(entry) }) {
-		c.send(r, entry)
+// resendTo repeats the results that an entry has not acknowledged, oldest first.
+func (c *Core) resendTo(entry string) {
+	for _, r := range c.sortedRecords(func(r *record) bool { return r.ended() && r.awaitedBy(entry) }) {
+		c.sendResult(r, entry)
 	}
 }
 
-// sorted returns the matching records in order of arrival.
-func (c *Core) sorted(match func(*record) bool) []*record {
-	var out []*record
+// sortedRecords returns the matching records in order of arrival.
+func (c *Core) sortedRecords(match func(*record) bool) []*record {
+	var matching []*record
 	for _, r := range c.records {
 		if match(r) {
-			out = append(out, r)
+			matching = append(matching, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b *record) int { return cmp.Compare(a.seq, b.seq) })
-	return out
+	slices.SortFunc(matching, func(a, b *record) int { return cmp.Compare(a.seq, b.seq) })
+	return matching
 }
--- a/internal/agent/exec/dump.go
+++ b/internal/agent/exec/dump.go
@@ -30,7 +30,7 @@
 
 // Dump returns the state of the core.
 func (c *Core) Dump() any {
-	d := Dump{
+	dump := Dump{
 		Incarnation: c.cfg.Incarnation,
 		Allowed:     c.allowed,
 		Leaving:     c.leaving,
@@ -40,18 +40,18 @@
 		Links:       slices.Sorted(maps.Keys(c.links)),
 		Remembered:  map[string]int{},
 		Unacked:     map[string]int{},
-		BodyBytes:   c.bytes,
+		BodyBytes:   c.bodyBytes,
 	}
 	for _, r := range c.records {
-		d.Remembered[string(r.state)]++
+		dump.Remembered[string(r.state)]++
 		for _, w := range r.waiters {
-			if r.over() && !w.acked {
-				d.Unacked[w.entry]++
+			if r.ended() && !w.acked {
+				dump.Unacked[w.entry]++
 			}
 		}
 	}
-	for _, r := range c.sorted(func(r *record) bool { return !r.over() }) {
-		d.Executing = append(d.Executing, Execution{r.ref.ID, r.ref.Attempt, r.waiters[0].entry, string(r.state)})
+	for _, r := range c.sortedRecords(func(r *record) bool { return !r.ended() }) {
+		dump.Executing = append(dump.Executing, Execution{r.ref.ID, r.ref.Attempt, r.waiters[0].entry, string(r.state)})
 	}
-	return d
+	return dump
 }
--- a/internal/agent/exec/record.go
+++ b/internal/agent/exec/record.go
@@ -32,27 +32,27 @@
 	stamp      time.Duration
 	permitEnd  time.Duration
 	deadline   time.Duration
-	ended      time.Duration
+	endedAt    time.Duration
 	outcome    api.Outcome
 	detail     string
 	hasBody    bool
-	size       int64
-	// listed is set while the attempt is in Core.ackedBodies.
-	listed  bool
-	waiters []waiter
+	bodySize   int64
+	// inAckedBodies is set while the attempt is in Core.ackedBodies.
+	inAckedBodies bool
+	waiters       []waiter
 	// resendAt is when the result is sent again to waiters that have not
 	// acknowledged it; interval is the time until the next one after that.
-	resendAt time.Duration
-	interval time.Duration
+	resendAt    time.Duration
+	resendDelay time.Duration
 }
 
-// over reports whether the attempt has a final outcome.
-func (r *record) over() bool { return r.state == stateRan || r.state == stateRefused }
+// ended reports whether the attempt has a final outcome.
+func (r *record) ended() bool { return r.state == stateRan || r.state == stateRefused }
 
-// acked reports whether the owner has acknowledged the result.
-func (r *record) acked() bool { return r.waiters[0].acked }
+// firstWaiterAcked reports whether the owner has acknowledged the result.
+func (r *record) firstWaiterAcked() bool { return r.waiters[0].acked }
 
-func (r *record) waiting(entry string) bool {
+func (r *record) awaitedBy(entry string) bool {
 	for _, w := range r.waiters {
 		if w.entry == entry {
 			return !w.acked
@@ -61,9 +61,9 @@
 	return false
 }
 
-// await notes that an entry wants the result. Beyond maxWaiters the oldest
+// addWaiter notes that an entry wants the result. Beyond maxWaiters the oldest
 // waiter but the owner is dropped; it can ask again.
-func (r *record) await(entry string) {
+func (r *record) addWaiter(entry string) {
 	for i := range r.waiters {
 		if r.waiters[i].entry == entry {
 			r.waiters[i].acked = false
@@ -76,7 +76,7 @@
 	r.waiters = append(r.waiters, waiter{entry: entry})
 }
 
-func (r *record) ack(entry string) {
+func (r *record) markAcked(entry string) {
 	for i := range r.waiters {
 		if r.waiters[i].entry == entry {
 			r.waiters[i].acked = true
@@ -85,15 +85,15 @@
 }
 
 // keepUntil returns when the record may be forgotten.
-func (r *record) keepUntil(keep time.Duration, pressure bool) time.Duration {
-	short := r.stamp + MaxPermit
-	long := max(short, r.ended+keep)
+func (r *record) keepUntil(resultTTL time.Duration, underPressure bool) time.Duration {
+	earliest := r.stamp + MaxPermit
+	latest := max(earliest, r.endedAt+resultTTL)
 	switch {
-	case r.state == stateRan && !r.idempotent && !(pressure && r.acked()):
-		return long
-	case pressure || r.acked():
-		return short
+	case r.state == stateRan && !r.idempotent && !(underPressure && r.firstWaiterAcked()):
+		return latest
+	case underPressure || r.firstWaiterAcked():
+		return earliest
 	default:
-		return long
+		return latest
 	}
 }
--- a/internal/agent/exec/scenario_test.go
+++ b/internal/agent/exec/scenario_test.go
@@ -29,26 +29,26 @@
 	now  time.Duration
 }
 
-func (s *scenario) text(key, missing string) string {
-	s.d.MaybeScanArgs(s.t, key, &missing)
-	return missing
+func (s *scenario) text(key, fallback string) string {
+	s.d.MaybeScanArgs(s.t, key, &fallback)
+	return fallback
 }
 
-func (s *scenario) number(key string, missing int) int {
-	s.d.MaybeScanArgs(s.t, key, &missing)
-	return missing
+func (s *scenario) number(key string, fallback int) int {
+	s.d.MaybeScanArgs(s.t, key, &fallback)
+	return fallback
 }
 
-func (s *scenario) flag(key string, missing bool) bool {
-	v, err := strconv.ParseBool(s.text(key, strconv.FormatBool(missing)))
+func (s *scenario) flag(key string, fallback bool) bool {
+	v, err := strconv.ParseBool(s.text(key, strconv.FormatBool(fallback)))
 	if err != nil {
 		s.d.Fatalf(s.t, "argument %q: %v", key, err)
 	}
 	return v
 }
 
-func (s *scenario) duration(key string, missing time.Duration) time.Duration {
-	v, err := time.ParseDuration(s.text(key, missing.String()))
+func (s *scenario) duration(key string, fallback time.Duration) time.Duration {
+	v, err := time.ParseDuration(s.text(key, fallback.String()))
 	if err != nil {
 		s.d.Fatalf(s.t, "argument %q: %v", key, err)
 	}
@@ -74,7 +74,7 @@
 		out.WriteString(s.step(e))
 	}
 	if d.HasArg("state") {
-		fmt.Fprintf(&out, "in-use=%d idle=%t known=%d bytes=%d\n", s.core.InFlight(), s.core.Idle(), len(s.core.records), s.core.bytes)
+		fmt.Fprintf(&out, "in-use=%d idle=%t known=%d bytes=%d\n", s.core.InFlight(), s.core.Idle(), len(s.core.records), s.core.bodyBytes)
 	}
 	return out.String()
 }
@@ -82,16 +82,16 @@
 func (s *scenario) event() Event {
 	entry := s.text("entry", "e1")
 	ref := Ref{s.text("id", "r1"), uint32(s.number("attempt", 1))}
-	inc := s.text("inc", "i1")
+	incarnation := s.text("inc", "i1")
 	switch s.d.Cmd {
 	case "execute":
 		return Execute{
-			Entry: entry, Ref: ref, Incarnation: inc, Stamp: s.duration("stamp", s.now),
+			Entry: entry, Ref: ref, Incarnation: incarnation, Stamp: s.duration("stamp", s.now),
 			Permit: s.duration("permit", 1200*time.Millisecond), Timeout: s.duration("timeout", time.Minute),
 			Idempotent: s.flag("idempotent", false), Corrupt: s.flag("corrupt", false),
 		}
 	case "void":
-		return Void{entry, ref, inc, s.duration("stamp", s.now)}
+		return Void{entry, ref, incarnation, s.duration("stamp", s.now)}
 	case "ack":
 		return Ack{entry, ref}
 	case "called":
