--- a/internal/agent/exec/config.go
+++ b/internal/agent/exec/config.go
@@ -4,23 +4,25 @@
 
 // Config holds the settings of a Core. Zero values take the defaults.
 type Config struct {
-	// Incarnation names this start of the agent; executions for another are not run.
+	// Incarnation identifies this start of the agent. Executions addressed to
+	// another incarnation are not run.
 	Incarnation string
-	// Slots is the number of calls that the endpoint takes at once.
+	// Slots is the number of concurrent calls to the endpoint.
 	Slots int
-	// MaxQueued bounds the executions that wait for a slot; further ones are
+	// MaxQueued bounds the executions that wait for a slot. Further ones are
 	// answered OutcomeNotRun.
 	MaxQueued int
-	// ResultTTL is how long a result waits for its acknowledgement, and how long a
-	// non-idempotent attempt is remembered after its end.
+	// ResultTTL is how long an unacknowledged result and the record of a
+	// non-idempotent attempt are kept after the end of the attempt.
 	ResultTTL time.Duration
-	// MaxRecords bounds the remembered attempts. When it is reached, attempts
-	// that are acknowledged, refused or idempotent are forgotten early; when
-	// that does not help, new executions are answered OutcomeNotRun.
+	// MaxRecords bounds the number of recorded attempts. When it is reached,
+	// acknowledged, refused and idempotent attempts are forgotten early. If that
+	// frees no room, new executions are answered OutcomeNotRun.
 	MaxRecords int
-	// MaxTotalBodyBytes bounds the bodies of results. When it is reached, bodies of
-	// acknowledged results are dropped first; when that does not help, new
-	// executions are answered OutcomeNotRun. Calls that run already may exceed it.
+	// MaxTotalBodyBytes bounds the total size of result bodies. When it is
+	// exceeded, bodies of acknowledged results are dropped, oldest first. If that
+	// frees no room, new executions are answered OutcomeNotRun. Calls that are
+	// already running may exceed the bound.
 	MaxTotalBodyBytes int64
 }
 
@@ -31,25 +33,25 @@
 	DefaultMaxTotalBodyBytes = 24 << 20
 )
 
-// MaxPermit bounds the permission to start that an execution may carry. Every
-// attempt is remembered at least until MaxPermit after its stamp.
+// MaxPermit bounds the time after its stamp at which an execution may start.
+// Every recorded attempt is remembered at least that long after its stamp.
 const MaxPermit = 3 * time.Second
 
 const (
-	// sweepInterval is the time between two searches for expired attempts.
+	// sweepInterval is the time between periodic searches for expired records.
 	sweepInterval = time.Second
-	// pressureInterval is the least time between two searches for attempts
-	// that can be forgotten early.
+	// pressureInterval is the minimum time between searches for records that
+	// can be dropped early because MaxRecords is reached.
 	pressureInterval = 100 * time.Millisecond
-	// linkGrace is how long a leaving agent waits for the link of an entry
-	// that has a result to receive.
+	// linkGrace is how long after the end of an attempt a leaving agent waits
+	// for the link of an entry that has not acknowledged the result.
 	linkGrace = 5 * time.Second
-	// resendInterval is the time after which a result without an
-	// acknowledgement is sent again over an open link; it doubles each time up
-	// to maxResendInterval.
+	// resendInterval is the time after which an unacknowledged result is sent
+	// again over an open link. It doubles with each resend up to
+	// maxResendInterval.
 	resendInterval    = 2 * time.Second
 	maxResendInterval = time.Minute
-	// maxWaiters bounds the entries that one result is sent to.
+	// maxWaiters bounds the number of entries that one result is sent to.
 	maxWaiters = 16
 )
 
--- a/internal/agent/exec/core.go
+++ b/internal/agent/exec/core.go
@@ -30,7 +30,7 @@
 	watermarks        watermarks
 }
 
-// New returns a core without executions. Work may start once a Permission
+// New returns a core without executions. Work may start once a Permission event
 // allows it.
 func New(cfg Config) *Core {
 	return &Core{
@@ -41,8 +41,8 @@
 	}
 }
 
-// Step handles one event at the given time of the agent's monotonic clock and
-// returns the actions to carry out, in order.
+// Step applies one event at the given time of the agent's monotonic clock and
+// returns the resulting actions in order.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
 	c.actions = nil
@@ -60,9 +60,9 @@
 // InFlight returns the number of executions that run or wait for a slot.
 func (c *Core) InFlight() int { return c.running + len(c.queue) }
 
-// Idle reports whether the agent can stop without cutting off a request: no
-// execution runs or waits, and no result waits for an entry that is linked or
-// was so shortly before.
+// Idle reports whether the agent can stop without interrupting a request: no
+// execution is running or queued, and no result is unacknowledged by an entry
+// that is linked, or by any entry within linkGrace of the end of the attempt.
 func (c *Core) Idle() bool {
 	if c.InFlight() > 0 {
 		return false
@@ -150,7 +150,7 @@
 	}
 }
 
-// refusalReason returns why the attempt may not start now, or "".
+// refusalReason returns the reason why an attempt may not start now, or "".
 func (c *Core) refusalReason(r *record) string {
 	switch {
 	case c.leaving:
@@ -167,7 +167,7 @@
 	return ""
 }
 
-// startQueued calls the endpoint for the oldest executions while slots are free.
+// startQueued starts queued executions, oldest first, while slots are free.
 func (c *Core) startQueued() {
 	for c.running < c.cfg.Slots && len(c.queue) > 0 {
 		r := c.queue[0]
@@ -182,7 +182,7 @@
 	}
 }
 
-// refuseUnstartable answers queued executions that may not start any more.
+// refuseUnstartable refuses the queued executions that may no longer start.
 func (c *Core) refuseUnstartable() { c.filterQueue(c.refusalReason) }
 
 // refuseMatching refuses the queued executions that match.
@@ -195,7 +195,8 @@
 	})
 }
 
-// filterQueue refuses the queued executions for which check gives a reason.
+// filterQueue refuses the queued executions for which refusalReason returns a
+// reason.
 func (c *Core) filterQueue(refusalReason func(*record) string) {
 	kept := c.queue[:0]
 	for _, r := range c.queue {
@@ -208,6 +209,8 @@
 	c.queue = kept
 }
 
+// handleVoid refuses an attempt that has not started. Any other recorded attempt
+// is not changed, and its result is sent to the entry when there is one.
 func (c *Core) handleVoid(e Void) {
 	if e.Incarnation != c.cfg.Incarnation {
 		c.sendUnknown(e.Entry, e.Ref, "the execution belonged to another incarnation of the agent")
@@ -226,7 +229,7 @@
 	c.sendWhenEnded(r, e.Entry)
 }
 
-// voidUnknown leaves a refused record, so that the attempt does not run when
+// voidUnknown records an unknown attempt as refused, so that it does not run if
 // its Execute arrives later.
 func (c *Core) voidUnknown(e Void) {
 	if c.watermarks.mayHaveRun(e.Stamp, false) {
@@ -288,7 +291,7 @@
 	c.trimBodies()
 }
 
-// refuse ends an attempt that has not started, for good.
+// refuse ends an attempt that has not started. It never starts from then on.
 func (c *Core) refuse(r *record, reason string) {
 	r.state = stateRefused
 	r.endedAt = c.now
@@ -299,7 +302,7 @@
 	}
 }
 
-// sendWhenEnded sends the result to an entry, now or once it is there.
+// sendWhenEnded sends the result to an entry, now or when the attempt ends.
 func (c *Core) sendWhenEnded(r *record, entry string) {
 	r.addWaiter(entry)
 	if r.ended() {
@@ -307,6 +310,8 @@
 	}
 }
 
+// sendResult sends the result of an ended attempt. If the endpoint's reply is no
+// longer kept, the outcome is OutcomeUnknown.
 func (c *Core) sendResult(r *record, entry string) {
 	result := SendResult{Entry: entry, Ref: r.ref, Outcome: r.outcome, Detail: r.detail, WithReply: r.hasBody}
 	ran := r.outcome == api.OutcomeDone || r.outcome == api.OutcomeFailed
@@ -323,8 +328,8 @@
 	c.actions = append(c.actions, SendResult{Entry: entry, Ref: ref, Outcome: api.OutcomeUnknown, Detail: detail})
 }
 
-// resendUnacked repeats results that linked entries have not acknowledged for
-// some time.
+// resendUnacked sends results again that linked entries have not acknowledged
+// within the resend delay.
 func (c *Core) resendUnacked() {
 	due := c.sortedRecords(func(r *record) bool { return r.ended() && c.now >= r.resendAt && c.hasLinkedWaiter(r) })
 	for _, r := range due {
@@ -337,12 +342,12 @@
 	}
 }
 
-// hasLinkedWaiter reports whether a linked entry has not acknowledged the result.
+// hasLinkedWaiter reports whether a linked entry still awaits the result.
 func (c *Core) hasLinkedWaiter(r *record) bool {
 	return slices.ContainsFunc(r.waiters, func(w waiter) bool { return !w.acked && c.links[w.entry] })
 }
 
-// resendTo repeats the results that an entry has not acknowledged, oldest first.
+// resendTo sends an entry all results that it has not acknowledged, oldest first.
 func (c *Core) resendTo(entry string) {
 	for _, r := range c.sortedRecords(func(r *record) bool { return r.ended() && r.awaitedBy(entry) }) {
 		c.sendResult(r, entry)
--- a/internal/agent/exec/dump.go
+++ b/internal/agent/exec/dump.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Dump is the state of a Core for operators.
+// Dump is the part of a Core's state shown in the state dump.
 type Dump struct {
 	Incarnation string         `json:"incarnation"`
 	Allowed     bool           `json:"allowed"`
@@ -15,7 +15,7 @@
 	Queued      int            `json:"queued"`
 	Remembered  map[string]int `json:"remembered"`
 	Links       []string       `json:"links"`
-	Unacked     map[string]int `json:"unacked"` // results, by entry
+	Unacked     map[string]int `json:"unacked"` // number of results by entry
 	BodyBytes   int64          `json:"body_bytes"`
 	Executing   []Execution    `json:"executing"`
 }
@@ -28,7 +28,7 @@
 	State   string `json:"state"`
 }
 
-// Dump returns the state of the core.
+// Dump returns a Dump.
 func (c *Core) Dump() any {
 	dump := Dump{
 		Incarnation: c.cfg.Incarnation,
--- a/internal/agent/exec/hasrecord.go
+++ b/internal/agent/exec/hasrecord.go
@@ -1,7 +1,7 @@
 package exec
 
-// HasRecord reports whether the core remembers an attempt. The shell may drop the
-// bodies of one that it does not.
+// HasRecord reports whether the core remembers an attempt. The caller of the core
+// may drop the bodies of other attempts.
 func (c *Core) HasRecord(ref Ref) bool {
 	_, ok := c.records[ref]
 	return ok
--- a/internal/agent/exec/record.go
+++ b/internal/agent/exec/record.go
@@ -11,19 +11,20 @@
 const (
 	stateQueued  state = "queued"
 	stateRunning state = "running"
-	// stateRan: the call has ended and may have had effects.
+	// stateRan means that the call has ended and may have had effects.
 	stateRan state = "ran"
-	// stateRefused: the attempt has not run and never will.
+	// stateRefused means that the attempt has not run and never will.
 	stateRefused state = "refused"
 )
 
-// waiter is an entry that wants the result of an attempt.
+// waiter is an entry that awaits the result of an attempt.
 type waiter struct {
 	entry string
 	acked bool
 }
 
-// record is what the agent knows of one attempt. The first waiter is the owner.
+// record is the state of one attempt. The first waiter is the entry that sent
+// the attempt's first message.
 type record struct {
 	ref        Ref
 	seq        uint64
@@ -41,7 +42,7 @@
 	inAckedBodies bool
 	waiters       []waiter
 	// resendAt is when the result is sent again to waiters that have not
-	// acknowledged it; interval is the time until the next one after that.
+	// acknowledged it. resendDelay is the current delay between resends.
 	resendAt    time.Duration
 	resendDelay time.Duration
 }
@@ -49,9 +50,11 @@
 // ended reports whether the attempt has a final outcome.
 func (r *record) ended() bool { return r.state == stateRan || r.state == stateRefused }
 
-// firstWaiterAcked reports whether the owner has acknowledged the result.
+// firstWaiterAcked reports whether the first waiter has acknowledged the result.
 func (r *record) firstWaiterAcked() bool { return r.waiters[0].acked }
 
+// awaitedBy reports whether the entry is a waiter that has not acknowledged the
+// result.
 func (r *record) awaitedBy(entry string) bool {
 	for _, w := range r.waiters {
 		if w.entry == entry {
@@ -61,8 +64,8 @@
 	return false
 }
 
-// addWaiter notes that an entry wants the result. Beyond maxWaiters the oldest
-// waiter but the owner is dropped; it can ask again.
+// addWaiter makes an entry a waiter without acknowledgement. Beyond maxWaiters
+// the oldest waiter except the first is dropped; it can ask for the result again.
 func (r *record) addWaiter(entry string) {
 	for i := range r.waiters {
 		if r.waiters[i].entry == entry {
@@ -84,7 +87,9 @@
 	}
 }
 
-// keepUntil returns when the record may be forgotten.
+// keepUntil returns the time until which the record of an ended attempt is kept.
+// The record of a refused, acknowledged or idempotent attempt is needed only
+// while its permission to start may still be valid.
 func (r *record) keepUntil(resultTTL time.Duration, underPressure bool) time.Duration {
 	earliest := r.stamp + MaxPermit
 	latest := max(earliest, r.endedAt+resultTTL)
--- a/internal/agent/exec/retention.go
+++ b/internal/agent/exec/retention.go
@@ -7,11 +7,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// watermarks stand for the attempts that are no longer remembered. Each is the
-// highest stamp of such an attempt, so that an unknown attempt with a later
-// stamp is known to be new.
+// watermarks cover the attempts whose records were dropped. Each is the highest
+// stamp among such attempts, so that an attempt without a record and with a
+// later stamp is known to be new.
 type watermarks struct {
-	// ranStamp covers attempts whose outcome an entry may still ask for.
+	// ranStamp covers attempts that may have run and whose outcome an entry may
+	// still ask for.
 	ranStamp time.Duration
 	// ackedStamp covers idempotent attempts whose result was acknowledged.
 	ackedStamp time.Duration
@@ -41,7 +42,8 @@
 	}
 }
 
-// makeRoom reports whether one more attempt can be remembered.
+// makeRoom reports whether one more attempt can be recorded. At MaxRecords it
+// first drops the records that can be dropped early.
 func (c *Core) makeRoom() bool {
 	if len(c.records) < c.cfg.MaxRecords {
 		return true
@@ -53,8 +55,8 @@
 	return len(c.records) < c.cfg.MaxRecords
 }
 
-// refuseUnrecorded answers OutcomeNotRun without remembering the attempt;
-// everything up to its stamp is refused from now on.
+// refuseUnrecorded answers OutcomeNotRun without recording the attempt. Attempts
+// without a record are refused up to its stamp from then on.
 func (c *Core) refuseUnrecorded(r *record) {
 	r.state = stateRefused
 	c.watermarks.raise(r)
@@ -66,7 +68,8 @@
 	})
 }
 
-// sweep forgets the attempts whose time is over; under pressure earlier.
+// sweep drops the records that need not be kept any longer. Under pressure some
+// are dropped earlier.
 func (c *Core) sweep(underPressure bool) {
 	expired := c.sortedRecords(func(r *record) bool {
 		return r.ended() && c.now > r.keepUntil(c.cfg.ResultTTL, underPressure)
@@ -82,7 +85,8 @@
 	})
 }
 
-// trimBodies drops bodies of acknowledged results while there are too many bytes.
+// trimBodies drops bodies of acknowledged results, oldest first, while the total
+// exceeds MaxTotalBodyBytes.
 func (c *Core) trimBodies() {
 	for c.bodyBytes > c.cfg.MaxTotalBodyBytes && len(c.ackedBodies) > 0 {
 		r := c.records[c.ackedBodies[0]]
--- a/internal/agent/exec/scenario_test.go
+++ b/internal/agent/exec/scenario_test.go
@@ -12,9 +12,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// TestScenarios runs the scripts in testdata. Each command is one event at the
-// time of its "at" argument; ticks fill the time between. The output is the
-// list of actions.
+// TestScenarios runs the scripts in testdata. Each command except new is one
+// event at the time of its "at" argument, with ticks every 100 ms up to that
+// time. The output is the list of actions.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &scenario{}
--- a/internal/agent/exec/types.go
+++ b/internal/agent/exec/types.go
@@ -1,7 +1,8 @@
-// Package exec is the agent's decision core for requests: which execution may
-// start on the endpoint's slots, and which results are kept. It is pure: no
-// I/O, no clock, no goroutines. Times are durations on the agent's monotonic
-// clock, the one that the stamps of executions are read from.
+// Package exec is the agent's decision core for requests. It decides which
+// executions may start on the endpoint's slots and how long results are kept.
+//
+// The package is pure: no I/O, no clock, no goroutines. Times are durations on
+// the agent's monotonic clock, from which the stamps of executions are taken.
 package exec
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// Ref names one attempt of one request.
+// Ref identifies one attempt of one request.
 type Ref struct {
 	ID      string
 	Attempt uint32
@@ -19,9 +20,9 @@
 // Event is an input of the core.
 type Event interface{ event() }
 
-// Execute asks for an execution. A Ref that is known already is not executed
-// again: its result is sent once it is there. Corrupt is set when the body
-// does not have the announced length and digest.
+// Execute asks for the execution of an attempt. A Ref that is known already is
+// not executed again; its result is sent when the attempt has ended. Corrupt is
+// set if the body does not match the announced length and digest.
 type Execute struct {
 	Entry       string
 	Ref         Ref
@@ -33,10 +34,10 @@
 	Corrupt     bool
 }
 
-// Void asks for the result of an attempt; one that has not been seen or has
-// not started yet is answered OutcomeNotRun and never runs. Stamp is that of
-// the attempt's Execute. An attempt that may have run and been forgotten is
-// answered OutcomeUnknown.
+// Void asks for the result of an attempt and prevents it from starting. An
+// attempt that has not arrived or not started is answered OutcomeNotRun and never
+// runs; one that may have run and been forgotten is answered OutcomeUnknown.
+// Stamp is that of the attempt's Execute.
 type Void struct {
 	Entry       string
 	Ref         Ref
@@ -44,14 +45,14 @@
 	Stamp       time.Duration
 }
 
-// Ack lets a result be forgotten.
+// Ack acknowledges a result. The core may forget it then.
 type Ack struct {
 	Entry string
 	Ref   Ref
 }
 
-// CallEnded ends a call of the endpoint. The body, of Size bytes, stays with the
-// shell until Forget.
+// CallEnded reports the end of a call to the endpoint. The caller of the core
+// keeps the body, of Size bytes, until DropBodies.
 type CallEnded struct {
 	Ref     Ref
 	Outcome api.Outcome
@@ -59,21 +60,22 @@
 	Size    int64
 }
 
-// LinkUp says that a link with an entry is open; unacknowledged results for
+// LinkUp reports that a link with an entry is open. Unacknowledged results for
 // that entry are sent again.
 type LinkUp struct{ Entry string }
 
-// LinkDown says that the link with an entry is lost.
+// LinkDown reports that the link with an entry is lost. The queued executions of
+// that entry are refused.
 type LinkDown struct{ Entry string }
 
-// Permission tells whether work may start now: some entry permits it, the
+// Permission sets whether work may start from now on: an entry permits it, the
 // zone is not out, and the endpoint is healthy.
 type Permission struct{ Allowed bool }
 
-// Leave stops the start of new executions for good, for a planned stop.
+// Leave makes the core refuse all executions not started yet, for a planned stop.
 type Leave struct{}
 
-// Tick lets time pass.
+// Tick advances the time.
 type Tick struct{}
 
 func (Execute) event()    {}
@@ -89,13 +91,14 @@
 // Action is an output of the core.
 type Action interface{ action() }
 
-// CallEndpoint starts the call of the endpoint, on one slot.
+// CallEndpoint calls the endpoint, which takes one slot until CallEnded.
 type CallEndpoint struct {
 	Ref     Ref
 	Timeout time.Duration
 }
 
-// SendResult sends a result to an entry. With FromEndpoint the shell adds the body.
+// SendResult sends a result to an entry. WithReply is set if the endpoint's reply,
+// kept by the caller of the core, belongs to the result.
 type SendResult struct {
 	Entry     string
 	Ref       Ref
@@ -104,7 +107,7 @@
 	WithReply bool
 }
 
-// DropBodies lets the shell drop the bodies of an attempt.
+// DropBodies allows the caller of the core to drop the bodies of an attempt.
 type DropBodies struct{ Ref Ref }
 
 func (CallEndpoint) action() {}
