--- a/internal/agent/adoption_test.go
+++ b/internal/agent/adoption_test.go
@@ -70,7 +70,7 @@
 
 // An agent that is replaced under a gang must not say that it holds nothing of
 // it before the worker has told what runs there.
-func TestFirstHelloNamesWhatTheWorkerRuns(t *testing.T) {
+func TestFirstHelloReportsTheRunningTasks(t *testing.T) {
 	s := newHelloServer(t)
 	name := groups.TaskName{Ref: groups.Ref{JobID: "j", Attempt: 1}, Tasks: 1}
 	a := New(Config{ID: "a", Kind: KindWorker, Balancer: s.address}, nil, &slowWorker{task: name.String()}, metrics.NewRegistry(), zerolog.Nop())
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -35,8 +35,8 @@
 	workerHeartbeat  = 500 * time.Millisecond
 	healthInterval   = 500 * time.Millisecond
 	healthTimeout    = time.Second
-	idlePollInterval = 20 * time.Millisecond
-	leaveNoticeTime  = 500 * time.Millisecond
+	pollInterval     = 20 * time.Millisecond
+	leaveNoticeDelay = 500 * time.Millisecond
 )
 
 // Config describes one agent and its endpoint.
@@ -64,7 +64,7 @@
 	tasks    *taskHost    // nil for a minion
 
 	mu         sync.Mutex
-	permission permission
+	permission startPermission
 	healthy    bool
 	leaving    bool
 
@@ -96,8 +96,8 @@
 	return workerHeartbeat
 }
 
-// clock is the agent's monotonic clock.
-func (a *Agent) clock() time.Duration { return time.Since(a.started) }
+// now is the agent's monotonic now.
+func (a *Agent) now() time.Duration { return time.Since(a.started) }
 
 // Start begins to announce the endpoint; it does not wait for an entry.
 func (a *Agent) Start(context.Context) error {
@@ -119,10 +119,10 @@
 	a.log.Info().Msg("leaving")
 	a.host().leave()
 	a.links.heartbeatNow()
-	kernel.Sleep(ctx, leaveNoticeTime)
-	settled := kernel.Until(ctx, idlePollInterval, a.host().settled)
+	kernel.Sleep(ctx, leaveNoticeDelay)
+	finished := kernel.Until(ctx, pollInterval, a.host().readyToStop)
 	a.loops.End()
-	if !settled {
+	if !finished {
 		return errors.Timeoutf("work in progress on %q did not finish: stop", a.cfg.ID)
 	}
 	return nil
@@ -137,7 +137,7 @@
 		return errors.New("leaving")
 	case !a.healthy:
 		return errors.Errorf("endpoint of %q does not answer", a.cfg.ID)
-	case a.links.up() == 0:
+	case a.links.openCount() == 0:
 		return errors.New("no entry is linked")
 	}
 	return nil
@@ -145,17 +145,17 @@
 
 // host is the part of the agent that serves its kind of endpoint.
 type host interface {
-	// linkable reports whether entries may be linked; once true, it stays so.
-	linkable() bool
+	// readyToLink reports whether entries may be linked; once true, it stays so.
+	readyToLink() bool
 	tick(allowed bool)
 	linkUp(entry string)
 	linkDown(entry string)
-	handle(entry string, m *rpc.EntryMessage)
-	caretaker(stamp time.Duration)
-	ownerSeen(epoch uint64)
+	handleMessage(entry string, m *rpc.EntryMessage)
+	storeDown(stamp time.Duration)
+	observeEpoch(epoch uint64)
 	reports() []*rpc.GroupReport
 	leave()
-	settled() bool
+	readyToStop() bool
 	slotsInUse() int
 	probe(ctx context.Context) error
 	dump() any
@@ -168,13 +168,13 @@
 	return a.tasks
 }
 
-func (a *Agent) tick() { a.host().tick(a.allowed()) }
+func (a *Agent) tick() { a.host().tick(a.mayStart()) }
 
-// allowed reports whether work may start at this moment.
-func (a *Agent) allowed() bool {
+// mayStart reports whether work may start at this moment.
+func (a *Agent) mayStart() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.healthy && a.permission.allowed(a.clock())
+	return a.healthy && a.permission.mayStart(a.now())
 }
 
 func (a *Agent) probe(ctx context.Context) {
@@ -196,22 +196,22 @@
 	a.links.heartbeatNow()
 }
 
-// onHeartbeat takes in an entry's heartbeat.
-func (a *Agent) onHeartbeat(hb *rpc.EntryHeartbeat) {
+// handleHeartbeat takes in an entry's heartbeat.
+func (a *Agent) handleHeartbeat(heartbeat *rpc.EntryHeartbeat) {
 	a.mu.Lock()
-	before := a.permission.version
-	a.permission.update(hb)
-	after, out := a.permission.version, a.permission.zoneOut
+	oldVersion := a.permission.version
+	a.permission.update(heartbeat)
+	newVersion, zoneOut := a.permission.version, a.permission.zoneOut
 	a.mu.Unlock()
-	if after != before {
-		a.log.Info().Uint64("version", after).Bool("zone_out", out).Msg("configuration applied")
+	if newVersion != oldVersion {
+		a.log.Info().Uint64("version", newVersion).Bool("zone_out", zoneOut).Msg("configuration applied")
 	}
-	a.host().ownerSeen(hb.OwnerEpoch)
-	if hb.StoreDownEverywhere {
-		a.host().caretaker(time.Duration(hb.EchoClockMs) * time.Millisecond)
+	a.host().observeEpoch(heartbeat.OwnerEpoch)
+	if heartbeat.StoreDownEverywhere {
+		a.host().storeDown(time.Duration(heartbeat.EchoClockMs) * time.Millisecond)
 	}
-	a.host().tick(a.allowed())
-	a.links.learn(hb.Entries)
+	a.host().tick(a.mayStart())
+	a.links.addEntries(heartbeat.Entries)
 }
 
 func (a *Agent) hello() *rpc.Hello {
@@ -237,7 +237,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return &rpc.AgentHeartbeat{
-		ClockMs:         a.clock().Milliseconds(),
+		ClockMs:         a.now().Milliseconds(),
 		SlotsInUse:      int32(a.host().slotsInUse()),
 		Leaving:         a.leaving,
 		ConfigVersion:   a.permission.version,
@@ -248,7 +248,7 @@
 // DumpState returns the agent's state.
 func (a *Agent) DumpState() any {
 	a.mu.Lock()
-	p, healthy, leaving := a.permission, a.healthy, a.leaving
+	permission, healthy, leaving := a.permission, a.healthy, a.leaving
 	a.mu.Unlock()
 	return struct {
 		ID            string
@@ -261,5 +261,5 @@
 		Leaving       bool
 		Links         any
 		Endpoint      any
-	}{a.cfg.ID, a.incarnation, a.clock().Milliseconds(), p.version, p.zoneOut, a.allowed(), healthy, leaving, a.links.dump(), a.host().dump()}
+	}{a.cfg.ID, a.incarnation, a.now().Milliseconds(), permission.version, permission.zoneOut, a.mayStart(), healthy, leaving, a.links.dump(), a.host().dump()}
 }
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// silenceLimit is how long a link may stay without a message before it is
+	// silenceTimeout is how long a link may stay without a message before it is
 	// given up and opened again on a new connection.
-	silenceLimit = 1500 * time.Millisecond
-	redialMin    = 100 * time.Millisecond
-	redialMax    = time.Second
-	sessionQueue = 4096 // messages
+	silenceTimeout     = 1500 * time.Millisecond
+	minRedialDelay     = 100 * time.Millisecond
+	maxRedialDelay     = time.Second
+	sessionQueueLength = 4096 // messages
 )
 
 // link keeps a session with the entry at one address, opening it again on a
 // new connection whenever it is lost or silent.
 type link struct {
-	agent   *Agent
-	address string
-	listed  time.Time // guarded by linkSet.mu
-	cancel  context.CancelFunc
+	agent      *Agent
+	address    string
+	lastListed time.Time // guarded by linkSet.mu
+	cancel     context.CancelFunc
 
-	mu   sync.Mutex
-	open *session
+	mu      sync.Mutex
+	current *session
 }
 
 // session is one open stream.
 type session struct {
-	entry   string // the entry's id
-	address string
-	out     chan *rpc.AgentMessage
-	cancel  context.CancelFunc
+	entry    string // the entry's id
+	address  string
+	outgoing chan *rpc.AgentMessage
+	cancel   context.CancelFunc
 }
 
 // send queues a message; a session whose queue is full is closed, and what
 // matters is sent again on the next one.
 func (s *session) send(m *rpc.AgentMessage) {
 	select {
-	case s.out <- m:
+	case s.outgoing <- m:
 	default:
 		s.cancel()
 	}
@@ -54,32 +54,32 @@
 func (l *link) session() *session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open
+	return l.current
 }
 
 func (l *link) setSession(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open = s
+	l.current = s
 }
 
 func (l *link) run(ctx context.Context) {
-	wait := redialMin
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		wasUp, err := l.serve(ctx)
+		answered, err := l.serve(ctx)
 		metrics.GetOrRegisterCounter("links.lost", l.agent.registry).Inc(1)
-		if wasUp {
-			wait = redialMin
+		if answered {
+			delay = minRedialDelay
 		}
 		l.agent.log.Debug().Str("address", l.address).Err(err).Msg("link lost")
-		kernel.Sleep(ctx, wait/2+rand.N(wait))
-		wait = min(2*wait, redialMax)
+		kernel.Sleep(ctx, delay/2+rand.N(delay))
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
 // serve runs one session until it is lost, silent or ctx ends. It reports
 // whether the entry has answered on it.
-func (l *link) serve(ctx context.Context) (wasUp bool, err error) {
+func (l *link) serve(ctx context.Context) (answered bool, err error) {
 	conn, err := rpc.Dial(l.address)
 	if err != nil {
 		return false, errors.Annotatef(err, "dialling entry at %q", l.address)
@@ -87,21 +87,21 @@
 	defer func() { _ = conn.Close() }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(silenceLimit, cancel)
+	watchdog := time.AfterFunc(silenceTimeout, cancel)
 	defer watchdog.Stop()
 	stream, err := rpc.NewLinkClient(conn).Open(ctx)
 	if err != nil {
 		return false, errors.Annotatef(err, "opening link to %q", l.address)
 	}
-	s := &session{address: l.address, out: make(chan *rpc.AgentMessage, sessionQueue), cancel: cancel}
-	sender := make(chan struct{})
+	s := &session{address: l.address, outgoing: make(chan *rpc.AgentMessage, sessionQueueLength), cancel: cancel}
+	senderDone := make(chan struct{})
 	go func() {
-		defer close(sender)
+		defer close(senderDone)
 		l.sendLoop(ctx, stream, s)
 	}()
 	err = l.receiveLoop(stream, s, watchdog)
 	cancel()
-	<-sender
+	<-senderDone
 	if l.session() == s {
 		l.setSession(nil)
 		l.agent.host().linkDown(s.entry)
@@ -117,15 +117,15 @@
 	if err := stream.Send(heartbeatMessage(l.agent)); err != nil {
 		return
 	}
-	beat := time.NewTicker(l.agent.heartbeatInterval())
-	defer beat.Stop()
+	ticker := time.NewTicker(l.agent.heartbeatInterval())
+	defer ticker.Stop()
 	for {
 		var m *rpc.AgentMessage
 		select {
 		case <-ctx.Done():
 			return
-		case m = <-s.out:
-		case <-beat.C:
+		case m = <-s.outgoing:
+		case <-ticker.C:
 			m = heartbeatMessage(l.agent)
 		}
 		if err := stream.Send(m); err != nil {
@@ -140,18 +140,18 @@
 		if err != nil {
 			return errors.Annotatef(err, "link to %q", l.address)
 		}
-		watchdog.Reset(silenceLimit)
-		hb := m.GetHeartbeat()
-		if hb == nil {
-			l.agent.host().handle(s.entry, m)
+		watchdog.Reset(silenceTimeout)
+		heartbeat := m.GetHeartbeat()
+		if heartbeat == nil {
+			l.agent.host().handleMessage(s.entry, m)
 			continue
 		}
 		if s.entry == "" {
-			s.entry = hb.EntryId
+			s.entry = heartbeat.EntryId
 			l.setSession(s)
 			l.agent.host().linkUp(s.entry)
 		}
-		l.agent.onHeartbeat(hb)
+		l.agent.handleHeartbeat(heartbeat)
 	}
 }
 
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -15,12 +15,12 @@
 const (
 	// announceInterval is the time between two looks for entries through the
 	// balancer while at least one link is up, and announceRetry while none is.
-	announceInterval = 3 * time.Second
-	announceRetry    = 300 * time.Millisecond
-	announceTimeout  = time.Second
-	// forgetAfter is how long an address that is no longer listed is tried.
-	forgetAfter = 10 * time.Second
-	maxLinks    = 64
+	announceInterval      = 3 * time.Second
+	announceRetryInterval = 300 * time.Millisecond
+	announceTimeout       = time.Second
+	// unlistedLinkTTL is how long an address that is no longer listed is tried.
+	unlistedLinkTTL = 10 * time.Second
+	maxLinks        = 64
 )
 
 // linkSet keeps one link to each live entry. Entries are learned through the
@@ -46,13 +46,13 @@
 	s.mu.Lock()
 	s.ctx = ctx
 	s.mu.Unlock()
-	kernel.Until(ctx, idlePollInterval, s.agent.host().linkable)
+	kernel.Until(ctx, pollInterval, s.agent.host().readyToLink)
 	for ctx.Err() == nil {
 		s.announce(ctx)
-		s.forgetUnlisted()
+		s.dropUnlisted()
 		wait := announceInterval
-		if s.up() == 0 {
-			wait = announceRetry
+		if s.openCount() == 0 {
+			wait = announceRetryInterval
 		}
 		kernel.Sleep(ctx, wait/2+rand.N(wait))
 	}
@@ -73,11 +73,11 @@
 		metrics.GetOrRegisterCounter("announce.failed", s.agent.registry).Inc(1)
 		return
 	}
-	s.learn(reply.Entries)
+	s.addEntries(reply.Entries)
 }
 
-// learn opens links to entries that are not linked yet.
-func (s *linkSet) learn(entries []*rpc.EntryAddress) {
+// addEntries opens links to entries that are not linked yet.
+func (s *linkSet) addEntries(entries []*rpc.EntryAddress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx == nil || s.ctx.Err() != nil {
@@ -86,24 +86,24 @@
 	now := time.Now()
 	for _, e := range entries {
 		if l, ok := s.links[e.RpcAddress]; ok {
-			l.listed = now
+			l.lastListed = now
 			continue
 		}
 		if len(s.links) >= maxLinks {
 			continue
 		}
 		ctx, cancel := context.WithCancel(s.ctx)
-		l := &link{agent: s.agent, address: e.RpcAddress, listed: now, cancel: cancel}
+		l := &link{agent: s.agent, address: e.RpcAddress, lastListed: now, cancel: cancel}
 		s.links[e.RpcAddress] = l
 		s.agent.loops.Go(func(context.Context) { l.run(ctx) })
 	}
 }
 
-func (s *linkSet) forgetUnlisted() {
+func (s *linkSet) dropUnlisted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, l := range s.links {
-		if time.Since(l.listed) > forgetAfter && l.session() == nil {
+		if time.Since(l.lastListed) > unlistedLinkTTL && l.session() == nil {
 			l.cancel()
 			delete(s.links, address)
 		}
@@ -116,8 +116,8 @@
 	defer s.mu.Unlock()
 	var out []*session
 	for _, l := range s.links {
-		if open := l.session(); open != nil {
-			out = append(out, open)
+		if sess := l.session(); sess != nil {
+			out = append(out, sess)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].entry < out[j].entry })
@@ -125,35 +125,35 @@
 	return out
 }
 
-func (s *linkSet) up() int { return len(s.sessions()) }
+func (s *linkSet) openCount() int { return len(s.sessions()) }
 
 // send queues a message for one entry; it is dropped when no link is up.
 func (s *linkSet) send(entry string, m *rpc.AgentMessage) {
-	for _, open := range s.sessions() {
-		if open.entry == entry {
-			open.send(m)
+	for _, sess := range s.sessions() {
+		if sess.entry == entry {
+			sess.send(m)
 		}
 	}
 }
 
 // broadcast queues a message for all linked entries.
 func (s *linkSet) broadcast(m *rpc.AgentMessage) {
-	for _, open := range s.sessions() {
-		open.send(m)
+	for _, sess := range s.sessions() {
+		sess.send(m)
 	}
 }
 
 // heartbeatNow sends a heartbeat to all entries without waiting for the interval.
 func (s *linkSet) heartbeatNow() {
-	for _, open := range s.sessions() {
-		open.send(heartbeatMessage(s.agent))
+	for _, sess := range s.sessions() {
+		sess.send(heartbeatMessage(s.agent))
 	}
 }
 
 func (s *linkSet) dump() any {
 	var out []string
-	for _, open := range s.sessions() {
-		out = append(out, open.entry+" at "+open.address)
+	for _, sess := range s.sessions() {
+		out = append(out, sess.entry+" at "+sess.address)
 	}
 	return out
 }
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -13,8 +13,8 @@
 	maxResultBytes = rpc.MaxBodyBytes
 	// maxHelloBytes bounds the reports in one hello.
 	maxHelloBytes = rpc.MaxBodyBytes
-	// reportOverhead is what a hello adds to the bytes of one report, at most.
-	reportOverhead = 8
+	// reportOverheadBytes is what a hello adds to the bytes of one report, at most.
+	reportOverheadBytes = 8
 )
 
 var groupStates = map[groups.State]rpc.GroupState{
@@ -60,7 +60,7 @@
 				continue
 			}
 			m := reportMessage(r)
-			if size += proto.Size(m) + reportOverhead; size > maxHelloBytes {
+			if size += proto.Size(m) + reportOverheadBytes; size > maxHelloBytes {
 				return out
 			}
 			out = append(out, m)
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -17,17 +17,17 @@
 const (
 	// localQueuePerSlot bounds the executions that wait at the agent for a slot.
 	localQueuePerSlot = 1
-	resultKeep        = 10 * time.Minute
-	maxResults        = 20000
+	resultTTL         = 10 * time.Minute
+	maxRecords        = 20000
 	// pauseLimit is the longest time between the decision to call the endpoint
 	// and the call itself; beyond it the process was paused in between and the
 	// permission may have lapsed.
 	pauseLimit = 200 * time.Millisecond
 )
 
-// execution holds the bodies of one attempt: the request's until its call has
+// attemptBodies holds the bodies of one attempt: the request's until its call has
 // ended, then the answer's until the core forgets it.
-type execution struct {
+type attemptBodies struct {
 	request external.MinionRequest
 	reply   *external.MinionReply
 }
@@ -37,10 +37,10 @@
 	agent  *Agent
 	minion external.Minion
 
-	mu      sync.Mutex
-	core    *exec.Core
-	bodies  map[exec.Ref]*execution
-	running sync.WaitGroup
+	mu     sync.Mutex
+	core   *exec.Core
+	bodies map[exec.Ref]*attemptBodies
+	calls  sync.WaitGroup
 }
 
 func newRequestHost(a *Agent, minion external.Minion) *requestHost {
@@ -51,10 +51,10 @@
 			Incarnation: a.incarnation,
 			Slots:       a.cfg.Slots,
 			MaxQueued:   a.cfg.Slots * localQueuePerSlot,
-			ResultTTL:   resultKeep,
-			MaxRecords:  maxResults,
+			ResultTTL:   resultTTL,
+			MaxRecords:  maxRecords,
 		}),
-		bodies: map[exec.Ref]*execution{},
+		bodies: map[exec.Ref]*attemptBodies{},
 	}
 }
 
@@ -66,7 +66,7 @@
 
 func (h *requestHost) stepLocked(events ...exec.Event) {
 	for _, ev := range events {
-		for _, act := range h.core.Step(h.agent.clock(), ev) {
+		for _, act := range h.core.Step(h.agent.now(), ev) {
 			h.apply(act)
 		}
 	}
@@ -76,34 +76,34 @@
 	switch act := act.(type) {
 	case exec.CallEndpoint:
 		metrics.GetOrRegisterCounter("requests.calls", h.agent.registry).Inc(1)
-		decided := h.agent.clock()
-		x := h.bodies[act.Ref]
-		h.running.Add(1)
-		go h.call(act, x, decided)
+		decidedAt := h.agent.now()
+		kept := h.bodies[act.Ref]
+		h.calls.Add(1)
+		go h.call(act, kept, decidedAt)
 	case exec.SendResult:
-		h.send(act)
+		h.sendResult(act)
 	case exec.DropBodies:
 		delete(h.bodies, act.Ref)
 	}
 }
 
-func (h *requestHost) call(act exec.CallEndpoint, x *execution, decided time.Duration) {
-	defer h.running.Done()
+func (h *requestHost) call(act exec.CallEndpoint, kept *attemptBodies, decidedAt time.Duration) {
+	defer h.calls.Done()
 	ctx, cancel := context.WithTimeout(context.Background(), act.Timeout)
 	defer cancel()
-	startBy := h.agent.started.Add(decided + pauseLimit)
-	reply, err := h.minion.Call(external.WithStartBy(ctx, startBy), x.request)
+	startBy := h.agent.started.Add(decidedAt + pauseLimit)
+	reply, err := h.minion.Call(external.WithStartBy(ctx, startBy), kept.request)
 	outcome, detail := callOutcome(reply, err)
-	size := h.called(act.Ref, x, reply, err)
+	size := h.storeReply(act.Ref, kept, reply, err)
 	h.step(exec.CallEnded{Ref: act.Ref, Outcome: outcome, Detail: detail, Size: size})
 }
 
-// called keeps the answer of a call in place of the request, unless no message
+// storeReply keeps the answer of a call in place of the request, unless no message
 // can carry it, and returns its size.
-func (h *requestHost) called(ref exec.Ref, x *execution, reply external.MinionReply, err error) int64 {
+func (h *requestHost) storeReply(ref exec.Ref, kept *attemptBodies, reply external.MinionReply, err error) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	x.request = external.MinionRequest{}
+	kept.request = external.MinionRequest{}
 	switch {
 	case err != nil:
 		delete(h.bodies, ref)
@@ -111,7 +111,7 @@
 	case len(reply.Body) > rpc.MaxBodyBytes:
 		return 0
 	}
-	x.reply = &reply
+	kept.reply = &reply
 	return int64(len(reply.Body))
 }
 
@@ -129,7 +129,7 @@
 	return api.OutcomeDone, ""
 }
 
-func (h *requestHost) send(act exec.SendResult) {
+func (h *requestHost) sendResult(act exec.SendResult) {
 	metrics.GetOrRegisterCounter("requests.results."+string(act.Outcome), h.agent.registry).Inc(1)
 	m := &rpc.RequestResult{
 		RequestId: act.Ref.ID,
@@ -137,10 +137,10 @@
 		Outcome:   rpc.FromOutcome(act.Outcome),
 		Detail:    act.Detail,
 	}
-	if x := h.bodies[act.Ref]; act.WithReply && x != nil && x.reply != nil {
-		m.Status = int32(x.reply.Status)
-		m.ContentType = x.reply.ContentType
-		m.Body = x.reply.Body
+	if kept := h.bodies[act.Ref]; act.WithReply && kept != nil && kept.reply != nil {
+		m.Status = int32(kept.reply.Status)
+		m.ContentType = kept.reply.ContentType
+		m.Body = kept.reply.Body
 		m.Length = int64(len(m.Body))
 		m.Digest = rpc.Digest(m.Body)
 	}
@@ -150,13 +150,13 @@
 	}
 }
 
-func (h *requestHost) handle(entry string, m *rpc.EntryMessage) {
+func (h *requestHost) handleMessage(entry string, m *rpc.EntryMessage) {
 	switch body := m.Body.(type) {
 	case *rpc.EntryMessage_Execute:
 		h.execute(entry, body.Execute)
 	case *rpc.EntryMessage_Void:
-		v := body.Void
-		h.step(exec.Void{Entry: entry, Ref: exec.Ref{ID: v.RequestId, Attempt: v.Attempt}, Incarnation: v.Incarnation, Stamp: ms(v.StampMs)})
+		void := body.Void
+		h.step(exec.Void{Entry: entry, Ref: exec.Ref{ID: void.RequestId, Attempt: void.Attempt}, Incarnation: void.Incarnation, Stamp: millis(void.StampMs)})
 	case *rpc.EntryMessage_Ack:
 		for _, r := range body.Ack.Requests {
 			h.step(exec.Ack{Entry: entry, Ref: exec.Ref{ID: r.RequestId, Attempt: r.Attempt}})
@@ -164,28 +164,28 @@
 	}
 }
 
-func (h *requestHost) execute(entry string, x *rpc.Execute) {
-	ref := exec.Ref{ID: x.RequestId, Attempt: x.Attempt}
-	allowed := h.agent.allowed()
+func (h *requestHost) execute(entry string, msg *rpc.Execute) {
+	ref := exec.Ref{ID: msg.RequestId, Attempt: msg.Attempt}
+	allowed := h.agent.mayStart()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.core.HasRecord(ref) {
-		h.bodies[ref] = &execution{request: external.MinionRequest{
-			RequestID:   x.RequestId,
-			Attempt:     x.Attempt,
-			ContentType: x.ContentType,
-			Body:        x.Body,
+		h.bodies[ref] = &attemptBodies{request: external.MinionRequest{
+			RequestID:   msg.RequestId,
+			Attempt:     msg.Attempt,
+			ContentType: msg.ContentType,
+			Body:        msg.Body,
 		}}
 	}
 	h.stepLocked(exec.Permission{Allowed: allowed}, exec.Execute{
 		Entry:       entry,
 		Ref:         ref,
-		Incarnation: x.Incarnation,
-		Stamp:       time.Duration(x.StampMs) * time.Millisecond,
-		Permit:      time.Duration(x.PermitMs) * time.Millisecond,
-		Timeout:     time.Duration(x.TimeoutMs) * time.Millisecond,
-		Idempotent:  x.Idempotent,
-		Corrupt:     !rpc.Intact(x.Body, x.Length, x.Digest),
+		Incarnation: msg.Incarnation,
+		Stamp:       time.Duration(msg.StampMs) * time.Millisecond,
+		Permit:      time.Duration(msg.PermitMs) * time.Millisecond,
+		Timeout:     time.Duration(msg.TimeoutMs) * time.Millisecond,
+		Idempotent:  msg.Idempotent,
+		Corrupt:     !rpc.Intact(msg.Body, msg.Length, msg.Digest),
 	})
 	if !h.core.HasRecord(ref) {
 		delete(h.bodies, ref)
@@ -198,15 +198,15 @@
 
 func (h *requestHost) linkUp(entry string)             { h.step(exec.LinkUp{Entry: entry}) }
 func (h *requestHost) linkDown(entry string)           { h.step(exec.LinkDown{Entry: entry}) }
-func (h *requestHost) caretaker(time.Duration)         {}
-func (h *requestHost) ownerSeen(uint64)                {}
+func (h *requestHost) storeDown(time.Duration)         {}
+func (h *requestHost) observeEpoch(uint64)             {}
 func (h *requestHost) reports() []*rpc.GroupReport     { return nil }
-func (h *requestHost) linkable() bool                  { return true }
+func (h *requestHost) readyToLink() bool               { return true }
 func (h *requestHost) leave()                          { h.step(exec.Leave{}) }
 func (h *requestHost) probe(ctx context.Context) error { return h.minion.Healthy(ctx) }
 
-// settled reports whether all requests have finished and their results are acknowledged.
-func (h *requestHost) settled() bool {
+// readyToStop reports whether all requests have finished and their results are acknowledged.
+func (h *requestHost) readyToStop() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Idle()
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -31,23 +31,23 @@
 func newTestHost(m *fakeMinion) (*requestHost, *session) {
 	m.release = make(chan struct{})
 	a := New(Config{ID: "a", Kind: KindMinion, Slots: 1}, m, nil, metrics.NewRegistry(), zerolog.Nop())
-	s := &session{entry: "e", out: make(chan *rpc.AgentMessage, 100), cancel: func() {}}
+	s := &session{entry: "e", outgoing: make(chan *rpc.AgentMessage, 100), cancel: func() {}}
 	l := &link{agent: a}
 	l.setSession(s)
 	a.links.links["e"] = l
 	a.healthy = true
-	a.permission = permission{version: 1, until: time.Hour}
+	a.permission = startPermission{version: 1, validUntil: time.Hour}
 	a.requests.linkUp("e")
 	return a.requests, s
 }
 
-func executeOf(h *requestHost, id string) *rpc.Execute {
+func newExecute(h *requestHost, id string) *rpc.Execute {
 	body := []byte("body")
 	return &rpc.Execute{
 		RequestId:   id,
 		Attempt:     1,
 		Incarnation: h.agent.incarnation,
-		StampMs:     h.agent.clock().Milliseconds(),
+		StampMs:     h.agent.now().Milliseconds(),
 		PermitMs:    1000,
 		TimeoutMs:   60000,
 		Body:        body,
@@ -56,10 +56,10 @@
 	}
 }
 
-func resultOf(t *testing.T, s *session) *rpc.RequestResult {
+func receiveResult(t *testing.T, s *session) *rpc.RequestResult {
 	t.Helper()
 	select {
-	case m := <-s.out:
+	case m := <-s.outgoing:
 		return m.GetResult()
 	case <-time.After(10 * time.Second):
 		t.Fatal("no result within 10s")
@@ -67,56 +67,56 @@
 	}
 }
 
-func (h *requestHost) keptBody(id string) (request, reply bool) {
+func (h *requestHost) keptBodies(id string) (request, reply bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	x := h.bodies[exec.Ref{ID: id, Attempt: 1}]
-	if x == nil {
+	kept := h.bodies[exec.Ref{ID: id, Attempt: 1}]
+	if kept == nil {
 		return false, false
 	}
-	return x.request.Body != nil, x.reply != nil
+	return kept.request.Body != nil, kept.reply != nil
 }
 
-func TestBodiesAreDroppedOnceNobodyNeedsThem(t *testing.T) {
+func TestBodiesAreDroppedWhenNoLongerNeeded(t *testing.T) {
 	h, s := newTestHost(&fakeMinion{reply: external.MinionReply{Status: 200, Body: []byte("answer")}})
 	for _, id := range []string{"runs", "waits", "refused", "refused"} {
-		h.execute("e", executeOf(h, id))
+		h.execute("e", newExecute(h, id))
 	}
 	for range 2 {
-		if got := resultOf(t, s); got.RequestId != "refused" || got.Outcome != rpc.Outcome_OUTCOME_NOT_RUN {
+		if got := receiveResult(t, s); got.RequestId != "refused" || got.Outcome != rpc.Outcome_OUTCOME_NOT_RUN {
 			t.Fatalf("result %v, want not-run for the request beyond the slot and the queue", got)
 		}
 	}
-	if request, _ := h.keptBody("refused"); request {
+	if request, _ := h.keptBodies("refused"); request {
 		t.Error("the body of a refused request is kept")
 	}
 	close(h.minion.(*fakeMinion).release)
-	if got := resultOf(t, s); got.RequestId != "runs" || string(got.Body) != "answer" {
+	if got := receiveResult(t, s); got.RequestId != "runs" || string(got.Body) != "answer" {
 		t.Fatalf("result %v, want the answer of the first request", got)
 	}
-	if request, reply := h.keptBody("runs"); request || !reply {
+	if request, reply := h.keptBodies("runs"); request || !reply {
 		t.Errorf("after the call the request's body is kept: %t, the answer: %t; want the answer alone", request, reply)
 	}
 }
 
 func TestBodyOfACallWithoutAnswerIsDropped(t *testing.T) {
 	h, s := newTestHost(&fakeMinion{err: external.ErrUnavailable})
-	h.execute("e", executeOf(h, "lost"))
+	h.execute("e", newExecute(h, "lost"))
 	close(h.minion.(*fakeMinion).release)
-	if got := resultOf(t, s); got.Outcome != rpc.Outcome_OUTCOME_UNKNOWN {
+	if got := receiveResult(t, s); got.Outcome != rpc.Outcome_OUTCOME_UNKNOWN {
 		t.Fatalf("result %v, want unknown", got)
 	}
-	h.execute("e", executeOf(h, "lost"))
-	if request, _ := h.keptBody("lost"); request {
+	h.execute("e", newExecute(h, "lost"))
+	if request, _ := h.keptBodies("lost"); request {
 		t.Error("the body of a call that has ended is kept")
 	}
 }
 
-func TestAnswerThatNoMessageCanCarryIsAFailure(t *testing.T) {
+func TestOversizedReplyIsReportedAsFailure(t *testing.T) {
 	h, s := newTestHost(&fakeMinion{reply: external.MinionReply{Status: 200, Body: make([]byte, rpc.MaxBodyBytes+1)}})
-	h.execute("e", executeOf(h, "large"))
+	h.execute("e", newExecute(h, "large"))
 	close(h.minion.(*fakeMinion).release)
-	got := resultOf(t, s)
+	got := receiveResult(t, s)
 	if got.Outcome != rpc.Outcome_OUTCOME_FAILED || got.Status != 0 || len(got.Body) > 0 || got.Detail == "" {
 		t.Fatalf("result %v with status %d, %d bytes and detail %q; want failed with a detail alone", got.Outcome, got.Status, len(got.Body), got.Detail)
 	}
--- a/internal/agent/tasks.go
+++ b/internal/agent/tasks.go
@@ -16,11 +16,11 @@
 
 const (
 	workerCallTimeout = 2 * time.Second
-	// lostAfter is the number of lists in a row in which a started task is
+	// missedListsUntilLost is the number of lists in a row in which a started task is
 	// missing before it counts as lost.
-	lostAfter = 2
-	// renewals is the queue of lease renewals; no task has this id.
-	renewals = "renewals"
+	missedListsUntilLost = 2
+	// renewalQueueKey is the queue of lease renewalQueueKey; no task has this id.
+	renewalQueueKey = "renewals"
 )
 
 // taskHost runs the groups core beside a worker.
@@ -28,21 +28,21 @@
 	agent  *Agent
 	worker external.Worker
 
-	mu      sync.Mutex
-	core    *groups.Core
-	started map[string]int  // task id to the number of lists in a row that lack it
-	ended   map[string]bool // listed tasks whose end was taken in
-	adopted bool            // the worker's tasks at the agent's start were taken in
-	ops     opQueues
+	mu          sync.Mutex
+	core        *groups.Core
+	missedLists map[string]int  // task id to the number of lists in a row that lack it
+	seenEnded   map[string]bool // listed tasks whose end was taken in
+	adopted     bool            // the worker's tasks at the agent's start were taken in
+	ops         opQueues
 }
 
 func newTaskHost(a *Agent, worker external.Worker) *taskHost {
 	return &taskHost{
-		agent:   a,
-		worker:  worker,
-		core:    groups.New(groups.Config{Capacity: a.cfg.Capacity}),
-		started: map[string]int{},
-		ended:   map[string]bool{},
+		agent:       a,
+		worker:      worker,
+		core:        groups.New(groups.Config{Capacity: a.cfg.Capacity}),
+		missedLists: map[string]int{},
+		seenEnded:   map[string]bool{},
 	}
 }
 
@@ -54,7 +54,7 @@
 
 func (h *taskHost) stepLocked(events ...groups.Event) {
 	for _, ev := range events {
-		for _, act := range h.core.Step(h.agent.clock(), ev) {
+		for _, act := range h.core.Step(h.agent.now(), ev) {
 			h.apply(act)
 		}
 	}
@@ -72,7 +72,7 @@
 	case groups.CheckpointTask:
 		h.ops.push(act.ID, func() { h.endTask(act.ID, h.worker.Checkpoint) })
 	case groups.RenewTasks:
-		h.ops.push(renewals, func() { h.renew(act) })
+		h.ops.push(renewalQueueKey, func() { h.renew(act) })
 	case groups.Report:
 		report := reportMessage(act)
 		h.agent.links.broadcast(&rpc.AgentMessage{Body: &rpc.AgentMessage_Group{Group: report}})
@@ -95,15 +95,15 @@
 		return
 	}
 	h.mu.Lock()
-	h.started[task.ID] = 0
+	h.missedLists[task.ID] = 0
 	h.mu.Unlock()
 	h.step(groups.TaskUpdate{Status: status})
 }
 
-func (h *taskHost) endTask(id string, end func(context.Context, string) (external.TaskStatus, error)) {
+func (h *taskHost) endTask(id string, stopOrCheckpoint func(context.Context, string) (external.TaskStatus, error)) {
 	ctx, cancel := context.WithTimeout(context.Background(), workerCallTimeout)
 	defer cancel()
-	status, err := end(ctx, id)
+	status, err := stopOrCheckpoint(ctx, id)
 	if err != nil {
 		return // the next list, or the worker's own lease, settles it
 	}
@@ -113,7 +113,7 @@
 // renew extends the worker's own leases. They count from the worker's receipt,
 // so that a call delayed by a pause of this process would outlive By.
 func (h *taskHost) renew(act groups.RenewTasks) {
-	now := h.agent.clock()
+	now := h.agent.now()
 	lease := act.LeaseEnd - now - pauseLimit
 	if lease <= 0 {
 		return
@@ -138,12 +138,12 @@
 	listed := map[string]bool{}
 	for _, status := range list {
 		listed[status.ID] = true
-		if h.news(status) {
+		if h.needsUpdate(status) {
 			h.step(groups.TaskUpdate{Status: status})
 		}
 	}
 	h.forgetEnded(listed)
-	for _, id := range h.missing(listed) {
+	for _, id := range h.collectLost(listed) {
 		h.step(groups.TaskLost{ID: id, Detail: "worker does not list the task"})
 	}
 	return nil
@@ -159,7 +159,7 @@
 	}
 	for _, status := range list {
 		if status.State == external.TaskRunning {
-			h.started[status.ID] = 0
+			h.missedLists[status.ID] = 0
 		}
 	}
 	h.stepLocked(groups.Adopt{Tasks: list})
@@ -167,24 +167,24 @@
 	return true
 }
 
-// linkable reports whether the worker's tasks are known. Without them the core
+// readyToLink reports whether the worker's tasks are known. Without them the core
 // would answer absent for a group whose tasks run.
-func (h *taskHost) linkable() bool {
+func (h *taskHost) readyToLink() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.adopted
 }
 
-// news reports whether a listed task's state is to be taken in: one that had
+// needsUpdate reports whether a listed task's state is to be taken in: one that had
 // ended in an earlier list tells nothing new.
-func (h *taskHost) news(status external.TaskStatus) bool {
+func (h *taskHost) needsUpdate(status external.TaskStatus) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ended[status.ID] {
+	if h.seenEnded[status.ID] {
 		return false
 	}
 	if status.State != external.TaskRunning {
-		h.ended[status.ID] = true
+		h.seenEnded[status.ID] = true
 	}
 	return true
 }
@@ -193,78 +193,78 @@
 func (h *taskHost) forgetEnded(listed map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id := range h.ended {
+	for id := range h.seenEnded {
 		if !listed[id] {
-			delete(h.ended, id)
+			delete(h.seenEnded, id)
 		}
 	}
 }
 
-func (h *taskHost) missing(listed map[string]bool) []string {
+func (h *taskHost) collectLost(listed map[string]bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []string
-	for id := range h.started {
+	var lost []string
+	for id := range h.missedLists {
 		if listed[id] {
-			h.started[id] = 0
+			h.missedLists[id] = 0
 			continue
 		}
-		h.started[id]++
-		if h.started[id] >= lostAfter {
-			delete(h.started, id)
-			out = append(out, id)
+		h.missedLists[id]++
+		if h.missedLists[id] >= missedListsUntilLost {
+			delete(h.missedLists, id)
+			lost = append(lost, id)
 		}
 	}
-	return out
+	return lost
 }
 
-func (h *taskHost) handle(_ string, m *rpc.EntryMessage) {
+func (h *taskHost) handleMessage(_ string, m *rpc.EntryMessage) {
 	switch body := m.Body.(type) {
 	case *rpc.EntryMessage_Hold:
-		x := body.Hold
-		h.step(groups.Permission{Allowed: h.agent.allowed()}, groups.Hold{
-			Epoch:   x.Epoch,
-			Ref:     groups.Ref{JobID: x.JobId, Attempt: x.Attempt},
-			Tasks:   int(x.Tasks),
-			PerTask: rpc.ToResources(x.PerTask),
-			Stamp:   ms(x.StampMs),
-			Permit:  ms(x.PermitMs),
-			Lease:   ms(x.LeaseMs),
+		hold := body.Hold
+		h.step(groups.Permission{Allowed: h.agent.mayStart()}, groups.Hold{
+			Epoch:   hold.Epoch,
+			Ref:     groups.Ref{JobID: hold.JobId, Attempt: hold.Attempt},
+			Tasks:   int(hold.Tasks),
+			PerTask: rpc.ToResources(hold.PerTask),
+			Stamp:   millis(hold.StampMs),
+			Permit:  millis(hold.PermitMs),
+			Lease:   millis(hold.LeaseMs),
 		})
 	case *rpc.EntryMessage_Start:
-		x := body.Start
-		h.step(groups.Permission{Allowed: h.agent.allowed()}, groups.Start{
-			Epoch:      x.Epoch,
-			Ref:        groups.Ref{JobID: x.JobId, Attempt: x.Attempt},
-			Stamp:      ms(x.StampMs),
-			Permit:     ms(x.PermitMs),
-			Lease:      ms(x.LeaseMs),
-			FirstTask:  int(x.FirstTask),
-			Payload:    json.RawMessage(x.Payload),
-			Checkpoint: x.Checkpoint,
+		start := body.Start
+		h.step(groups.Permission{Allowed: h.agent.mayStart()}, groups.Start{
+			Epoch:      start.Epoch,
+			Ref:        groups.Ref{JobID: start.JobId, Attempt: start.Attempt},
+			Stamp:      millis(start.StampMs),
+			Permit:     millis(start.PermitMs),
+			Lease:      millis(start.LeaseMs),
+			FirstTask:  int(start.FirstTask),
+			Payload:    json.RawMessage(start.Payload),
+			Checkpoint: start.Checkpoint,
 		})
 	case *rpc.EntryMessage_Stop:
-		x := body.Stop
+		stop := body.Stop
 		h.step(groups.Stop{
-			Epoch:  x.Epoch,
-			Ref:    groups.Ref{JobID: x.JobId, Attempt: x.Attempt},
-			Grace:  ms(x.GraceMs),
-			Reason: x.Reason,
+			Epoch:  stop.Epoch,
+			Ref:    groups.Ref{JobID: stop.JobId, Attempt: stop.Attempt},
+			Grace:  millis(stop.GraceMs),
+			Reason: stop.Reason,
 		})
 	case *rpc.EntryMessage_Renew:
 		h.step(renewEvent(body.Renew))
 	}
 }
 
-func renewEvent(x *rpc.Renew) groups.Renew {
-	ev := groups.Renew{Epoch: x.Epoch, Stamp: ms(x.StampMs), Lease: ms(x.LeaseMs)}
-	for _, g := range x.Groups {
+func renewEvent(msg *rpc.Renew) groups.Renew {
+	ev := groups.Renew{Epoch: msg.Epoch, Stamp: millis(msg.StampMs), Lease: millis(msg.LeaseMs)}
+	for _, g := range msg.Groups {
 		ev.Refs = append(ev.Refs, groups.Ref{JobID: g.JobId, Attempt: g.Attempt})
 	}
 	return ev
 }
 
-func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
 func (h *taskHost) reports() []*rpc.GroupReport {
 	h.mu.Lock()
@@ -276,19 +276,19 @@
 	h.step(groups.Permission{Allowed: allowed}, groups.Tick{})
 }
 
-func (h *taskHost) caretaker(stamp time.Duration) {
+func (h *taskHost) storeDown(stamp time.Duration) {
 	h.step(groups.StoreDown{Stamp: stamp, Lease: sched.GroupLease})
 }
 
-func (h *taskHost) ownerSeen(epoch uint64) { h.step(groups.EpochObserved{Epoch: epoch}) }
-func (h *taskHost) linkUp(string)          {}
-func (h *taskHost) linkDown(string)        {}
-func (h *taskHost) leave()                 { h.step(groups.Leave{}) }
-func (h *taskHost) slotsInUse() int        { return 0 }
+func (h *taskHost) observeEpoch(epoch uint64) { h.step(groups.EpochObserved{Epoch: epoch}) }
+func (h *taskHost) linkUp(string)             {}
+func (h *taskHost) linkDown(string)           {}
+func (h *taskHost) leave()                    { h.step(groups.Leave{}) }
+func (h *taskHost) slotsInUse() int           { return 0 }
 
-// settled reports whether no group is between two states and no call of the
+// readyToStop reports whether no group is between two states and no call of the
 // worker waits.
-func (h *taskHost) settled() bool {
+func (h *taskHost) readyToStop() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.AllRunning() && h.ops.idle()
--- a/internal/agent/tasks_test.go
+++ b/internal/agent/tasks_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestResultThatNoMessageCanCarryIsAFailure(t *testing.T) {
+func TestOversizedResultIsReportedAsFailure(t *testing.T) {
 	m := reportMessage(doneReport(1, maxResultBytes))
 	if m.State != rpc.GroupState_GROUP_STATE_FAILED || len(m.Result) > 0 || m.Detail == "" || m.WorkerFault {
 		t.Fatalf("state %v, %d bytes of result, detail %q, worker's fault %t; want a failure of the task with a detail alone",
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestHelloHoldsTheReportsThatFit(t *testing.T) {
+func TestHelloReportsFitIntoOneMessage(t *testing.T) {
 	var list []groups.Report
 	for i := range 600 {
 		list = append(list, doneReport(i, 20<<10))
@@ -59,23 +59,23 @@
 // renewalWorker notes the last renewal.
 type renewalWorker struct {
 	external.Worker
-	lease   time.Duration
-	startBy time.Time
-	guarded bool
+	lease      time.Duration
+	startBy    time.Time
+	hasStartBy bool
 }
 
 func (w *renewalWorker) Renew(ctx context.Context, _ []string, leaseMS int64) error {
 	w.lease = time.Duration(leaseMS) * time.Millisecond
-	w.startBy, w.guarded = external.StartBy(ctx)
+	w.startBy, w.hasStartBy = external.StartBy(ctx)
 	return nil
 }
 
 func TestRenewalDelayedByAPauseDoesNotOutliveTheLease(t *testing.T) {
 	w := &renewalWorker{}
 	a := New(Config{ID: "a", Kind: KindWorker}, nil, w, metrics.NewRegistry(), zerolog.Nop())
-	by := a.clock() + sched.GroupLease
+	by := a.now() + sched.GroupLease
 	a.tasks.renew(groups.RenewTasks{IDs: []string{"t"}, Lease: sched.GroupLease, LeaseEnd: by})
-	if !w.guarded {
+	if !w.hasStartBy {
 		t.Fatal("the renewal may be sent at any time after a pause")
 	}
 	if end := w.startBy.Add(w.lease); end.After(a.started.Add(by)) {
