--- a/internal/agent/adoption_test.go
+++ b/internal/agent/adoption_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc"
 )
 
-// slowWorker runs one task and does not list it at first.
+// slowWorker runs one task. Its first two lists fail.
 type slowWorker struct {
 	external.Worker
 	task  string
@@ -33,7 +33,7 @@
 	return external.TaskStatus{}, external.ErrUnavailable
 }
 
-// helloServer announces itself as the only entry and passes on the hellos.
+// helloServer announces itself as the only entry and records the hellos.
 type helloServer struct {
 	rpc.UnimplementedAnnounceServer
 	rpc.UnimplementedLinkServer
@@ -68,8 +68,8 @@
 	return s
 }
 
-// An agent that is replaced under a gang must not say that it holds nothing of
-// it before the worker has told what runs there.
+// Guards against an agent that restarts while a gang runs on its worker and sends
+// a hello without the gang's group, because the worker has not listed its tasks yet.
 func TestFirstHelloReportsTheRunningTasks(t *testing.T) {
 	s := newHelloServer(t)
 	name := groups.TaskName{Ref: groups.Ref{JobID: "j", Attempt: 1}, Tasks: 1}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the process beside each endpoint: it announces the endpoint
-// to the entries, holds its slots, leases and results, and refuses what must
-// not run. The decisions are in the cores exec (requests) and groups (gang
-// members); this package does their I/O.
+// Package agent implements the process that runs beside each endpoint. It
+// announces the endpoint to the entries, manages its slots, leases and results,
+// and refuses work that must not run. The decisions are in the cores exec
+// (requests) and groups (gang members); this package does their I/O.
 package agent
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Kind tells what the agent stands beside.
+// Kind is the kind of the agent's endpoint.
 type Kind string
 
 // The kinds of endpoints.
@@ -30,12 +30,15 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// A minion's load changes quickly; a worker's agent is one of thousands.
-	minionHeartbeat  = 300 * time.Millisecond
-	workerHeartbeat  = 500 * time.Millisecond
-	healthInterval   = 500 * time.Millisecond
-	healthTimeout    = time.Second
-	pollInterval     = 20 * time.Millisecond
+	// The load of a minion changes quickly. There are thousands of agents of
+	// workers, which therefore send heartbeats less often.
+	minionHeartbeatInterval = 300 * time.Millisecond
+	workerHeartbeatInterval = 500 * time.Millisecond
+	healthInterval          = 500 * time.Millisecond
+	healthTimeout           = time.Second
+	pollInterval            = 20 * time.Millisecond
+	// leaveNoticeDelay is the time for the entries to receive the heartbeat that
+	// announces a planned stop, before the agent starts to wait for its work.
 	leaveNoticeDelay = 500 * time.Millisecond
 )
 
@@ -45,13 +48,14 @@
 	Zone     string
 	Rack     string
 	Kind     Kind
-	Service  string        // of a minion
-	Slots    int           // of a minion
-	Capacity api.Resources // of a worker
-	Balancer string        // address in front of the entries
+	Service  string        // minions only
+	Slots    int           // minions only
+	Capacity api.Resources // workers only
+	Balancer string        // address of the load balancer in front of the entries
 }
 
-// Agent is the service that runs an agent.
+// Agent is the agent's service: it links with all entries and serves one
+// endpoint.
 type Agent struct {
 	cfg         Config
 	incarnation string
@@ -71,7 +75,7 @@
 	loops kernel.Loops
 }
 
-// New returns an agent. Minion is used for KindMinion, worker for KindWorker.
+// New returns an agent. It uses minion for KindMinion and worker for KindWorker.
 func New(cfg Config, minion external.Minion, worker external.Worker, registry metrics.Registry, log zerolog.Logger) *Agent {
 	a := &Agent{
 		cfg:         cfg,
@@ -91,15 +95,15 @@
 
 func (a *Agent) heartbeatInterval() time.Duration {
 	if a.cfg.Kind == KindMinion {
-		return minionHeartbeat
+		return minionHeartbeatInterval
 	}
-	return workerHeartbeat
+	return workerHeartbeatInterval
 }
 
-// now is the agent's monotonic now.
+// now returns the time of the agent's monotonic clock.
 func (a *Agent) now() time.Duration { return time.Since(a.started) }
 
-// Start begins to announce the endpoint; it does not wait for an entry.
+// Start starts to announce the endpoint. It does not wait for an entry.
 func (a *Agent) Start(context.Context) error {
 	a.loops.Begin()
 	a.loops.Go(a.links.run)
@@ -108,15 +112,15 @@
 	return nil
 }
 
-// Stop announces that the endpoint leaves, lets the work in progress settle
-// and closes the links. It fails when ctx ends first. A minion's requests
-// finish and their results are acknowledged; a worker's running gang members
-// go on under their leases, for the next process of this agent to adopt.
+// Stop announces the planned stop to the entries, waits for work in progress and
+// closes the links. It returns an error if ctx ends first. A minion's requests
+// finish and their results are acknowledged. A worker's running gang members
+// continue under their leases, and the next process of this agent adopts them.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.mu.Lock()
 	a.leaving = true
 	a.mu.Unlock()
-	a.log.Info().Msg("leaving")
+	a.log.Info().Msg("planned stop started, refusing new work")
 	a.host().leave()
 	a.links.heartbeatNow()
 	kernel.Sleep(ctx, leaveNoticeDelay)
@@ -128,7 +132,7 @@
 	return nil
 }
 
-// Ready reports whether the endpoint is healthy and an entry is linked.
+// Ready returns nil if the endpoint is healthy and an entry is linked.
 func (a *Agent) Ready() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,20 +147,26 @@
 	return nil
 }
 
-// host is the part of the agent that serves its kind of endpoint.
+// host is the part of an agent that is specific to the kind of endpoint.
 type host interface {
-	// readyToLink reports whether entries may be linked; once true, it stays so.
+	// readyToLink reports whether links to entries may be opened. Once true, it
+	// stays true.
 	readyToLink() bool
 	tick(allowed bool)
 	linkUp(entry string)
 	linkDown(entry string)
 	handleMessage(entry string, m *rpc.EntryMessage)
+	// storeDown extends leases from stamp while every entry reports the store as
+	// down.
 	storeDown(stamp time.Duration)
 	observeEpoch(epoch uint64)
 	reports() []*rpc.GroupReport
+	// leave refuses new work from then on, for a planned stop.
 	leave()
+	// readyToStop reports whether the process can end without interrupting work.
 	readyToStop() bool
 	slotsInUse() int
+	// probe checks the health of the endpoint.
 	probe(ctx context.Context) error
 	dump() any
 }
@@ -170,13 +180,14 @@
 
 func (a *Agent) tick() { a.host().tick(a.mayStart()) }
 
-// mayStart reports whether work may start at this moment.
+// mayStart reports whether work may start now.
 func (a *Agent) mayStart() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.healthy && a.permission.mayStart(a.now())
 }
 
+// probe runs one health check and announces a change of the result at once.
 func (a *Agent) probe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
@@ -196,7 +207,7 @@
 	a.links.heartbeatNow()
 }
 
-// handleHeartbeat takes in an entry's heartbeat.
+// handleHeartbeat applies a heartbeat received from an entry.
 func (a *Agent) handleHeartbeat(heartbeat *rpc.EntryHeartbeat) {
 	a.mu.Lock()
 	oldVersion := a.permission.version
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// silenceTimeout is how long a link may stay without a message before it is
-	// given up and opened again on a new connection.
+	// silenceTimeout is how long a link may receive no message before it is
+	// closed and opened again on a new connection.
 	silenceTimeout     = 1500 * time.Millisecond
 	minRedialDelay     = 100 * time.Millisecond
 	maxRedialDelay     = time.Second
 	sessionQueueLength = 4096 // messages
 )
 
-// link keeps a session with the entry at one address, opening it again on a
-// new connection whenever it is lost or silent.
+// link maintains a session with the entry at one address. It opens a new session
+// on a new connection whenever the session is lost or silent.
 type link struct {
 	agent      *Agent
 	address    string
@@ -30,19 +30,19 @@
 	cancel     context.CancelFunc
 
 	mu      sync.Mutex
-	current *session
+	current *session // nil until the entry has sent a heartbeat
 }
 
-// session is one open stream.
+// session is one open stream to an entry.
 type session struct {
-	entry    string // the entry's id
+	entry    string // entry ID, empty before the first heartbeat
 	address  string
 	outgoing chan *rpc.AgentMessage
 	cancel   context.CancelFunc
 }
 
-// send queues a message; a session whose queue is full is closed, and what
-// matters is sent again on the next one.
+// send queues a message. A session whose queue is full is closed; messages that
+// must not be lost are sent again on the next session.
 func (s *session) send(m *rpc.AgentMessage) {
 	select {
 	case s.outgoing <- m:
@@ -77,8 +77,8 @@
 	}
 }
 
-// serve runs one session until it is lost, silent or ctx ends. It reports
-// whether the entry has answered on it.
+// serve runs one session until it is lost or silent or ctx ends. It reports
+// whether the entry has sent a heartbeat on it.
 func (l *link) serve(ctx context.Context) (answered bool, err error) {
 	conn, err := rpc.Dial(l.address)
 	if err != nil {
@@ -109,6 +109,8 @@
 	return s.entry != "", err
 }
 
+// sendLoop sends a hello, a heartbeat, then queued messages and periodic
+// heartbeats.
 func (l *link) sendLoop(ctx context.Context, stream rpc.Link_OpenClient, s *session) {
 	defer s.cancel()
 	if err := stream.Send(&rpc.AgentMessage{Body: &rpc.AgentMessage_Hello{Hello: l.agent.hello()}}); err != nil {
@@ -134,6 +136,8 @@
 	}
 }
 
+// receiveLoop handles received messages. The session counts as open from the
+// entry's first heartbeat on.
 func (l *link) receiveLoop(stream rpc.Link_OpenClient, s *session, watchdog *time.Timer) error {
 	for {
 		m, err := stream.Recv()
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// announceInterval is the time between two looks for entries through the
-	// balancer while at least one link is up, and announceRetry while none is.
+	// announceInterval is the mean time between requests for the list of entries
+	// through the balancer while at least one link is open, and
+	// announceRetryInterval while none is.
 	announceInterval      = 3 * time.Second
 	announceRetryInterval = 300 * time.Millisecond
 	announceTimeout       = time.Second
-	// unlistedLinkTTL is how long an address that is no longer listed is tried.
+	// unlistedLinkTTL is how long to keep trying an address that is no longer
+	// listed.
 	unlistedLinkTTL = 10 * time.Second
 	maxLinks        = 64
 )
 
-// linkSet keeps one link to each live entry. Entries are learned through the
-// balancer and from the heartbeats of linked entries.
+// linkSet maintains one link to each live entry. Entries are discovered through
+// the balancer and from the heartbeats of linked entries.
 type linkSet struct {
 	agent *Agent
 
 	mu      sync.Mutex
-	links   map[string]*link // by rpc address
+	links   map[string]*link // by RPC address
 	ctx     context.Context
 	upGauge metrics.Gauge
 }
@@ -58,8 +60,9 @@
 	}
 }
 
-// announce asks any entry for the list of entries. A new connection is made
-// each time, since the balancer may have tied an old one to a dead entry.
+// announce requests the list of entries from any entry, through the balancer. It
+// opens a new connection each time, since the balancer may still route an old
+// connection to a dead entry.
 func (s *linkSet) announce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -76,7 +79,8 @@
 	s.addEntries(reply.Entries)
 }
 
-// addEntries opens links to entries that are not linked yet.
+// addEntries opens links to entries that have none yet and marks the others as
+// listed. The number of links is bounded by maxLinks.
 func (s *linkSet) addEntries(entries []*rpc.EntryAddress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,6 +103,8 @@
 	}
 }
 
+// dropUnlisted closes links without a session whose address has not been listed
+// for unlistedLinkTTL.
 func (s *linkSet) dropUnlisted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +116,8 @@
 	}
 }
 
-// sessions returns the open sessions in order of address.
+// sessions returns the open sessions ordered by entry ID and updates the gauge of
+// open links.
 func (s *linkSet) sessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +134,8 @@
 
 func (s *linkSet) openCount() int { return len(s.sessions()) }
 
-// send queues a message for one entry; it is dropped when no link is up.
+// send queues a message for one entry. The message is dropped if the entry is not
+// linked.
 func (s *linkSet) send(entry string, m *rpc.AgentMessage) {
 	for _, sess := range s.sessions() {
 		if sess.entry == entry {
@@ -143,7 +151,8 @@
 	}
 }
 
-// heartbeatNow sends a heartbeat to all entries without waiting for the interval.
+// heartbeatNow queues a heartbeat for all linked entries, ahead of the next
+// periodic one.
 func (s *linkSet) heartbeatNow() {
 	for _, sess := range s.sessions() {
 		sess.send(heartbeatMessage(s.agent))
--- a/internal/agent/opqueue.go
+++ b/internal/agent/opqueue.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// opQueues runs functions: those with the same key one after the other, those
-// with different keys side by side. A key's goroutine lives while there are any.
+// opQueues runs functions in goroutines: functions with the same key in order,
+// functions with different keys concurrently. The goroutine of a key ends when
+// its queue is empty.
 type opQueues struct {
 	mu      sync.Mutex
 	pending map[string][]func()
--- a/internal/agent/permission.go
+++ b/internal/agent/permission.go
@@ -7,16 +7,17 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// startPermission derives from the entries' heartbeats whether work may start.
+// startPermission is the permission to start work, derived from the heartbeats of
+// the entries.
 //
-// Invariant: version never goes back, so a heartbeat that was delayed or comes
-// from an entry that lags behind cannot undo a zone that was taken out.
+// Invariant: version never decreases, so that a delayed heartbeat or one from an
+// entry with an older configuration cannot put a zone back in that was taken out.
 type startPermission struct {
 	version uint64
 	zoneOut bool
-	// validUntil is the time on the agent's clock up to which some entry permits
-	// starts. It counts from the agent's own stamp that the entry echoed, so
-	// that time spent in transit or in a paused process is not added to it.
+	// validUntil is the time on the agent's clock until which an entry permits
+	// starts. It is computed from the agent's own clock reading echoed by the
+	// entry, so that time in transit or in a paused process does not extend it.
 	validUntil time.Duration
 }
 
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// maxResultBytes bounds the result in one report.
+	// maxResultBytes bounds the size of the result in one report.
 	maxResultBytes = rpc.MaxBodyBytes
-	// maxHelloBytes bounds the reports in one hello.
+	// maxHelloBytes bounds the total size of the reports in one hello.
 	maxHelloBytes = rpc.MaxBodyBytes
-	// reportOverheadBytes is what a hello adds to the bytes of one report, at most.
+	// reportOverheadBytes is the maximum encoding overhead of one report in a
+	// hello.
 	reportOverheadBytes = 8
 )
 
@@ -28,8 +29,8 @@
 	groups.Absent:       rpc.GroupState_GROUP_STATE_ABSENT,
 }
 
-// reportMessage returns a report that fits into one message. A result that does
-// not fit makes it a failure: cut short it would not be the job's answer.
+// reportMessage returns the message for a report. A result larger than
+// maxResultBytes is reported as a failure, since a truncated result would be wrong.
 func reportMessage(r groups.Report) *rpc.GroupReport {
 	if len(r.Result) > maxResultBytes {
 		r.Detail = fmt.Sprintf("result of %d bytes (at most %d)", len(r.Result), maxResultBytes)
@@ -49,8 +50,8 @@
 	}
 }
 
-// helloReports returns the reports that fit into one hello, those without a
-// result first. The owner asks for the others when it renews their leases.
+// helloReports returns the reports that fit into one hello, reports without a
+// result first. The owner receives the others in answer to lease renewals.
 func helloReports(list []groups.Report) []*rpc.GroupReport {
 	var out []*rpc.GroupReport
 	size := 0
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// localQueuePerSlot bounds the executions that wait at the agent for a slot.
+	// localQueuePerSlot is the number of executions per slot that may wait at
+	// the agent for a free slot.
 	localQueuePerSlot = 1
 	resultTTL         = 10 * time.Minute
 	maxRecords        = 20000
-	// pauseLimit is the longest time between the decision to call the endpoint
-	// and the call itself; beyond it the process was paused in between and the
-	// permission may have lapsed.
+	// pauseLimit is the maximum time between the decision to call the endpoint
+	// and the call. A longer time means that the process was paused in between,
+	// and the permission to start may have expired.
 	pauseLimit = 200 * time.Millisecond
 )
 
-// attemptBodies holds the bodies of one attempt: the request's until its call has
-// ended, then the answer's until the core forgets it.
+// attemptBodies holds the request of one attempt until its call has ended, then
+// the reply until the core drops it.
 type attemptBodies struct {
 	request external.MinionRequest
 	reply   *external.MinionReply
 }
 
-// requestHost runs the exec core beside a minion.
+// requestHost runs the exec core for a minion and carries out its actions.
 type requestHost struct {
 	agent  *Agent
 	minion external.Minion
@@ -98,8 +99,9 @@
 	h.step(exec.CallEnded{Ref: act.Ref, Outcome: outcome, Detail: detail, Size: size})
 }
 
-// storeReply keeps the answer of a call in place of the request, unless no message
-// can carry it, and returns its size.
+// storeReply replaces the request of an attempt by the reply and returns the size
+// of the stored body. Nothing is stored after an error or if the body is too
+// large for a message.
 func (h *requestHost) storeReply(ref exec.Ref, kept *attemptBodies, reply external.MinionReply, err error) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -205,7 +207,8 @@
 func (h *requestHost) leave()                          { h.step(exec.Leave{}) }
 func (h *requestHost) probe(ctx context.Context) error { return h.minion.Healthy(ctx) }
 
-// readyToStop reports whether all requests have finished and their results are acknowledged.
+// readyToStop reports whether all requests have finished and their results are
+// acknowledged.
 func (h *requestHost) readyToStop() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fakeMinion answers each call with reply and err, once release is closed.
+// fakeMinion answers each call with reply and err after release is closed.
 type fakeMinion struct {
 	reply   external.MinionReply
 	err     error
--- a/internal/agent/tasks.go
+++ b/internal/agent/tasks.go
@@ -16,23 +16,24 @@
 
 const (
 	workerCallTimeout = 2 * time.Second
-	// missedListsUntilLost is the number of lists in a row in which a started task is
-	// missing before it counts as lost.
+	// missedListsUntilLost is the number of consecutive task lists of the worker
+	// from which a started task must be missing to count as lost.
 	missedListsUntilLost = 2
-	// renewalQueueKey is the queue of lease renewalQueueKey; no task has this id.
+	// renewalQueueKey is the key of the queue for lease renewals. No task has
+	// this ID.
 	renewalQueueKey = "renewals"
 )
 
-// taskHost runs the groups core beside a worker.
+// taskHost runs the groups core for a worker and carries out its actions.
 type taskHost struct {
 	agent  *Agent
 	worker external.Worker
 
 	mu          sync.Mutex
 	core        *groups.Core
-	missedLists map[string]int  // task id to the number of lists in a row that lack it
-	seenEnded   map[string]bool // listed tasks whose end was taken in
-	adopted     bool            // the worker's tasks at the agent's start were taken in
+	missedLists map[string]int  // by ID of a started task: consecutive lists that lack it
+	seenEnded   map[string]bool // IDs of listed tasks whose end was passed to the core
+	adopted     bool            // whether the tasks found at the agent's start were adopted
 	ops         opQueues
 }
 
@@ -60,8 +61,8 @@
 	}
 }
 
-// apply carries out one action. Calls of the worker are queued for each task,
-// so that they keep their order and none blocks the core or another task.
+// apply carries out one action. Calls to the worker are queued by task, so that
+// calls for one task keep their order and no call blocks the core or another task.
 func (h *taskHost) apply(act groups.Action) {
 	switch act := act.(type) {
 	case groups.StartTask:
@@ -79,8 +80,8 @@
 	}
 }
 
-// startTask checks once more that the start is still permitted, since the
-// process may have been paused after the decision.
+// startTask starts a task on the worker. StartBy is checked again right before
+// the call, since the process may have been paused after the decision.
 func (h *taskHost) startTask(act groups.StartTask) {
 	task := act.Task
 	ctx, cancel := context.WithTimeout(context.Background(), workerCallTimeout)
@@ -100,18 +101,21 @@
 	h.step(groups.TaskUpdate{Status: status})
 }
 
+// endTask stops or checkpoints a task on the worker.
 func (h *taskHost) endTask(id string, stopOrCheckpoint func(context.Context, string) (external.TaskStatus, error)) {
 	ctx, cancel := context.WithTimeout(context.Background(), workerCallTimeout)
 	defer cancel()
 	status, err := stopOrCheckpoint(ctx, id)
 	if err != nil {
-		return // the next list, or the worker's own lease, settles it
+		return // the next task list or the end of the worker's own lease resolves it
 	}
 	h.step(groups.TaskUpdate{Status: status})
 }
 
-// renew extends the worker's own leases. They count from the worker's receipt,
-// so that a call delayed by a pause of this process would outlive By.
+// renew renews the worker's own leases. They run from the receipt at the worker,
+// so that a renewal sent after a pause of this process would last beyond
+// LeaseEnd. The lease is therefore shortened by pauseLimit, and the call is not
+// made later than pauseLimit from now.
 func (h *taskHost) renew(act groups.RenewTasks) {
 	now := h.agent.now()
 	lease := act.LeaseEnd - now - pauseLimit
@@ -126,7 +130,7 @@
 	}
 }
 
-// probe lists the worker's tasks and takes in what has changed.
+// probe lists the worker's tasks and passes changes to the core.
 func (h *taskHost) probe(ctx context.Context) error {
 	list, err := h.worker.List(ctx)
 	if err != nil {
@@ -149,8 +153,8 @@
 	return nil
 }
 
-// adopt takes in the tasks that the worker had when the agent started. It
-// returns false once that has been done.
+// adopt passes the tasks found on the worker at the agent's start to the core. It
+// returns false if that has been done before.
 func (h *taskHost) adopt(list []external.TaskStatus) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,16 +171,16 @@
 	return true
 }
 
-// readyToLink reports whether the worker's tasks are known. Without them the core
-// would answer absent for a group whose tasks run.
+// readyToLink reports whether the worker's tasks have been adopted. Before that
+// the core would report groups absent whose tasks are running.
 func (h *taskHost) readyToLink() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.adopted
 }
 
-// needsUpdate reports whether a listed task's state is to be taken in: one that had
-// ended in an earlier list tells nothing new.
+// needsUpdate reports whether a listed task's status is to be passed to the core.
+// Tasks that had ended in an earlier list are skipped.
 func (h *taskHost) needsUpdate(status external.TaskStatus) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -189,7 +193,7 @@
 	return true
 }
 
-// forgetEnded drops the ended tasks that the worker lists no more.
+// forgetEnded drops the ended tasks that the worker no longer lists.
 func (h *taskHost) forgetEnded(listed map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,6 +204,8 @@
 	}
 }
 
+// collectLost counts the lists that lack a started task and returns the IDs of the
+// tasks that now count as lost.
 func (h *taskHost) collectLost(listed map[string]bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -286,8 +292,8 @@
 func (h *taskHost) leave()                    { h.step(groups.Leave{}) }
 func (h *taskHost) slotsInUse() int           { return 0 }
 
-// readyToStop reports whether no group is between two states and no call of the
-// worker waits.
+// readyToStop reports whether no group is held or ending and no call to the worker
+// is pending.
 func (h *taskHost) readyToStop() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/agent/tasks_test.go
+++ b/internal/agent/tasks_test.go
@@ -56,7 +56,7 @@
 	t.Errorf("none of the %d reports is that of the running group", len(hello.Groups))
 }
 
-// renewalWorker notes the last renewal.
+// renewalWorker records the last renewal.
 type renewalWorker struct {
 	external.Worker
 	lease      time.Duration
