--- a/test/procs/harness/harness.go
+++ b/test/procs/harness/harness.go
@@ -78,6 +78,14 @@
 	return h
 }
 
+// UseBinaries makes the processes that start from now on run the binaries of
+// another folder; an empty name keeps those in use.
+func (h *Harness) UseBinaries(dir string) {
+	if dir != "" {
+		h.bin = dir
+	}
+}
+
 var harnesses atomic.Int32
 
 // loopback returns an address of the loopback network that no other harness of
