--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -110,7 +110,7 @@
 func (k *Keeper) Heartbeat(info plan.WorkerInfo, number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if old := k.worker; old != nil && (info.Born < old.Born || info.Incarnation() == old.Incarnation() && number < k.number) {
+	if old := k.worker; old != nil && (info.StartUnixMillis < old.StartUnixMillis || info.Incarnation() == old.Incarnation() && number < k.number) {
 		return
 	}
 	changed := k.worker == nil || k.worker.Incarnation() != info.Incarnation()
@@ -119,7 +119,7 @@
 		k.restart()
 	}
 	if !changed && info.Draining && !k.worker.Draining {
-		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.Remaining).Msg("worker drains")
+		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.DrainRemaining).Msg("worker drains")
 		wake(k.wakeSend)
 	}
 	k.worker, k.number = &info, number
@@ -213,7 +213,7 @@
 	defer k.mu.Unlock()
 	t := target{epoch: k.epoch, seen: k.seen}
 	if k.worker != nil {
-		t.instance, t.incarnation, t.born = k.worker.Instance, k.worker.Incarnation(), k.worker.Born
+		t.instance, t.incarnation, t.born = k.worker.Instance, k.worker.Incarnation(), k.worker.StartUnixMillis
 	}
 	// While the worker does not answer, a call may still reach it later: its
 	// lease is not extended before it answers again.
@@ -264,7 +264,7 @@
 		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker has been restarted")
 		k.restart()
 		info := *k.worker
-		info.Born = list.Born
+		info.StartUnixMillis = list.Born
 		k.worker, k.number = &info, 0
 	}
 	now := k.clock()
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -23,7 +23,7 @@
 	clock := ledger.Monotonic()
 	runner := standin.NewRunner()
 	k := New(runner, NewFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
-	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), Born: runner.Born()}
+	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Born()}
 	k.Heartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
--- a/internal/agent/keeper/session_test.go
+++ b/internal/agent/keeper/session_test.go
@@ -73,7 +73,7 @@
 	clock := ledger.Monotonic()
 	finder := NewFinder(noRows{}, "all", []string{first.address, second.address}, clock, zerolog.Nop())
 	k := New(standin.NewRunner(), finder, clock, metrics.NewRegistry(), zerolog.Nop())
-	k.Heartbeat(plan.WorkerInfo{ID: "w", Instance: "i", Born: 1}, 1)
+	k.Heartbeat(plan.WorkerInfo{ID: "w", Instance: "i", StartUnixMillis: 1}, 1)
 	if err := k.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/graphs/front.go
+++ b/internal/entry/graphs/front.go
@@ -75,10 +75,10 @@
 
 // Policies is where the front finds the configuration.
 type Policies interface {
-	Fresh() (*policy.Snapshot, time.Duration)
-	Lost() time.Duration
-	// WatchLimit is the age that the last confirmation reaches while all is well.
-	WatchLimit() time.Duration
+	FreshSnapshot() (*policy.Snapshot, time.Duration)
+	StoreOutage() time.Duration
+	// MaxConfirmationAge is the age that the last confirmation reaches while all is well.
+	MaxConfirmationAge() time.Duration
 }
 
 // Relay serves requests through another entry.
@@ -122,10 +122,10 @@
 
 // Ready returns nil while callers can be served from here.
 func (f *Front) Ready() error {
-	if lost := f.policies.Lost(); lost > f.policies.WatchLimit()+lostLimit {
+	if lost := f.policies.StoreOutage(); lost > f.policies.MaxConfirmationAge()+lostLimit {
 		return errors.Errorf("the store has not answered for %v", lost)
 	}
-	if s, age := f.policies.Fresh(); s == nil {
+	if s, age := f.policies.FreshSnapshot(); s == nil {
 		return errors.Errorf("configuration was confirmed %v ago", age)
 	}
 	return nil
@@ -143,7 +143,7 @@
 // admit finds the queue of a call and checks its key. A nil target comes with
 // the answer.
 func (f *Front) admit(call Call) (*target, Answer) {
-	s, age := f.policies.Fresh()
+	s, age := f.policies.FreshSnapshot()
 	if s == nil {
 		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: "configuration is not known to be current"}
 	}
@@ -151,7 +151,7 @@
 		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: fmt.Sprintf("configuration %d is older than %d, which has been used", s.Version, least)}
 	}
 	f.raise(s.Version)
-	q, rest := s.Match(call.Host, call.Path)
+	q, rest := s.MatchQueue(call.Host, call.Path)
 	if q == nil {
 		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", Version: s.Version}
 	}
@@ -159,7 +159,7 @@
 	if q.Public {
 		return t, Answer{}
 	}
-	account := s.AccountOf(call.Key)
+	account := s.AccountByKey(call.Key)
 	if account == nil {
 		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", Version: s.Version}
 	}
@@ -180,7 +180,7 @@
 // Submit accepts a job.
 func (f *Front) Submit(call Call, decode func() (*graph.Job, error)) Answer {
 	start := time.Now()
-	if f.policies.Lost() > 0 {
+	if f.policies.StoreOutage() > 0 {
 		if a, served := f.relaySubmit(call, decode); served {
 			f.report(verbSubmit, call, nil, a, start)
 			return a
@@ -240,9 +240,9 @@
 	}
 	job.ID = t.id
 	job.Queue, job.Account, job.Pool = t.queue.Name, t.account, t.queue.Pool
-	job.Priority, job.Attempts = t.queue.Priority, t.queue.Attempts
+	job.Priority, job.MaxAttempts = t.queue.Priority, t.queue.MaxAttempts
 	job.Stretch, job.Allowance = t.queue.Stretch, t.queue.Allowance
-	job.Submitted = f.now()
+	job.SubmittedAt = f.now()
 	ctx, cancel := f.context(call)
 	defer cancel()
 	return writeAnswer(f.store.Accept(ctx, job))
@@ -262,7 +262,7 @@
 
 // Lookup answers for a job's state, or for a queue's length.
 func (f *Front) Lookup(call Call) Answer {
-	if f.policies.Lost() > 0 {
+	if f.policies.StoreOutage() > 0 {
 		if a, served := f.serveElsewhere(verbLookup, call, nil); served {
 			return a
 		}
@@ -317,7 +317,7 @@
 
 // Cancel ends a job.
 func (f *Front) Cancel(call Call) Answer {
-	if f.policies.Lost() > 0 {
+	if f.policies.StoreOutage() > 0 {
 		if a, served := f.serveElsewhere(verbCancel, call, nil); served {
 			return a
 		}
--- a/internal/entry/graphs/handover.go
+++ b/internal/entry/graphs/handover.go
@@ -57,7 +57,7 @@
 
 // NewHandover returns a service that is not running yet.
 func NewHandover(o Resigner, t TableHealth, p Policies, peers *Peers, log zerolog.Logger) *Handover {
-	return &Handover{owner: o, table: t, lost: p.Lost, peers: peers, log: log}
+	return &Handover{owner: o, table: t, lost: p.StoreOutage, peers: peers, log: log}
 }
 
 // Start begins to watch the table.
--- a/internal/entry/graphs/hub.go
+++ b/internal/entry/graphs/hub.go
@@ -116,7 +116,7 @@
 		if r.Listed {
 			t.step(plan.WorkerReport{Worker: rpc.WorkerInfoOf(r), Session: conn.id,
 				Running: rpc.RunStatesOf(r.Running), Ended: rpc.RunEndsOf(r.Ended), Absent: absentOf(r.Absent),
-				Beat: r.Beat, Answering: r.Answering, Gone: r.Gone})
+				Number: r.Beat, WorkerResponsive: r.Answering, WorkerLeft: r.Gone})
 		}
 		t.greet(r, conn)
 	}
--- a/internal/entry/graphs/scheduler.go
+++ b/internal/entry/graphs/scheduler.go
@@ -97,7 +97,7 @@
 	s.owner.Subscribe(func(owner.Authority) { s.poke() })
 	s.policies.Subscribe(func(p *policy.Snapshot) {
 		if t := s.current(); t != nil {
-			t.step(plan.Configured{Policy: p})
+			t.step(plan.PolicyChanged{Policy: p})
 		}
 	})
 	s.loops.Go(s.run)
@@ -192,8 +192,8 @@
 	}
 	t := newTerm(s, epoch, token, version, end)
 	t.ctx = ctx
-	if p := s.policies.Latest(); p != nil {
-		t.step(plan.Configured{Policy: p})
+	if p := s.policies.LatestSnapshot(); p != nil {
+		t.step(plan.PolicyChanged{Policy: p})
 	}
 	t.load(jobs)
 	t.log.Info().Int("jobs", len(jobs)).Dur("took_ms", s.clock()-start).Msg("term began")
@@ -214,7 +214,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v, ok := t.core.View(id)
+	v, ok := t.core.JobStatus(id)
 	return v.State, ok
 }
 
@@ -226,7 +226,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.core.Pending(queue), true
+	return t.core.PendingJobs(queue), true
 }
 
 // DumpState returns the state for the dump on request.
--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -191,7 +191,7 @@
 		Prefix: jobsPrefix,
 		Expired: func(data json.RawMessage, now time.Time) bool {
 			var p graph.Progress
-			return json.Unmarshal(data, &p) == nil && p.State.Final() && !p.Finished.IsZero() && now.Sub(p.Finished) > plan.KeepFinal
+			return json.Unmarshal(data, &p) == nil && p.State.Final() && !p.FinishedAt.IsZero() && now.Sub(p.FinishedAt) > plan.FinalJobRetention
 		},
 		Before: func(ctx context.Context, data json.RawMessage) error {
 			var p graph.Progress
--- a/internal/entry/graphs/term.go
+++ b/internal/entry/graphs/term.go
@@ -52,11 +52,11 @@
 		end:      end,
 		limits:   s.limits,
 		core: plan.New(plan.Config{
-			Token:      token,
-			TermStart:  s.now(),
-			LeaseBound: s.limits.leaseBound(),
-			StopTime:   s.limits.StopTime,
-			Overlap:    s.owner.Overlap(),
+			FencingToken:    token,
+			TermStart:       s.now(),
+			LeaseBound:      s.limits.leaseBound(),
+			StopTime:        s.limits.StopTime,
+			TakeoverOverlap: s.owner.Overlap(),
 		}),
 		versions: map[graph.JobID]uint64{},
 		sessions: map[string]*session{},
@@ -78,10 +78,10 @@
 				t.versions[j.job.ID] = j.version
 			}
 			t.mu.Unlock()
-			t.step(plan.Submitted{Job: j.job, Progress: j.progress})
+			t.step(plan.JobSubmitted{Job: j.job, Progress: j.progress})
 		}
 		if j.cancelled {
-			t.step(plan.Cancel{Job: j.id})
+			t.step(plan.JobCancelled{Job: j.id})
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		case plan.Notice:
 			t.notice(a)
 			continue
-		case plan.Save:
+		case plan.SaveProgress:
 			go t.save(a, t.versions[a.Job])
 			continue
 		}
@@ -121,33 +121,33 @@
 
 func (t *term) order(a plan.Action) {
 	switch a := a.(type) {
-	case plan.Start:
+	case plan.StartRun:
 		t.noteWait(a)
 		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
 			o.Starts = append(o.Starts, &rpc.StartTask{Ref: rpc.TaskRefOf(a.Task, a.Run), Spec: a.Spec, Checkpoint: a.Checkpoint})
 		})
 		t.logRun(a.Task.Job, "start ordered").Str("task", a.Task.String()).Uint64("run", a.Run).Str("worker", a.Worker).Msg("decision")
-	case plan.Stop:
+	case plan.StopRun:
 		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
 			o.Stops = append(o.Stops, rpc.TaskRefOf(a.Task, a.Run))
 		})
 		t.logRun(a.Task.Job, "stop ordered").Str("task", a.Task.String()).Uint64("run", a.Run).Str("worker", a.Worker).Msg("decision")
-	case plan.Grant:
-		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) { o.GrantedBeat, o.LeaseMs = a.Beat, t.limits.lease().Milliseconds() })
-	case plan.Acknowledge:
+	case plan.GrantLease:
+		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) { o.GrantedBeat, o.LeaseMs = a.ReportNumber, t.limits.lease().Milliseconds() })
+	case plan.AcknowledgeEnds:
 		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) { o.Acknowledged = max(o.Acknowledged, a.Number) })
 	}
 }
 
 // noteWait records how long a job has waited for its first start; work within a
 // guarantee has a histogram of its own.
-func (t *term) noteWait(a plan.Start) {
-	if !a.First {
+func (t *term) noteWait(a plan.StartRun) {
+	if !a.FirstOfJob {
 		return
 	}
-	metrics.GetOrRegisterTimer("plan.first_start", t.registry).Update(a.Waited)
+	metrics.GetOrRegisterTimer("plan.first_start", t.registry).Update(a.QueueTime)
 	if a.Guaranteed {
-		metrics.GetOrRegisterTimer("plan.first_start_guaranteed", t.registry).Update(a.Waited)
+		metrics.GetOrRegisterTimer("plan.first_start_guaranteed", t.registry).Update(a.QueueTime)
 	}
 }
 
@@ -187,7 +187,7 @@
 }
 
 // save writes a job's progress; it is tried until it is written or the term ends.
-func (t *term) save(a plan.Save, version uint64) {
+func (t *term) save(a plan.SaveProgress, version uint64) {
 	begin := time.Now()
 	for tries := 0; t.ctx.Err() == nil; tries++ {
 		fence, now, err := t.store.SaveProgress(t.ctx, t.fence, a.Job, version, a.Progress)
@@ -211,11 +211,11 @@
 	}
 }
 
-func (t *term) savedAs(a plan.Save, version uint64) {
+func (t *term) savedAs(a plan.SaveProgress, version uint64) {
 	t.mu.Lock()
 	t.versions[a.Job] = version
 	t.mu.Unlock()
-	t.step(plan.Saved{Job: a.Job, Number: a.Number})
+	t.step(plan.ProgressSaved{Job: a.Job, Number: a.Number})
 }
 
 // close ends all sessions; their agents look for the next owner.
--- a/internal/graph/job.go
+++ b/internal/graph/job.go
@@ -80,8 +80,8 @@
 	DataRack string `json:"data,omitempty"`
 	// MaxPerWorker bounds the tasks of the step on one worker; 0 for no bound.
 	MaxPerWorker int `json:"spread,omitempty"`
-	// Checkpoints tells that a task can resume from a checkpoint.
-	Checkpoints bool `json:"ckpt,omitempty"`
+	// Checkpointable tells that a task can resume from a checkpoint.
+	Checkpointable bool `json:"ckpt,omitempty"`
 }
 
 // Job is what a caller has submitted, with the terms of its queue at that time.
@@ -94,14 +94,14 @@
 	Spec  string `json:"spec"`
 	Steps []Step `json:"steps"`
 
-	Priority int `json:"prio"` // 0 comes first
-	Attempts int `json:"attempts"`
+	Priority    int `json:"prio"` // 0 comes first
+	MaxAttempts int `json:"attempts"`
 	// Stretch times the longest chain of work, plus Allowance, is the latency
 	// objective.
 	Stretch   float64       `json:"stretch"`
 	Allowance time.Duration `json:"allow"`
-	// Submitted is the time of day at the entry that accepted the job.
-	Submitted time.Time `json:"at"`
+	// SubmittedAt is the time of day at the entry that accepted the job.
+	SubmittedAt time.Time `json:"at"`
 }
 
 // Limits of a job. maxTasks keeps the progress row within the table's row size.
@@ -150,14 +150,14 @@
 	return nil
 }
 
-// Width returns what all tasks of a step need together.
-func (s *Step) Width() Resources {
+// TotalNeeds returns what all tasks of a step need together.
+func (s *Step) TotalNeeds() Resources {
 	n := s.Needs
 	return Resources{n.MilliCPU * s.Count, n.MemoryMB * s.Count, n.Accelerators * s.Count}
 }
 
-// Chain returns the longest chain of estimated work through the steps.
-func (j *Job) Chain() time.Duration {
+// CriticalPath returns the longest chain of estimated work through the steps.
+func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i, s := range j.Steps {
@@ -173,5 +173,5 @@
 
 // Objective returns the latency within which the job should be completed.
 func (j *Job) Objective() time.Duration {
-	return time.Duration(j.Stretch*float64(j.Chain())) + j.Allowance
+	return time.Duration(j.Stretch*float64(j.CriticalPath())) + j.Allowance
 }
--- a/internal/graph/plan/bench_test.go
+++ b/internal/graph/plan/bench_test.go
@@ -21,11 +21,11 @@
 }
 
 func newFilled(workers int) *filled {
-	f := &filled{core: New(Config{Token: 1, LeaseBound: simLease, TermStart: time.Unix(0, 0)}), runs: map[string][]graph.RunState{}}
+	f := &filled{core: New(Config{FencingToken: 1, LeaseBound: simLease, TermStart: time.Unix(0, 0)}), runs: map[string][]graph.RunState{}}
 	f.core.hasListened()
-	f.step(Configured{loadPolicy()})
+	f.step(PolicyChanged{loadPolicy()})
 	for i := range workers {
-		f.infos = append(f.infos, WorkerInfo{ID: fmt.Sprintf("w%05d", i), Instance: "i", Born: 1, Pool: "pool", Zone: fmt.Sprint("z", i%9),
+		f.infos = append(f.infos, WorkerInfo{ID: fmt.Sprintf("w%05d", i), Instance: "i", StartUnixMillis: 1, Pool: "pool", Zone: fmt.Sprint("z", i%9),
 			Rack: fmt.Sprint("r", i/40), Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8}})
 		f.beat(i)
 	}
@@ -45,9 +45,9 @@
 		a := pending[0]
 		pending = pending[1:]
 		switch a := a.(type) {
-		case Save:
-			pending = append(pending, f.core.Step(f.now, Saved{Job: a.Job, Number: a.Number})...)
-		case Start:
+		case SaveProgress:
+			pending = append(pending, f.core.Step(f.now, ProgressSaved{Job: a.Job, Number: a.Number})...)
+		case StartRun:
 			f.runs[a.Worker] = append(f.runs[a.Worker], graph.RunState{Task: a.Task, Run: a.Run, Percent: 1})
 		}
 	}
@@ -55,13 +55,13 @@
 
 func (f *filled) beat(i int) {
 	w := f.infos[i]
-	f.step(WorkerReport{Worker: w, Session: "s", Running: f.runs[w.ID], Answering: true})
+	f.step(WorkerReport{Worker: w, Session: "s", Running: f.runs[w.ID], WorkerResponsive: true})
 }
 
 func (f *filled) submit(tasks int) graph.JobID {
 	f.next++
 	id := graph.JobID(fmt.Sprintf("%016x", f.next))
-	f.step(Submitted{Job: &graph.Job{ID: id, Queue: "q", Pool: "pool", Priority: 1, Attempts: 3, Stretch: 3, Submitted: time.Unix(0, 0),
+	f.step(JobSubmitted{Job: &graph.Job{ID: id, Queue: "q", Pool: "pool", Priority: 1, MaxAttempts: 3, Stretch: 3, SubmittedAt: time.Unix(0, 0),
 		Steps: []graph.Step{{Count: tasks, Needs: graph.Resources{MilliCPU: 2000, Accelerators: 1}, Estimate: time.Hour}}}})
 	return id
 }
@@ -99,7 +99,7 @@
 func BenchmarkSubmit(b *testing.B) {
 	benchSizes(b, func(b *testing.B, f *filled) {
 		for range b.N {
-			f.step(Cancel{f.submit(4)})
+			f.step(JobCancelled{f.submit(4)})
 		}
 	})
 }
@@ -178,7 +178,7 @@
 // submitGang submits a gang of whole workers.
 func (f *filled) submitGang(tasks int, account string, priority int) {
 	f.next++
-	f.step(Submitted{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("%016x", f.next)), Queue: "q", Account: account, Pool: "pool", Priority: priority,
-		Attempts: 3, Stretch: 3, Submitted: time.Unix(0, 0),
+	f.step(JobSubmitted{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("%016x", f.next)), Queue: "q", Account: account, Pool: "pool", Priority: priority,
+		MaxAttempts: 3, Stretch: 3, SubmittedAt: time.Unix(0, 0),
 		Steps: []graph.Step{{Count: tasks, Gang: true, SameRack: account == "", Needs: graph.Resources{MilliCPU: 2000, Accelerators: 8}, Estimate: time.Hour}}}})
 }
--- a/internal/graph/plan/core.go
+++ b/internal/graph/plan/core.go
@@ -10,8 +10,8 @@
 
 // Config sets up a core.
 type Config struct {
-	// Token is the term's fencing token; it leads the run numbers.
-	Token uint64
+	// FencingToken is the term's fencing token; it leads the run numbers.
+	FencingToken uint64
 	// TermStart is the time of day at time zero.
 	TermStart time.Time
 	// LeaseBound is how long after the last report of a worker its lease has
@@ -19,9 +19,9 @@
 	LeaseBound time.Duration
 	// StopTime is how long a worker may take to stop a run; 0 for usualStop.
 	StopTime time.Duration
-	// Overlap is for how long after time zero the earlier owner may still grant
+	// TakeoverOverlap is for how long after time zero the earlier owner may still grant
 	// leases to workers that have not reported to this one.
-	Overlap time.Duration
+	TakeoverOverlap time.Duration
 }
 
 const (
@@ -86,17 +86,17 @@
 
 func (c *Core) handle(ev Event) {
 	switch e := ev.(type) {
-	case Submitted:
+	case JobSubmitted:
 		c.submitted(e)
-	case Cancel:
+	case JobCancelled:
 		c.cancel(e.Job)
 	case WorkerReport:
 		c.report(e)
 	case SessionClosed:
 		c.sessionClosed(e)
-	case Saved:
+	case ProgressSaved:
 		c.saved(e)
-	case Configured:
+	case PolicyChanged:
 		c.policy = e.Policy
 		c.stirred = true
 	case Tick:
@@ -128,9 +128,9 @@
 	}
 }
 
-// KeepFinal is how long a job that is final stays known: callers ask for it for
+// FinalJobRetention is how long a job that is final stays known: callers ask for it for
 // minutes.
-const KeepFinal = time.Hour
+const FinalJobRetention = time.Hour
 
 // forgetInterval is the time between two looks for jobs to forget.
 const forgetInterval = time.Minute
@@ -143,7 +143,7 @@
 	c.forgotAt = c.now
 	now := c.cfg.TermStart.Add(c.now)
 	for id, j := range c.jobs {
-		if j.durable.Final() && !j.saving && !j.finished.IsZero() && now.Sub(j.finished) > KeepFinal {
+		if j.durable.Final() && !j.saving && !j.finished.IsZero() && now.Sub(j.finished) > FinalJobRetention {
 			delete(c.jobs, id)
 		}
 	}
@@ -152,26 +152,26 @@
 // nextRun returns a run number that no earlier one of any task reaches.
 func (c *Core) nextRun() uint64 {
 	c.runs++
-	return c.cfg.Token*runsPerTerm + c.runs
+	return c.cfg.FencingToken*runsPerTerm + c.runs
 }
 
-// View is what callers may know of a job.
-type View struct {
+// JobStatus is what callers may know of a job.
+type JobStatus struct {
 	State graph.State
 	Queue string
 }
 
-// View returns a job's state; ok is false if the core does not know it.
-func (c *Core) View(id graph.JobID) (v View, ok bool) {
+// JobStatus returns a job's state; ok is false if the core does not know it.
+func (c *Core) JobStatus(id graph.JobID) (v JobStatus, ok bool) {
 	j := c.jobs[id]
 	if j == nil {
-		return View{}, false
+		return JobStatus{}, false
 	}
-	return View{State: j.shown(), Queue: j.Queue}, true
+	return JobStatus{State: j.shown(), Queue: j.Queue}, true
 }
 
-// Pending returns the number of a queue's jobs of which no task has started.
-func (c *Core) Pending(queue string) int {
+// PendingJobs returns the number of a queue's jobs of which no task has started.
+func (c *Core) PendingJobs(queue string) int {
 	n := 0
 	for _, j := range c.live {
 		if j.Queue == queue && j.shown() == graph.Queued {
@@ -204,11 +204,11 @@
 		j.saving, j.dirty = true, false
 		j.number++
 		j.afterSave, j.afterNext = j.afterNext, nil
-		c.emit(Save{Job: j.ID, Number: j.number, Progress: j.progress()})
+		c.emit(SaveProgress{Job: j.ID, Number: j.number, Progress: j.progress()})
 	}
 }
 
-func (c *Core) saved(e Saved) {
+func (c *Core) saved(e ProgressSaved) {
 	j := c.jobs[e.Job]
 	if j == nil || !j.saving || j.number != e.Number {
 		return
--- a/internal/graph/plan/core_test.go
+++ b/internal/graph/plan/core_test.go
@@ -27,8 +27,8 @@
 
 // newTermBed returns a bed at the begin of a term.
 func newTermBed(t *testing.T) *bed {
-	b := &bed{t: t, core: New(Config{Token: 3, LeaseBound: simLease, TermStart: time.Unix(0, 0)})}
-	b.step(Configured{loadPolicy()})
+	b := &bed{t: t, core: New(Config{FencingToken: 3, LeaseBound: simLease, TermStart: time.Unix(0, 0)})}
+	b.step(PolicyChanged{loadPolicy()})
 	return b
 }
 
@@ -39,8 +39,8 @@
 	for _, a := range b.core.Step(b.now, ev) {
 		switch a := a.(type) {
 		case Notice:
-		case Save:
-			out = append(out, b.step(Saved{Job: a.Job, Number: a.Number})...)
+		case SaveProgress:
+			out = append(out, b.step(ProgressSaved{Job: a.Job, Number: a.Number})...)
 		default:
 			out = append(out, a)
 		}
@@ -49,20 +49,20 @@
 }
 
 func (b *bed) report(id string, running []graph.RunState, ended ...graph.RunEnd) []Action {
-	return b.step(WorkerReport{Worker: WorkerInfo{ID: id, Instance: "i-" + id, Born: 1, Pool: "pool", Zone: "z0", Rack: "r0",
-		Capacity: graph.Resources{MilliCPU: 16000, Accelerators: 8}}, Session: "s", Running: running, Ended: ended, Beat: 1, Answering: true})
+	return b.step(WorkerReport{Worker: WorkerInfo{ID: id, Instance: "i-" + id, StartUnixMillis: 1, Pool: "pool", Zone: "z0", Rack: "r0",
+		Capacity: graph.Resources{MilliCPU: 16000, Accelerators: 8}}, Session: "s", Running: running, Ended: ended, Number: 1, WorkerResponsive: true})
 }
 
 func (b *bed) submit(id graph.JobID, accelerators int) []Action {
-	return b.step(Submitted{Job: &graph.Job{ID: id, Queue: "q", Account: "a0", Pool: "pool", Priority: 1, Attempts: 2, Stretch: 2,
-		Submitted: time.Unix(0, 0).Add(b.now),
-		Steps:     []graph.Step{{Count: 1, Needs: graph.Resources{MilliCPU: 1000, Accelerators: accelerators}, Estimate: time.Second}}}})
+	return b.step(JobSubmitted{Job: &graph.Job{ID: id, Queue: "q", Account: "a0", Pool: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2,
+		SubmittedAt: time.Unix(0, 0).Add(b.now),
+		Steps:       []graph.Step{{Count: 1, Needs: graph.Resources{MilliCPU: 1000, Accelerators: accelerators}, Estimate: time.Second}}}})
 }
 
-func starts(actions []Action) []Start {
-	var out []Start
+func starts(actions []Action) []StartRun {
+	var out []StartRun
 	for _, a := range actions {
-		if s, ok := a.(Start); ok {
+		if s, ok := a.(StartRun); ok {
 			out = append(out, s)
 		}
 	}
@@ -80,10 +80,10 @@
 	if len(first) != 0 {
 		t.Fatalf("placed twice: %+v", first)
 	}
-	b.step(Cancel{"j0"})
+	b.step(JobCancelled{"j0"})
 	// The worker runs another run of the job's task, which nobody knows any more.
 	stray := graph.RunState{Task: graph.TaskID{Job: "j0"}, Run: 1}
-	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runsPerTerm + 1, How: graph.EndStopped}
+	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runsPerTerm + 1, Kind: graph.EndStopped}
 	b.report("w0", []graph.RunState{stray}, ended)
 	if s := starts(b.submit("j1", 4)); len(s) > 0 {
 		t.Fatalf("started beside a stray run: %+v", s)
@@ -99,7 +99,7 @@
 	b := newBed(t)
 	granted := func(actions []Action) bool {
 		for _, a := range actions {
-			if _, ok := a.(Grant); ok {
+			if _, ok := a.(GrantLease); ok {
 				return true
 			}
 		}
@@ -111,7 +111,7 @@
 	if s := starts(b.submit("j0", 8)); len(s) != 1 {
 		t.Fatalf("%+v", s)
 	}
-	silent := WorkerReport{Worker: b.core.workers["w0"].info, Session: "s", Beat: 2}
+	silent := WorkerReport{Worker: b.core.workers["w0"].info, Session: "s", Number: 2}
 	for b.now < simLease {
 		b.now += time.Second
 		if granted(b.step(silent)) {
@@ -128,7 +128,7 @@
 // counts as an attempt, once, if the owner changes before the other members
 // have ended: the end may have been acknowledged by then.
 func TestFailedRunCountsAcrossTerms(t *testing.T) {
-	for _, other := range []graph.EndKind{graph.EndBroken, graph.EndFailed} {
+	for _, other := range []graph.EndKind{graph.EndGangBroken, graph.EndFailed} {
 		t.Run(string(other), func(t *testing.T) {
 			b := newBed(t)
 			job := gangOfTwo()
@@ -137,7 +137,7 @@
 
 			row := b.core.jobs[job.ID].progress()
 			next := newBed(t)
-			next.step(Submitted{Job: job, Progress: &row})
+			next.step(JobSubmitted{Job: job, Progress: &row})
 			next.report(first[0].Worker, nil)
 			next.report(first[1].Worker, nil, ended(first[1], other))
 			if got := next.core.jobs[job.ID].units[0].failures; got != 1 {
@@ -152,9 +152,9 @@
 				t.Fatalf("second attempt has %d members", len(u.members))
 			}
 			for _, m := range u.members {
-				next.report(m.worker.info.ID, nil, graph.RunEnd{Number: 2, Task: m.task, Run: m.run, How: graph.EndFailed})
+				next.report(m.worker.info.ID, nil, graph.RunEnd{Number: 2, Task: m.task, Run: m.run, Kind: graph.EndFailed})
 			}
-			if v, _ := next.core.View(job.ID); v.State != graph.Failed {
+			if v, _ := next.core.JobStatus(job.ID); v.State != graph.Failed {
 				t.Fatalf("after two failed runs: %+v", v)
 			}
 		})
@@ -163,15 +163,15 @@
 
 // gangOfTwo is a job of one gang that fills two workers and has two attempts.
 func gangOfTwo() *graph.Job {
-	return &graph.Job{ID: "j0", Queue: "q", Account: "a0", Pool: "pool", Priority: 1, Attempts: 2, Stretch: 2, Submitted: time.Unix(0, 0),
+	return &graph.Job{ID: "j0", Queue: "q", Account: "a0", Pool: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2, SubmittedAt: time.Unix(0, 0),
 		Steps: []graph.Step{{Count: 2, Gang: true, Needs: graph.Resources{MilliCPU: 1000, Accelerators: 8}, Estimate: time.Second}}}
 }
 
 // startGang starts a gang on two workers, which list it as running.
-func (b *bed) startGang(job *graph.Job) []Start {
+func (b *bed) startGang(job *graph.Job) []StartRun {
 	b.report("w0", nil)
 	b.report("w1", nil)
-	out := starts(b.step(Submitted{Job: job}))
+	out := starts(b.step(JobSubmitted{Job: job}))
 	if len(out) != 2 {
 		b.t.Fatalf("started %+v", out)
 	}
@@ -181,8 +181,8 @@
 	return out
 }
 
-func ended(s Start, how graph.EndKind) graph.RunEnd {
-	return graph.RunEnd{Number: 1, Task: s.Task, Run: s.Run, How: how}
+func ended(s StartRun, how graph.EndKind) graph.RunEnd {
+	return graph.RunEnd{Number: 1, Task: s.Task, Run: s.Run, Kind: how}
 }
 
 // TestOverlappingTermKeepsLeases shows that work on a worker that has not
@@ -196,8 +196,8 @@
 	row := b.core.jobs[job.ID].progress()
 
 	next := newBed(t)
-	next.core.cfg.Overlap = overlap
-	next.step(Submitted{Job: job, Progress: &row})
+	next.core.cfg.TakeoverOverlap = overlap
+	next.step(JobSubmitted{Job: job, Progress: &row})
 	for _, at := range []time.Duration{simLease + overlap, simLease + overlap + time.Millisecond} {
 		next.now = at
 		next.step(Tick{})
@@ -221,10 +221,10 @@
 		running := []graph.RunState{{Task: s[0].Task, Run: s[0].Run}}
 
 		b := newTermBed(t)
-		b.step(Submitted{Job: before.core.jobs["j0"].Job, Progress: &row})
+		b.step(JobSubmitted{Job: before.core.jobs["j0"].Job, Progress: &row})
 		claim := *before.core.jobs["j0"].Job
 		claim.ID, claim.Account, claim.Priority = "j1", "a0", 0
-		b.step(Submitted{Job: &claim})
+		b.step(JobSubmitted{Job: &claim})
 		actions := b.report("w0", running)
 		if second {
 			actions = append(actions, b.report("w1", nil)...)
@@ -247,7 +247,7 @@
 func stops(actions []Action) int {
 	n := 0
 	for _, a := range actions {
-		if _, ok := a.(Stop); ok {
+		if _, ok := a.(StopRun); ok {
 			n++
 		}
 	}
@@ -263,7 +263,7 @@
 		b.report("w0", nil)
 		s := starts(b.submit("j0", 8))
 		if stopped {
-			b.step(Cancel{"j0"})
+			b.step(JobCancelled{"j0"})
 		}
 		var at time.Duration
 		for b.now < 3*outcomeLimit && at == 0 {
@@ -284,14 +284,14 @@
 func TestClaimWaitsForSlowStops(t *testing.T) {
 	for _, stop := range []time.Duration{0, 400 * time.Millisecond, 1500 * time.Millisecond} {
 		b := newBed(t)
-		b.core = New(Config{Token: 3, LeaseBound: simLease, TermStart: time.Unix(0, 0), StopTime: stop})
+		b.core = New(Config{FencingToken: 3, LeaseBound: simLease, TermStart: time.Unix(0, 0), StopTime: stop})
 		b.core.hasListened()
-		b.step(Configured{loadPolicy()})
+		b.step(PolicyChanged{loadPolicy()})
 		b.report("w0", nil)
 		victim := starts(b.submit("j0", 8))[0]
 		claim := *b.core.jobs["j0"].Job
 		claim.ID, claim.Account, claim.Priority = "j1", "a0", 0
-		b.step(Submitted{Job: &claim})
+		b.step(JobSubmitted{Job: &claim})
 		u := b.core.jobs["j1"].units[0]
 		if u.claim == nil {
 			t.Fatalf("stop %v: no claim", stop)
--- a/internal/graph/plan/ends.go
+++ b/internal/graph/plan/ends.go
@@ -11,7 +11,7 @@
 	if j == nil || j.state.Final() {
 		return
 	}
-	c.finish(j, graph.Cancelled, ReasonCancelled)
+	c.finish(j, graph.Cancelled, ReasonJobCancelled)
 }
 
 // finish gives a job its final state and ends what still runs of it.
@@ -56,7 +56,7 @@
 		return
 	}
 	m.session, m.orderedAt = m.worker.session, c.now
-	c.emit(Stop{Worker: m.worker.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run})
+	c.emit(StopRun{Worker: m.worker.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run})
 }
 
 // memberEnded takes the end of one member.
@@ -68,8 +68,8 @@
 	c.stirred = true
 	c.release(m)
 	u := m.unit
-	c.emit(Notice{Reason: ReasonEnded, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID, Detail: string(how)})
-	if checkpoint != "" && u.spec.Checkpoints {
+	c.emit(Notice{Reason: ReasonRunEnded, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID, Detail: string(how)})
+	if checkpoint != "" && u.spec.Checkpointable {
 		u.checkpoint = checkpoint
 	}
 	switch how {
@@ -108,8 +108,8 @@
 	}
 	u.failed = false
 	u.failures++
-	if u.failures >= max(1, u.job.Attempts) {
-		c.finish(u.job, graph.Failed, ReasonFailed)
+	if u.failures >= max(1, u.job.MaxAttempts) {
+		c.finish(u.job, graph.Failed, ReasonJobFailed)
 	}
 }
 
@@ -122,5 +122,5 @@
 			return
 		}
 	}
-	c.finish(j, graph.Completed, ReasonDone)
+	c.finish(j, graph.Completed, ReasonJobCompleted)
 }
--- a/internal/graph/plan/fleet_test.go
+++ b/internal/graph/plan/fleet_test.go
@@ -120,7 +120,7 @@
 	for i := range workers {
 		zone := i / 4
 		s.workers = append(s.workers, &simWorker{
-			info: WorkerInfo{ID: fmt.Sprintf("w%02d", i), Instance: fmt.Sprintf("i%02d", i), Born: 1, Pool: "pool",
+			info: WorkerInfo{ID: fmt.Sprintf("w%02d", i), Instance: fmt.Sprintf("i%02d", i), StartUnixMillis: 1, Pool: "pool",
 				Zone: fmt.Sprintf("z%d", zone), Rack: fmt.Sprintf("r%d-%d", zone, i%4/2), Capacity: capacity},
 			speed: 1, linked: true, stopped: map[string]uint64{}, session: 1,
 		})
@@ -132,7 +132,7 @@
 // takeOver begins a new term from the rows, after the earlier owner has ended.
 func (s *sim) takeOver() {
 	s.earlier = nil
-	s.orders = slices.DeleteFunc(s.orders, func(o simOrder) bool { _, isSave := o.action.(Save); return !isSave })
+	s.orders = slices.DeleteFunc(s.orders, func(o simOrder) bool { _, isSave := o.action.(SaveProgress); return !isSave })
 	s.begin(0)
 	for _, w := range s.workers {
 		w.join()
@@ -187,15 +187,15 @@
 func (s *sim) begin(overlap time.Duration) {
 	s.token++
 	s.start = s.now
-	s.core = New(Config{Token: s.token, TermStart: time.Unix(0, 0).Add(s.now), LeaseBound: simLease, Overlap: overlap})
-	s.step(Configured{s.policy})
+	s.core = New(Config{FencingToken: s.token, TermStart: time.Unix(0, 0).Add(s.now), LeaseBound: simLease, TakeoverOverlap: overlap})
+	s.step(PolicyChanged{s.policy})
 	for _, j := range s.jobs {
 		if !s.rowSeen[j.ID] {
 			continue
 		}
-		s.step(Submitted{Job: j.Job, Progress: s.progressOf(j.ID)})
+		s.step(JobSubmitted{Job: j.Job, Progress: s.progressOf(j.ID)})
 		if j.cancelled > 0 {
-			s.step(Cancel{j.ID})
+			s.step(JobCancelled{j.ID})
 		}
 	}
 }
@@ -221,18 +221,18 @@
 
 func (s *sim) submit(j *simJob) {
 	j.submitted = s.now
-	j.Submitted = time.Unix(0, 0).Add(s.now)
+	j.SubmittedAt = time.Unix(0, 0).Add(s.now)
 	s.jobs = append(s.jobs, j)
 	j.claims = j.Priority == 0
 	s.noteClaims()
 	s.byID[j.ID] = j
 	s.rowSeen[j.ID] = true
-	s.step(Submitted{Job: j.Job})
+	s.step(JobSubmitted{Job: j.Job})
 }
 
 func (s *sim) cancel(j *simJob) {
 	j.cancelled = s.now
-	s.step(Cancel{j.ID})
+	s.step(JobCancelled{j.ID})
 }
 
 // runUntil lets time pass.
@@ -273,7 +273,7 @@
 
 func (s *sim) carryOut(o simOrder) {
 	switch a := o.action.(type) {
-	case Save:
+	case SaveProgress:
 		if s.noStore {
 			o.at = s.now + simStep
 			s.orders = append(s.orders, o)
@@ -283,21 +283,21 @@
 			return // fenced off
 		}
 		s.rows[a.Job] = a.Progress
-		s.step(Saved{Job: a.Job, Number: a.Number})
-	case Start:
+		s.step(ProgressSaved{Job: a.Job, Number: a.Number})
+	case StartRun:
 		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
 			s.startRun(w, a)
 		}
-	case Stop:
+	case StopRun:
 		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
 			s.stopRun(w, a)
 		}
-	case Grant:
+	case GrantLease:
 		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
 			// The lease counts from when the report was sent.
-			w.lease = max(w.lease, time.Duration(a.Beat)*simStep+simLease-400*time.Millisecond)
+			w.lease = max(w.lease, time.Duration(a.ReportNumber)*simStep+simLease-400*time.Millisecond)
 		}
-	case Acknowledge:
+	case AcknowledgeEnds:
 		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
 			s.note(w, a.Number)
 			w.seen = max(w.seen, a.Number)
@@ -323,7 +323,7 @@
 			continue
 		}
 		u := s.unitOf(e.Task)
-		switch e.How {
+		switch e.Kind {
 		case graph.EndDone:
 			u.noted = true
 		case graph.EndFailed:
@@ -357,7 +357,7 @@
 	return sum
 }
 
-func (s *sim) startRun(w *simWorker, a Start) {
+func (s *sim) startRun(w *simWorker, a StartRun) {
 	s.starts++
 	u := s.unitOf(a.Task)
 	if w.stopped[a.Task.String()] >= a.Run {
@@ -410,7 +410,7 @@
 		}
 	}
 	for _, j := range s.jobs {
-		if j.final == "" && need[j.Account] > s.policy.Guaranteed(j.Account) {
+		if j.final == "" && need[j.Account] > s.policy.GuaranteedAccelerators(j.Account) {
 			j.claims = false
 		}
 	}
@@ -419,13 +419,13 @@
 func (j *simJob) widest() int {
 	most := 0
 	for i := range j.Steps {
-		most = max(most, j.Steps[i].Width().Accelerators)
+		most = max(most, j.Steps[i].TotalNeeds().Accelerators)
 	}
 	return most
 }
 
 // checkStart checks the promises that a start must keep.
-func (s *sim) checkStart(w *simWorker, u *simUnit, a Start) {
+func (s *sim) checkStart(w *simWorker, u *simUnit, a StartRun) {
 	j := u.job
 	if j.cancelled > 0 && s.now > j.cancelled+3*time.Second {
 		s.fail("%v starts after its job was cancelled", a.Task)
@@ -433,8 +433,8 @@
 	if u.noted {
 		s.fail("%v starts after it was done", a.Task)
 	}
-	if len(u.notedFailed) >= max(1, j.Attempts) {
-		s.fail("%v starts after %d of %d attempts have failed", a.Task, len(u.notedFailed), j.Attempts)
+	if len(u.notedFailed) >= max(1, j.MaxAttempts) {
+		s.fail("%v starts after %d of %d attempts have failed", a.Task, len(u.notedFailed), j.MaxAttempts)
 	}
 	if a.Spec != j.Spec {
 		s.fail("%v starts with spec %q", a.Task, a.Spec)
@@ -465,7 +465,7 @@
 	}
 }
 
-func (s *sim) stopRun(w *simWorker, a Stop) {
+func (s *sim) stopRun(w *simWorker, a StopRun) {
 	key := a.Task.String()
 	for _, r := range w.runs {
 		if r.task == a.Task && r.run == a.Run {
@@ -489,7 +489,7 @@
 func (s *sim) work(w *simWorker) {
 	if w.lease > 0 && s.now > w.lease {
 		for _, r := range slices.Clone(w.runs) {
-			s.end(w, r, graph.EndLapsed)
+			s.end(w, r, graph.EndLeaseExpired)
 		}
 		w.void = w.seen + uint64(len(w.ended))
 	}
@@ -571,13 +571,13 @@
 	w.runs = slices.DeleteFunc(w.runs, func(o *simRun) bool { return o == r })
 	u.runs = slices.DeleteFunc(u.runs, func(o *simRun) bool { return o == r })
 	saved := ""
-	if u.step.Checkpoints && how != graph.EndDone {
+	if u.step.Checkpointable && how != graph.EndDone {
 		saved = fmt.Sprint(int64(r.progress))
 	} else if how != graph.EndDone {
 		s.wasted += (r.progress - r.resumed).Seconds() * u.step.Needs.Cores()
 	}
 	w.stopped[r.task.String()] = max(w.stopped[r.task.String()], r.run)
-	w.ended = append(w.ended, graph.RunEnd{Number: w.seen + uint64(len(w.ended)) + 1, Task: r.task, Run: r.run, How: how, Checkpoint: saved})
+	w.ended = append(w.ended, graph.RunEnd{Number: w.seen + uint64(len(w.ended)) + 1, Task: r.task, Run: r.run, Kind: how, Checkpoint: saved})
 	w.news = true
 	if how == graph.EndFailed {
 		u.failed = with(u.failed, r.run)
@@ -588,7 +588,7 @@
 	for _, other := range s.workers {
 		for _, o := range slices.Clone(other.runs) {
 			if o.unit == u && o.run == r.run {
-				s.end(other, o, graph.EndBroken)
+				s.end(other, o, graph.EndGangBroken)
 			}
 		}
 	}
@@ -604,12 +604,12 @@
 	}
 	w.news = false
 	w.reports = s.now + simBeat
-	e := WorkerReport{Worker: w.info, Session: fmt.Sprintf("%s-%d", w.info.ID, w.session), Absent: w.absent, Answering: true, Beat: uint64(s.now / simStep)}
+	e := WorkerReport{Worker: w.info, Session: fmt.Sprintf("%s-%d", w.info.ID, w.session), Absent: w.absent, WorkerResponsive: true, Number: uint64(s.now / simStep)}
 	w.absent = nil
 	for _, r := range w.runs {
 		percent := int(100 * r.progress / max(r.unit.work, 1))
 		saved := ""
-		if r.unit.step.Checkpoints {
+		if r.unit.step.Checkpointable {
 			saved = fmt.Sprint(int64(r.progress))
 		}
 		e.Running = append(e.Running, graph.RunState{Task: r.task, Run: r.run, Checkpoint: saved, Percent: min(percent, 99)})
@@ -632,7 +632,7 @@
 		for _, other := range s.workers {
 			for _, o := range slices.Clone(other.runs) {
 				if o.unit == u && o.run == r.run && other != w {
-					s.end(other, o, graph.EndBroken)
+					s.end(other, o, graph.EndGangBroken)
 				}
 			}
 		}
@@ -640,7 +640,7 @@
 	w.runs, w.ended, w.absent = nil, nil, nil
 	w.seen, w.lease, w.void = 0, 0, 0
 	w.stopped = map[string]uint64{}
-	w.info.Born++
+	w.info.StartUnixMillis++
 	w.news = true
 }
 
@@ -650,7 +650,7 @@
 		if j.final != "" {
 			continue
 		}
-		v, ok := s.core.View(j.ID)
+		v, ok := s.core.JobStatus(j.ID)
 		if !ok || !v.State.Final() {
 			continue
 		}
@@ -672,7 +672,7 @@
 func (j *simJob) outOfAttempts() bool {
 	for _, units := range j.units {
 		for _, u := range units {
-			if len(u.failed) >= max(1, j.Attempts) {
+			if len(u.failed) >= max(1, j.MaxAttempts) {
 				return true
 			}
 		}
--- a/internal/graph/plan/job.go
+++ b/internal/graph/plan/job.go
@@ -149,7 +149,7 @@
 			continue
 		}
 		since := m.runningAt
-		if u.spec.Checkpoints {
+		if u.spec.Checkpointable {
 			// A stop brings a checkpoint of its own.
 			since = now
 		}
@@ -160,7 +160,7 @@
 
 // progress returns what the table has to hold of the job.
 func (j *job) progress() graph.Progress {
-	p := graph.Progress{Job: j.ID, State: j.state, Finished: j.finished}
+	p := graph.Progress{Job: j.ID, State: j.state, FinishedAt: j.finished}
 	if j.state == graph.Queued && j.begun {
 		p.State = graph.Running
 	}
@@ -180,12 +180,12 @@
 		out = append(out, graph.TaskProgress{Step: u.step, Index: m.task.Index, Run: m.run,
 			Worker: m.worker.info.ID, Incarnation: m.incarnation})
 	}
-	common := graph.TaskProgress{Step: u.step, Index: u.index, Failures: u.failures, Failed: u.failed,
+	common := graph.TaskProgress{Step: u.step, Index: u.index, Failures: u.failures, RunFailed: u.failed,
 		Done: u.phase == unitDone || u.done, Checkpoint: u.checkpoint}
 	switch {
 	case len(out) > 0 && out[0].Index == u.index:
-		out[0].Failures, out[0].Failed, out[0].Done, out[0].Checkpoint = common.Failures, common.Failed, common.Done, common.Checkpoint
-	case common.Failures > 0 || common.Failed || common.Done || common.Checkpoint != "":
+		out[0].Failures, out[0].RunFailed, out[0].Done, out[0].Checkpoint = common.Failures, common.RunFailed, common.Done, common.Checkpoint
+	case common.Failures > 0 || common.RunFailed || common.Done || common.Checkpoint != "":
 		out = append([]graph.TaskProgress{common}, out...)
 	}
 	return out
--- a/internal/graph/plan/load_test.go
+++ b/internal/graph/plan/load_test.go
@@ -49,7 +49,7 @@
 func loadPolicy() *policy.Snapshot {
 	p := &policy.Snapshot{Version: 1, ZonesOut: map[string]bool{}}
 	for i, g := range []int{18, 15, 12, 10} {
-		p.Accounts = append(p.Accounts, policy.ClientAccount{Name: fmt.Sprintf("a%d", i), Guaranteed: g})
+		p.Accounts = append(p.Accounts, policy.ClientAccount{Name: fmt.Sprintf("a%d", i), GuaranteedAccelerators: g})
 	}
 	return p
 }
@@ -61,7 +61,7 @@
 // draw draws a job of a class.
 func (c *class) draw(r *rand.Rand, n int) *simJob {
 	j := &simJob{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("j%04d", n)), Queue: c.name, Account: fmt.Sprintf("a%d", int(r.Float64()*r.Float64()*4)),
-		Pool: "pool", Spec: fmt.Sprint("spec", n), Priority: c.priority, Attempts: c.attempts, Stretch: c.stretch, Allowance: c.aim}, units: map[int][]*simUnit{}}
+		Pool: "pool", Spec: fmt.Sprint("spec", n), Priority: c.priority, MaxAttempts: c.attempts, Stretch: c.stretch, Allowance: c.aim}, units: map[int][]*simUnit{}}
 	steps := 1
 	if c.priority == 2 && r.Float64() < 0.3 {
 		steps = 2
@@ -88,7 +88,7 @@
 	s := graph.Step{Count: max(1, min(c.maxWidth, int(lognormal(r, c.width, 0.8)+0.5))), Needs: c.needs}
 	s.Needs.Accelerators = c.gpus[r.Intn(len(c.gpus))]
 	s.Estimate = time.Duration(float64(work) * math.Exp(r.NormFloat64()*c.off))
-	s.Checkpoints = r.Float64() < c.saves
+	s.Checkpointable = r.Float64() < c.saves
 	if s.Count > 1 && r.Float64() < c.gang && s.Count*s.Needs.Accelerators <= 16 {
 		s.Gang = true
 		s.SameRack = r.Float64() < c.sameRack
--- a/internal/graph/plan/machine_test.go
+++ b/internal/graph/plan/machine_test.go
@@ -57,7 +57,7 @@
 // wider reports whether a gang is too wide for the machine's small fleet.
 func wider(j *simJob) bool {
 	for _, s := range j.Steps {
-		if s.Gang && (s.Count > 4 || s.Width().Accelerators > 8) {
+		if s.Gang && (s.Count > 4 || s.TotalNeeds().Accelerators > 8) {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 
 func (m *planMachine) drain(w *simWorker) {
 	w.info.Draining = !w.info.Draining
-	w.info.Remaining = 5 * time.Second
+	w.info.DrainRemaining = 5 * time.Second
 	w.news = true
 }
 
@@ -145,7 +145,7 @@
 		m.policy = next
 	}
 	// What is on its way when a zone goes out may still start there.
-	m.step(Configured{next})
+	m.step(PolicyChanged{next})
 	m.runUntil(m.now + 2*simStep)
 	m.policy = next
 }
--- a/internal/graph/plan/place.go
+++ b/internal/graph/plan/place.go
@@ -232,7 +232,7 @@
 	return true
 }
 
-func (u *unit) lastTry() bool { return u.failures > 0 && u.failures+1 >= u.job.Attempts }
+func (u *unit) lastTry() bool { return u.failures > 0 && u.failures+1 >= u.job.MaxAttempts }
 
 // sites returns the places that a unit may use now. Room that is set aside for
 // others is left out, unless the unit is expected to be gone by then.
--- a/internal/graph/plan/reclaim.go
+++ b/internal/graph/plan/reclaim.go
@@ -147,7 +147,7 @@
 func (c *Core) loss(u *unit) float64 {
 	lost := wasteWeight * u.unsaved(c.now)
 	left := u.spec.Estimate
-	if u.spec.Checkpoints {
+	if u.spec.Checkpointable {
 		left = u.remaining()
 	}
 	return lost + c.lateLoss(u.job, c.now+requeueTime+left) - c.lateLoss(u.job, c.now+u.remaining())
--- a/internal/graph/plan/recover.go
+++ b/internal/graph/plan/recover.go
@@ -7,13 +7,13 @@
 )
 
 // submitted takes over a job from the table.
-func (c *Core) submitted(e Submitted) {
+func (c *Core) submitted(e JobSubmitted) {
 	if c.jobs[e.Job.ID] != nil {
 		return
 	}
 	c.stirred = true
 	j := newJob(e.Job)
-	j.arrived = min(e.Job.Submitted.Sub(c.cfg.TermStart), c.now)
+	j.arrived = min(e.Job.SubmittedAt.Sub(c.cfg.TermStart), c.now)
 	c.jobs[j.ID] = j
 	if e.Progress != nil {
 		c.recover(j, e.Progress)
@@ -34,13 +34,13 @@
 		}
 	}
 	return fmt.Sprintf("%s, priority %d, account %s, %d steps (%d gangs), %d tasks, %d accelerators, chain %v, objective %v",
-		j.state, j.Priority, j.Account, len(j.Steps), gangs, tasks, j.accelerators(), j.Chain(), j.Objective())
+		j.state, j.Priority, j.Account, len(j.Steps), gangs, tasks, j.accelerators(), j.CriticalPath(), j.Objective())
 }
 
 // recover restores a job's units. Where a task may still run it is bound to
 // the worker's incarnation until that worker is heard or its lease is over.
 func (c *Core) recover(j *job, p *graph.Progress) {
-	j.state, j.durable, j.finished = p.State, p.State, p.Finished
+	j.state, j.durable, j.finished = p.State, p.State, p.FinishedAt
 	j.begun = p.State != graph.Queued
 	for _, t := range p.Tasks {
 		u := j.unitOf(t.Step, t.Index)
@@ -48,7 +48,7 @@
 			continue
 		}
 		if t.Index == u.index {
-			u.failures, u.failed, u.checkpoint = t.Failures, t.Failed, t.Checkpoint
+			u.failures, u.failed, u.checkpoint = t.Failures, t.RunFailed, t.Checkpoint
 			if t.Done {
 				u.phase, u.done = unitDone, true
 			}
--- a/internal/graph/plan/schedule.go
+++ b/internal/graph/plan/schedule.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		if _, ok := left[j.Account]; !ok {
-			left[j.Account] = c.policy.Guaranteed(j.Account)
+			left[j.Account] = c.policy.GuaranteedAccelerators(j.Account)
 		}
 		if need := j.accelerators(); need <= left[j.Account] {
 			left[j.Account] -= need
@@ -111,7 +111,7 @@
 func (j *job) accelerators() int {
 	most := 0
 	for i := range j.Steps {
-		most = max(most, j.Steps[i].Width().Accelerators)
+		most = max(most, j.Steps[i].TotalNeeds().Accelerators)
 	}
 	return most
 }
@@ -214,8 +214,8 @@
 			m.orderedAt, m.movedAt = c.now, c.now
 			first := !u.job.begun
 			u.job.begun = true
-			c.emit(Start{Worker: w.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run, Spec: u.job.Spec, Checkpoint: u.resume(),
-				First: first, Guaranteed: first && c.entitled()[u.job], Waited: c.now - u.job.arrived})
+			c.emit(StartRun{Worker: w.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run, Spec: u.job.Spec, Checkpoint: u.resume(),
+				FirstOfJob: first, Guaranteed: first && c.entitled()[u.job], QueueTime: c.now - u.job.arrived})
 		}
 	}
 }
@@ -231,13 +231,13 @@
 // abandon ends a run of which nothing has been ordered.
 func (c *Core) abandon(u *unit, members []*member) {
 	for _, m := range members {
-		c.memberEnded(m, graph.EndAbsent, "")
+		c.memberEnded(m, graph.EndNeverStarted, "")
 	}
 	c.save(u.job, nil)
 }
 
 func (u *unit) resume() string {
-	if !u.spec.Checkpoints {
+	if !u.spec.Checkpointable {
 		return ""
 	}
 	return u.checkpoint
--- a/internal/graph/plan/types.go
+++ b/internal/graph/plan/types.go
@@ -23,14 +23,14 @@
 // Event is an input of the core.
 type Event interface{ event() }
 
-// Submitted brings a job that is in the table, with its progress if it has any.
-type Submitted struct {
+// JobSubmitted brings a job that is in the table, with its progress if it has any.
+type JobSubmitted struct {
 	Job      *graph.Job
 	Progress *graph.Progress
 }
 
-// Cancel says that a job's cancelling is in the table.
-type Cancel struct{ Job graph.JobID }
+// JobCancelled says that a job's cancelling is in the table.
+type JobCancelled struct{ Job graph.JobID }
 
 // WorkerInfo describes one incarnation of a worker.
 type WorkerInfo struct {
@@ -38,16 +38,16 @@
 	ID string
 	// Instance is the name that the worker has given itself, and Born its start
 	// in milliseconds since 1970, 0 if it does not say.
-	Instance string
-	Born     int64
-	Pool     string
-	Zone     string
-	Rack     string
-	Labels   []string
-	Capacity graph.Resources
-	Draining bool
-	// Remaining is how long a draining worker stays at least.
-	Remaining time.Duration
+	Instance        string
+	StartUnixMillis int64
+	Pool            string
+	Zone            string
+	Rack            string
+	Labels          []string
+	Capacity        graph.Resources
+	Draining        bool
+	// DrainRemaining is how long a draining worker stays at least.
+	DrainRemaining time.Duration
 }
 
 // Incarnation names one life of a worker: a host has one at a time.
@@ -55,7 +55,7 @@
 	if w.Instance == "" {
 		return ""
 	}
-	return w.Instance + "@" + strconv.FormatInt(w.Born, 10)
+	return w.Instance + "@" + strconv.FormatInt(w.StartUnixMillis, 10)
 }
 
 // RunAbsent says that a run is not on the worker and never will be.
@@ -73,83 +73,83 @@
 	Running []graph.RunState
 	Ended   []graph.RunEnd
 	Absent  []RunAbsent
-	// Beat numbers the reports of a session; a Grant names it.
-	Beat uint64
-	// Answering is false while the worker does not answer its agent. It gets no
+	// Number numbers the reports of a session; a Grant names it.
+	Number uint64
+	// WorkerResponsive is false while the worker does not answer its agent. It gets no
 	// grants then: an order with a new deadline could still reach it.
-	Answering bool
-	// Gone says that the worker has left and runs nothing any more.
-	Gone bool
+	WorkerResponsive bool
+	// WorkerLeft says that the worker has left and runs nothing any more.
+	WorkerLeft bool
 }
 
 // SessionClosed says that the connection with a worker's agent has ended.
 type SessionClosed struct{ Worker, Session string }
 
-// Saved says that the progress with this number is in the table.
-type Saved struct {
+// ProgressSaved says that the progress with this number is in the table.
+type ProgressSaved struct {
 	Job    graph.JobID
 	Number uint64
 }
 
-// Configured brings the operators' configuration.
-type Configured struct{ Policy *policy.Snapshot }
+// PolicyChanged brings the operators' configuration.
+type PolicyChanged struct{ Policy *policy.Snapshot }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Submitted) event()     {}
-func (Cancel) event()        {}
+func (JobSubmitted) event()  {}
+func (JobCancelled) event()  {}
 func (WorkerReport) event()  {}
 func (SessionClosed) event() {}
-func (Saved) event()         {}
-func (Configured) event()    {}
+func (ProgressSaved) event() {}
+func (PolicyChanged) event() {}
 func (Tick) event()          {}
 
 // Action is an output of the core.
 type Action interface{ action() }
 
-// Start orders a run. It may be ordered again for the same run.
-type Start struct {
+// StartRun orders a run. It may be ordered again for the same run.
+type StartRun struct {
 	Worker      string
 	Incarnation string
 	Task        graph.TaskID
 	Run         uint64
 	Spec        string
 	Checkpoint  string
-	// First is set for the first start of a job; Waited is the time since its
+	// FirstOfJob is set for the first start of a job; Waited is the time since its
 	// submission then, and Guaranteed tells that it lay within a guarantee.
-	First      bool
+	FirstOfJob bool
 	Guaranteed bool
-	Waited     time.Duration
+	QueueTime  time.Duration
 }
 
-// Stop orders the end of a run, also of one that may not have begun: the agent
+// StopRun orders the end of a run, also of one that may not have begun: the agent
 // lists its end or reports it absent.
-type Stop struct {
+type StopRun struct {
 	Worker      string
 	Incarnation string
 	Task        graph.TaskID
 	Run         uint64
 }
 
-// Grant lets a worker's lease last for its whole length from when the report
+// GrantLease lets a worker's lease last for its whole length from when the report
 // with this number was sent. The lease then ends before LeaseBound has passed
 // since the core took the report.
-type Grant struct {
-	Worker      string
-	Incarnation string
-	Beat        uint64
+type GrantLease struct {
+	Worker       string
+	Incarnation  string
+	ReportNumber uint64
 }
 
-// Acknowledge lets a worker forget its ends up to a number.
-type Acknowledge struct {
+// AcknowledgeEnds lets a worker forget its ends up to a number.
+type AcknowledgeEnds struct {
 	Worker      string
 	Incarnation string
 	Number      uint64
 }
 
-// Save writes a job's progress; Saved answers it.
-type Save struct {
+// SaveProgress writes a job's progress; Saved answers it.
+type SaveProgress struct {
 	Job      graph.JobID
 	Number   uint64
 	Progress graph.Progress
@@ -165,32 +165,32 @@
 	Detail string
 }
 
-func (Start) action()       {}
-func (Stop) action()        {}
-func (Grant) action()       {}
-func (Acknowledge) action() {}
-func (Save) action()        {}
-func (Notice) action()      {}
+func (StartRun) action()        {}
+func (StopRun) action()         {}
+func (GrantLease) action()      {}
+func (AcknowledgeEnds) action() {}
+func (SaveProgress) action()    {}
+func (Notice) action()          {}
 
 // Reason is a typed reason of a decision.
 type Reason string
 
 // The reasons of decisions.
 const (
-	ReasonAccepted    Reason = "accepted"
-	ReasonPlaced      Reason = "placed"
-	ReasonEnded       Reason = "run-ended"
-	ReasonDone        Reason = "job-completed"
-	ReasonFailed      Reason = "job-failed"
-	ReasonCancelled   Reason = "job-cancelled"
-	ReasonReclaimed   Reason = "reclaimed-for-guarantee"
-	ReasonPreempted   Reason = "preempted"
-	ReasonDraining    Reason = "worker-draining"
-	ReasonHung        Reason = "no-progress"
-	ReasonNoOutcome   Reason = "order-without-outcome"
-	ReasonWorkerUp    Reason = "worker-up"
-	ReasonWorkerLost  Reason = "worker-lost"
-	ReasonWorkerNew   Reason = "worker-incarnation-changed"
-	ReasonQuarantined Reason = "worker-quarantined"
-	ReasonUnknownRun  Reason = "unknown-run-stopped"
+	ReasonAccepted           Reason = "accepted"
+	ReasonPlaced             Reason = "placed"
+	ReasonRunEnded           Reason = "run-ended"
+	ReasonJobCompleted       Reason = "job-completed"
+	ReasonJobFailed          Reason = "job-failed"
+	ReasonJobCancelled       Reason = "job-cancelled"
+	ReasonReclaimed          Reason = "reclaimed-for-guarantee"
+	ReasonPreempted          Reason = "preempted"
+	ReasonWorkerDraining     Reason = "worker-draining"
+	ReasonNoProgress         Reason = "no-progress"
+	ReasonNoOutcome          Reason = "order-without-outcome"
+	ReasonWorkerUp           Reason = "worker-up"
+	ReasonWorkerLost         Reason = "worker-lost"
+	ReasonIncarnationChanged Reason = "worker-incarnation-changed"
+	ReasonWorkerQuarantined  Reason = "worker-quarantined"
+	ReasonUnknownRun         Reason = "unknown-run-stopped"
 )
--- a/internal/graph/plan/watch.go
+++ b/internal/graph/plan/watch.go
@@ -12,7 +12,7 @@
 		}
 		c.watchDraining(u)
 		if m := c.hung(u); m != nil && !u.ending {
-			c.emit(Notice{Reason: ReasonHung, Job: j.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID})
+			c.emit(Notice{Reason: ReasonNoProgress, Job: j.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID})
 			u.avoidWorker(m.worker.info.ID, c.now+suspectFor)
 			c.workerFailed(m.worker, u)
 			c.endRun(u)
@@ -77,14 +77,14 @@
 		if m.ended || !w.info.Draining || !w.linked() {
 			continue
 		}
-		left := w.drainingAt + w.info.Remaining - c.now
+		left := w.drainingAt + w.info.DrainRemaining - c.now
 		if c.expectedEnd(m) <= c.now+left {
 			continue
 		}
-		if u.spec.Checkpoints && left > drainMargin {
+		if u.spec.Checkpointable && left > drainMargin {
 			continue
 		}
-		c.emit(Notice{Reason: ReasonDraining, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: w.info.ID})
+		c.emit(Notice{Reason: ReasonWorkerDraining, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: w.info.ID})
 		c.endRun(u)
 		return
 	}
--- a/internal/graph/plan/workers.go
+++ b/internal/graph/plan/workers.go
@@ -65,7 +65,7 @@
 	if w != nil {
 		return w
 	}
-	w = &worker{info: WorkerInfo{ID: id}, heardAt: c.now, leaseFrom: c.now + c.cfg.Overlap}
+	w = &worker{info: WorkerInfo{ID: id}, heardAt: c.now, leaseFrom: c.now + c.cfg.TakeoverOverlap}
 	c.workers[id] = w
 	i, _ := slices.BinarySearchFunc(c.ordered, id, func(o *worker, id string) int { return strings.Compare(o.info.ID, id) })
 	c.ordered = slices.Insert(c.ordered, i, w)
@@ -90,24 +90,24 @@
 	if w.info.Incarnation() != e.Worker.Incarnation() {
 		c.reborn(w, e.Worker.Incarnation())
 	}
-	lost := !e.Answering && c.now-w.leaseFrom > c.cfg.LeaseBound
+	lost := !e.WorkerResponsive && c.now-w.leaseFrom > c.cfg.LeaseBound
 	if !w.heard || w.lost && !lost {
 		c.emit(Notice{Reason: ReasonWorkerUp, Worker: e.Worker.ID, Detail: e.Worker.Rack})
 	}
 	if e.Worker.Draining && !w.info.Draining {
 		w.drainingAt = c.now
-		c.emit(Notice{Reason: ReasonDraining, Worker: e.Worker.ID, Detail: e.Worker.Remaining.String()})
+		c.emit(Notice{Reason: ReasonWorkerDraining, Worker: e.Worker.ID, Detail: e.Worker.DrainRemaining.String()})
 	}
-	if !w.heard || w.lost != lost || w.session != e.Session || w.answering != e.Answering || w.info.Draining != e.Worker.Draining || w.info.Capacity != e.Worker.Capacity {
+	if !w.heard || w.lost != lost || w.session != e.Session || w.answering != e.WorkerResponsive || w.info.Draining != e.Worker.Draining || w.info.Capacity != e.Worker.Capacity {
 		c.stirred = true
 	}
 	w.info = e.Worker
-	w.heard, w.answering = true, e.Answering
+	w.heard, w.answering = true, e.WorkerResponsive
 	w.lost = w.lost && lost
 	w.heardAt = c.now
-	if e.Answering && !e.Gone {
+	if e.WorkerResponsive && !e.WorkerLeft {
 		w.leaseFrom = c.now
-		c.emit(Grant{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Beat: e.Beat})
+		c.emit(GrantLease{Worker: w.info.ID, Incarnation: w.info.Incarnation(), ReportNumber: e.Number})
 	}
 	fresh := w.session != e.Session
 	w.session = e.Session
@@ -116,7 +116,7 @@
 	for _, a := range e.Absent {
 		c.absent(w, a)
 	}
-	if e.Gone {
+	if e.WorkerLeft {
 		w.answering = false
 		c.loseMembers(w, noIncarnation)
 		return
@@ -127,7 +127,7 @@
 // reborn says that a worker's earlier incarnations, and all they ran, are gone.
 func (c *Core) reborn(w *worker, now string) {
 	if w.heard {
-		c.emit(Notice{Reason: ReasonWorkerNew, Worker: w.info.ID, Detail: now})
+		c.emit(Notice{Reason: ReasonIncarnationChanged, Worker: w.info.ID, Detail: now})
 	}
 	w.acks, w.listed, w.acked = nil, 0, 0
 	w.failed, w.quarantine = nil, 0
@@ -141,7 +141,7 @@
 		if m.incarnation == except {
 			continue
 		}
-		c.memberEnded(m, graph.EndGone, "")
+		c.memberEnded(m, graph.EndWorkerLost, "")
 		c.save(m.unit.job, nil)
 	}
 }
@@ -171,7 +171,7 @@
 		}
 	}
 	c.emit(Notice{Reason: ReasonUnknownRun, Job: r.Task.Job, Task: r.Task.String(), Run: r.Run, Worker: w.info.ID})
-	c.emit(Stop{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Task: r.Task, Run: r.Run})
+	c.emit(StopRun{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Task: r.Task, Run: r.Run})
 }
 
 func (c *Core) progressed(m *member, r graph.RunState) {
@@ -185,7 +185,7 @@
 	if r.Percent != m.percent {
 		m.percent, m.movedAt = r.Percent, c.now
 	}
-	if r.Checkpoint != "" && r.Checkpoint != m.checkpoint && m.unit.spec.Checkpoints {
+	if r.Checkpoint != "" && r.Checkpoint != m.checkpoint && m.unit.spec.Checkpointable {
 		m.checkpoint, m.savedAt = r.Checkpoint, c.now
 		m.unit.checkpoint = r.Checkpoint
 	}
@@ -222,7 +222,7 @@
 		c.lateEnd(e, ack)
 		return
 	}
-	c.memberEnded(m, e.How, e.Checkpoint)
+	c.memberEnded(m, e.Kind, e.Checkpoint)
 	incarnation := w.info.Incarnation()
 	c.save(m.unit.job, func() {
 		ack.done = true
@@ -235,7 +235,7 @@
 // lateEnd takes the end of a run that is not on the books: nothing depends on
 // it unless the job's state is still on its way into the table.
 func (c *Core) lateEnd(e graph.RunEnd, ack *pendingAck) {
-	c.emit(Notice{Reason: ReasonEnded, Job: e.Task.Job, Task: e.Task.String(), Run: e.Run, Detail: "late " + string(e.How)})
+	c.emit(Notice{Reason: ReasonRunEnded, Job: e.Task.Job, Task: e.Task.String(), Run: e.Run, Detail: "late " + string(e.Kind)})
 	ack.done = true
 }
 
@@ -247,7 +247,7 @@
 		w.acks = w.acks[1:]
 	}
 	if (w.acked > before || again) && w.linked() {
-		c.emit(Acknowledge{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Number: w.acked})
+		c.emit(AcknowledgeEnds{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Number: w.acked})
 	}
 }
 
@@ -257,11 +257,11 @@
 		return
 	}
 	u := m.unit
-	c.emit(Notice{Reason: ReasonEnded, Job: u.job.ID, Task: a.Task.String(), Run: a.Run, Worker: w.info.ID, Detail: "refused: " + a.Reason})
+	c.emit(Notice{Reason: ReasonRunEnded, Job: u.job.ID, Task: a.Task.String(), Run: a.Run, Worker: w.info.ID, Detail: "refused: " + a.Reason})
 	if !m.stopping {
 		u.avoidWorker(w.info.ID, c.now+avoidRefused)
 	}
-	c.memberEnded(m, graph.EndAbsent, "")
+	c.memberEnded(m, graph.EndNeverStarted, "")
 	c.save(u.job, nil)
 }
 
@@ -316,7 +316,7 @@
 	}
 	w.quarantine = c.now + min(quarantineFor<<min(w.quarantines, 8), maxQuarantine)
 	w.quarantines++
-	c.emit(Notice{Reason: ReasonQuarantined, Worker: w.info.ID, Detail: (w.quarantine - c.now).String()})
+	c.emit(Notice{Reason: ReasonWorkerQuarantined, Worker: w.info.ID, Detail: (w.quarantine - c.now).String()})
 }
 
 func (c *Core) workerDid(w *worker, _ *unit) {
--- a/internal/graph/progress.go
+++ b/internal/graph/progress.go
@@ -23,8 +23,8 @@
 	Job   JobID          `json:"id"`
 	State State          `json:"state"`
 	Tasks []TaskProgress `json:"tasks,omitempty"` // those that have been placed
-	// Finished is the time of day at the owner when the state became final.
-	Finished time.Time `json:"end,omitzero"`
+	// FinishedAt is the time of day at the owner when the state became final.
+	FinishedAt time.Time `json:"end,omitzero"`
 }
 
 // TaskProgress is the progress of one task, or of all tasks of a gang when it
@@ -38,9 +38,9 @@
 	Worker      string `json:"w,omitempty"`
 	Incarnation string `json:"b,omitempty"`
 	Failures    int    `json:"f,omitempty"`
-	// Failed says that a member of the gang's present run has failed: the run
+	// RunFailed says that a member of the gang's present run has failed: the run
 	// counts among Failures once its other members have ended.
-	Failed     bool   `json:"x,omitempty"`
+	RunFailed  bool   `json:"x,omitempty"`
 	Done       bool   `json:"d,omitempty"`
 	Checkpoint string `json:"c,omitempty"`
 }
--- a/internal/graph/run.go
+++ b/internal/graph/run.go
@@ -13,14 +13,14 @@
 
 // How runs end.
 const (
-	EndDone    EndKind = "done"
-	EndFailed  EndKind = "failed"
-	EndStopped EndKind = "stopped"
-	EndLapsed  EndKind = "lapsed" // the worker's lease ran out
-	EndBroken  EndKind = "broken" // another member of the gang ended
-	EndAlone   EndKind = "alone"  // the other members did not come in time
-	EndAbsent  EndKind = "absent" // it never began and never will
-	EndGone    EndKind = "gone"   // with the worker's incarnation, or its lease
+	EndDone           EndKind = "done"
+	EndFailed         EndKind = "failed"
+	EndStopped        EndKind = "stopped"
+	EndLeaseExpired   EndKind = "lapsed" // the worker's lease ran out
+	EndGangBroken     EndKind = "broken" // another member of the gang ended
+	EndGangIncomplete EndKind = "alone"  // the other members did not come in time
+	EndNeverStarted   EndKind = "absent" // it never began and never will
+	EndWorkerLost     EndKind = "gone"   // with the worker's incarnation, or its lease
 )
 
 // RunEnd is an end that a worker lists until it is acknowledged.
@@ -28,6 +28,6 @@
 	Number     uint64 // counts the ends of an incarnation from 1
 	Task       TaskID
 	Run        uint64
-	How        EndKind
+	Kind       EndKind
 	Checkpoint string
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -14,11 +14,11 @@
 	Host       string
 	PathPrefix string
 	// Pool is the service whose workers run the queue's tasks.
-	Pool      string
-	Priority  int // 0 comes first and may preempt others
-	Attempts  int // failed runs of a task after which its job has failed
-	Stretch   float64
-	Allowance time.Duration
+	Pool        string
+	Priority    int // 0 comes first and may preempt others
+	MaxAttempts int // failed runs of a task after which its job has failed
+	Stretch     float64
+	Allowance   time.Duration
 	// Public queues need no key.
 	Public bool
 	// Advised queues may only use the workers that an adviser names.
@@ -29,16 +29,16 @@
 type ClientAccount struct {
 	Name string
 	Keys []string
-	// Guaranteed is the number of accelerators that the account's jobs of
+	// GuaranteedAccelerators is the number of accelerators that the account's jobs of
 	// priority 0 can always reclaim.
-	Guaranteed int
+	GuaranteedAccelerators int
 }
 
 // Pool is a service whose workers run tasks.
 type Pool struct {
 	Name string
-	// Enforces tells that workers refuse what does not fit.
-	Enforces bool
+	// EnforcesCapacity tells that workers refuse what does not fit.
+	EnforcesCapacity bool
 	// Standby pools have no workers that are on.
 	Standby bool
 }
@@ -66,9 +66,9 @@
 	}
 }
 
-// Match returns the queue with the longest prefix of the path, and the rest of
+// MatchQueue returns the queue with the longest prefix of the path, and the rest of
 // the path.
-func (s *Snapshot) Match(host, path string) (q *Queue, rest string) {
+func (s *Snapshot) MatchQueue(host, path string) (q *Queue, rest string) {
 	for i := range s.Queues {
 		c := &s.Queues[i]
 		if c.Host == host && strings.HasPrefix(path, c.PathPrefix) && (q == nil || len(c.PathPrefix) > len(q.PathPrefix)) {
@@ -78,14 +78,14 @@
 	return q, rest
 }
 
-// AccountOf returns the account that has a key, nil if none has.
-func (s *Snapshot) AccountOf(key string) *ClientAccount { return s.accountOfKey[key] }
+// AccountByKey returns the account that has a key, nil if none has.
+func (s *Snapshot) AccountByKey(key string) *ClientAccount { return s.accountOfKey[key] }
 
-// Guaranteed returns the accelerators that an account is guaranteed.
-func (s *Snapshot) Guaranteed(account string) int {
+// GuaranteedAccelerators returns the accelerators that an account is guaranteed.
+func (s *Snapshot) GuaranteedAccelerators(account string) int {
 	for i := range s.Accounts {
 		if s.Accounts[i].Name == account {
-			return s.Accounts[i].Guaranteed
+			return s.Accounts[i].GuaranteedAccelerators
 		}
 	}
 	return 0
--- a/internal/policy/watcher.go
+++ b/internal/policy/watcher.go
@@ -36,16 +36,16 @@
 // Limits are the times in which operators' changes have to take effect. Zero
 // values take the usual ones.
 type Limits struct {
-	// KeyEnd is within which a key has to end after its removal, also at an entry
+	// RevocationTime is within which a key has to end after its removal, also at an entry
 	// that does not reach the store.
-	KeyEnd time.Duration
+	RevocationTime time.Duration
 	// ApplyTime is within which any change has to be in force.
 	ApplyTime time.Duration
 }
 
 func (l Limits) withDefaults() Limits {
-	if l.KeyEnd == 0 {
-		l.KeyEnd = usualKeyEnd
+	if l.RevocationTime == 0 {
+		l.RevocationTime = usualKeyEnd
 	}
 	if l.ApplyTime == 0 {
 		l.ApplyTime = usualApply
@@ -55,18 +55,20 @@
 
 // wait is how long one call waits for a change.
 func (l Limits) wait() time.Duration {
-	return min(maxWatch, part(watchPart, min(l.ApplyTime, l.KeyEnd/2)))
+	return min(maxWatch, part(watchPart, min(l.ApplyTime, l.RevocationTime/2)))
 }
 
 // slack is how long the answer may take beyond that.
-func (l Limits) slack() time.Duration { return part(slackPart, min(l.ApplyTime, l.KeyEnd/2)) }
+func (l Limits) slack() time.Duration { return part(slackPart, min(l.ApplyTime, l.RevocationTime/2)) }
 
 // watch is the age that a confirmation reaches while all is well.
 func (l Limits) watch() time.Duration { return l.wait() + l.slack() }
 
 // fresh is the age of the last confirmation up to which a snapshot may be used
 // for callers. A watch may have missed a change for as long as one call lasts.
-func (l Limits) fresh() time.Duration { return l.KeyEnd - l.watch() - part(keyMargin, l.KeyEnd) }
+func (l Limits) fresh() time.Duration {
+	return l.RevocationTime - l.watch() - part(keyMargin, l.RevocationTime)
+}
 
 func part(of float64, d time.Duration) time.Duration { return time.Duration(of * float64(d)) }
 
@@ -78,8 +80,8 @@
 type Source interface {
 	// Read returns the configuration as of one moment and its revision.
 	Read(ctx context.Context) (*Snapshot, uint64, error)
-	// Wait returns once something has changed after a revision, or after wait.
-	Wait(ctx context.Context, after uint64, wait time.Duration) (changed bool, err error)
+	// WaitForChange returns once something has changed after a revision, or after wait.
+	WaitForChange(ctx context.Context, after uint64, wait time.Duration) (changed bool, err error)
 }
 
 // Watcher keeps the newest configuration. A process never goes back to a lower
@@ -132,19 +134,19 @@
 	w.subs = append(w.subs, fn)
 }
 
-// Latest returns the newest snapshot, however old its confirmation is; nil
+// LatestSnapshot returns the newest snapshot, however old its confirmation is; nil
 // before the first one.
-func (w *Watcher) Latest() *Snapshot {
+func (w *Watcher) LatestSnapshot() *Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.current
 }
 
-// WatchLimit is the age that a confirmation reaches while all is well.
-func (w *Watcher) WatchLimit() time.Duration { return w.limits.watch() }
+// MaxConfirmationAge is the age that a confirmation reaches while all is well.
+func (w *Watcher) MaxConfirmationAge() time.Duration { return w.limits.watch() }
 
-// Fresh returns the newest snapshot if it has been confirmed lately, else nil.
-func (w *Watcher) Fresh() (s *Snapshot, age time.Duration) {
+// FreshSnapshot returns the newest snapshot if it has been confirmed lately, else nil.
+func (w *Watcher) FreshSnapshot() (s *Snapshot, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	age = w.clock() - w.confirmed
@@ -154,9 +156,9 @@
 	return w.current, age
 }
 
-// Lost returns for how long the store has failed to confirm the configuration,
+// StoreOutage returns for how long the store has failed to confirm the configuration,
 // 0 while it does.
-func (w *Watcher) Lost() time.Duration {
+func (w *Watcher) StoreOutage() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.current != nil && !w.lost {
@@ -199,7 +201,7 @@
 	start := w.clock()
 	ctx, cancel := context.WithTimeout(ctx, w.limits.watch())
 	defer cancel()
-	changed, err := w.source.Wait(ctx, revision, w.limits.wait())
+	changed, err := w.source.WaitForChange(ctx, revision, w.limits.wait())
 	if err != nil {
 		return false, errors.Annotatef(err, "watching the configuration after revision %d", revision)
 	}
--- a/internal/policy/watcher_test.go
+++ b/internal/policy/watcher_test.go
@@ -17,13 +17,13 @@
 func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{
-			KeyEnd:    time.Duration(rapid.IntRange(500, 20000).Draw(t, "key end")) * time.Millisecond,
-			ApplyTime: time.Duration(rapid.IntRange(300, 20000).Draw(t, "apply")) * time.Millisecond,
+			RevocationTime: time.Duration(rapid.IntRange(500, 20000).Draw(t, "key end")) * time.Millisecond,
+			ApplyTime:      time.Duration(rapid.IntRange(300, 20000).Draw(t, "apply")) * time.Millisecond,
 		}
 		if in := l.watch(); in > l.ApplyTime*3/4 {
 			t.Errorf("%+v: a change is read after %v", l, in)
 		}
-		if end := l.watch() + l.fresh(); end >= l.KeyEnd {
+		if end := l.watch() + l.fresh(); end >= l.RevocationTime {
 			t.Errorf("%+v: a key ends after %v", l, end)
 		}
 		if l.fresh() <= l.watch() {
@@ -52,7 +52,7 @@
 	return &Snapshot{Version: 1}, 1, nil
 }
 
-func (s *silentSource) Wait(ctx context.Context, _ uint64, _ time.Duration) (bool, error) {
+func (s *silentSource) WaitForChange(ctx context.Context, _ uint64, _ time.Duration) (bool, error) {
 	<-ctx.Done()
 	return false, ctx.Err()
 }
@@ -61,17 +61,17 @@
 // confirms any more is given up before a key that it holds has to end.
 func TestSnapshotIsUsedUntilKeysMayHaveEnded(t *testing.T) {
 	var now time.Duration
-	w := NewWatcher(&silentSource{}, Limits{KeyEnd: 2 * time.Second, ApplyTime: time.Second}, func() time.Duration { return now }, metrics.NewRegistry(), zerolog.Nop())
+	w := NewWatcher(&silentSource{}, Limits{RevocationTime: 2 * time.Second, ApplyTime: time.Second}, func() time.Duration { return now }, metrics.NewRegistry(), zerolog.Nop())
 	if _, err := w.read(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	for ; now < 2*time.Second; now += 10 * time.Millisecond {
-		s, _ := w.Fresh()
+		s, _ := w.FreshSnapshot()
 		if usable := s != nil; usable != (now <= w.limits.fresh()) {
 			t.Fatalf("at %v: usable %v", now, usable)
 		}
 	}
-	if limit := w.limits.fresh() + w.WatchLimit(); limit >= 2*time.Second {
+	if limit := w.limits.fresh() + w.MaxConfirmationAge(); limit >= 2*time.Second {
 		t.Errorf("a key is used for %v", limit)
 	}
 }
--- a/internal/rpc/fleet.go
+++ b/internal/rpc/fleet.go
@@ -21,16 +21,16 @@
 // WorkerInfoOf returns the worker that a report describes.
 func WorkerInfoOf(r *WorkerReport) plan.WorkerInfo {
 	return plan.WorkerInfo{
-		ID:        r.Worker,
-		Instance:  r.Instance,
-		Born:      r.Born,
-		Pool:      r.Pool,
-		Zone:      r.Zone,
-		Rack:      r.Rack,
-		Labels:    r.Labels,
-		Capacity:  graph.Resources{MilliCPU: int(r.MilliCpu), MemoryMB: int(r.MemoryMb), Accelerators: int(r.Accelerators)},
-		Draining:  r.Draining,
-		Remaining: time.Duration(r.RemainingMs) * time.Millisecond,
+		ID:              r.Worker,
+		Instance:        r.Instance,
+		StartUnixMillis: r.Born,
+		Pool:            r.Pool,
+		Zone:            r.Zone,
+		Rack:            r.Rack,
+		Labels:          r.Labels,
+		Capacity:        graph.Resources{MilliCPU: int(r.MilliCpu), MemoryMB: int(r.MemoryMb), Accelerators: int(r.Accelerators)},
+		Draining:        r.Draining,
+		DrainRemaining:  time.Duration(r.RemainingMs) * time.Millisecond,
 	}
 }
 
@@ -39,7 +39,7 @@
 	return &WorkerReport{
 		Worker:       w.ID,
 		Instance:     w.Instance,
-		Born:         w.Born,
+		Born:         w.StartUnixMillis,
 		Pool:         w.Pool,
 		Zone:         w.Zone,
 		Rack:         w.Rack,
@@ -48,7 +48,7 @@
 		MemoryMb:     int64(w.Capacity.MemoryMB),
 		Accelerators: int64(w.Capacity.Accelerators),
 		Draining:     w.Draining,
-		RemainingMs:  w.Remaining.Milliseconds(),
+		RemainingMs:  w.DrainRemaining.Milliseconds(),
 	}
 }
 
@@ -76,7 +76,7 @@
 	out := make([]graph.RunEnd, len(in))
 	for i, e := range in {
 		task, run := TaskOf(e.Ref)
-		out[i] = graph.RunEnd{Number: e.Number, Task: task, Run: run, How: graph.EndKind(e.How), Checkpoint: e.Checkpoint}
+		out[i] = graph.RunEnd{Number: e.Number, Task: task, Run: run, Kind: graph.EndKind(e.How), Checkpoint: e.Checkpoint}
 	}
 	return out
 }
@@ -85,7 +85,7 @@
 func EndedTasksOf(in []graph.RunEnd) []*EndedTask {
 	out := make([]*EndedTask, len(in))
 	for i, e := range in {
-		out[i] = &EndedTask{Number: e.Number, Ref: TaskRefOf(e.Task, e.Run), How: string(e.How), Checkpoint: e.Checkpoint}
+		out[i] = &EndedTask{Number: e.Number, Ref: TaskRefOf(e.Task, e.Run), How: string(e.Kind), Checkpoint: e.Checkpoint}
 	}
 	return out
 }
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -149,7 +149,7 @@
 		return
 	}
 	for task := range r.runs {
-		r.end(task, graph.EndLapsed)
+		r.end(task, graph.EndLeaseExpired)
 	}
 }
 
@@ -204,7 +204,7 @@
 	delete(r.runs, task)
 	r.highest[task] = max(r.highest[task], run.run)
 	r.number++
-	r.ended = append(r.ended, graph.RunEnd{Number: r.number, Task: task, Run: run.run, How: how, Checkpoint: run.saved})
+	r.ended = append(r.ended, graph.RunEnd{Number: r.number, Task: task, Run: run.run, Kind: how, Checkpoint: run.saved})
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -105,7 +105,7 @@
 	return &copied, o.revision, nil
 }
 
-func (o *operator) Wait(ctx context.Context, after uint64, wait time.Duration) (bool, error) {
+func (o *operator) WaitForChange(ctx context.Context, after uint64, wait time.Duration) (bool, error) {
 	for end := time.Now().Add(wait); time.Now().Before(end); kernel.Sleep(ctx, 10*time.Millisecond) {
 		if err := o.path.pass(ctx); err != nil {
 			return false, err
@@ -167,8 +167,8 @@
 func snapshot(version uint64) *policy.Snapshot {
 	return &policy.Snapshot{
 		Version:  version,
-		Queues:   []policy.Queue{{Name: "q", Host: queueHost, PathPrefix: queuePath, Pool: "pool", Attempts: 3, Stretch: 2, Allowance: time.Second}},
-		Accounts: []policy.ClientAccount{{Name: "a", Keys: []string{callerKey}, Guaranteed: 8}},
+		Queues:   []policy.Queue{{Name: "q", Host: queueHost, PathPrefix: queuePath, Pool: "pool", MaxAttempts: 3, Stretch: 2, Allowance: time.Second}},
+		Accounts: []policy.ClientAccount{{Name: "a", Keys: []string{callerKey}, GuaranteedAccelerators: 8}},
 		ZonesOut: map[string]bool{},
 	}
 }
@@ -271,9 +271,9 @@
 func (a *agent) announce(ctx context.Context) {
 	for n := uint64(1); ctx.Err() == nil; n++ {
 		a.keeper.Heartbeat(plan.WorkerInfo{
-			ID: a.id, Instance: a.runner.Instance(), Born: a.runner.Born(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
+			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Born(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
 			Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8},
-			Draining: a.drains.Load(), Remaining: 3 * time.Second,
+			Draining: a.drains.Load(), DrainRemaining: 3 * time.Second,
 		}, n)
 		kernel.Sleep(ctx, 100*time.Millisecond)
 	}
