--- a/internal/graph/plan/types.go
+++ b/internal/graph/plan/types.go
@@ -39,7 +39,7 @@
 	// Instance is the name that the worker has given itself, and Born its start
 	// in milliseconds since 1970, 0 if it does not say.
 	Instance        string
-	StartUnixMillis int64
+	StartUnixMillis int64 `json:"Born"`
 	Pool            string
 	Zone            string
 	Rack            string
@@ -47,7 +47,7 @@
 	Capacity        graph.Resources
 	Draining        bool
 	// DrainRemaining is how long a draining worker stays at least.
-	DrainRemaining time.Duration
+	DrainRemaining time.Duration `json:"Remaining"`
 }
 
 // Incarnation names one life of a worker: a host has one at a time.
