--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -33,7 +33,7 @@
 type Ownership interface {
 	// Authority returns the present standing; see sched.Authority. StartAfter
 	// is the wait that the term begins with.
-	Authority() (sched.Authority, time.Duration)
+	Authority() (sched.Ownership, time.Duration)
 }
 
 // Configuration is what the scheduler reads of the configuration.
@@ -132,11 +132,11 @@
 		return
 	}
 	authority.StartAfter = s.term.startAfter
-	s.term.step(authority, sched.Configured{Config: s.config.Current()}, sched.Tick{})
+	s.term.step(authority, sched.ConfigUpdate{Config: s.config.Current()}, sched.Tick{})
 }
 
 // beginTerm is called with mu held; the rows are read without it.
-func (s *Service) beginTerm(a sched.Authority, wait time.Duration) {
+func (s *Service) beginTerm(a sched.Ownership, wait time.Duration) {
 	t := newTerm(s, a.Epoch, wait)
 	s.term = t
 	s.log.Info().Uint64("epoch", a.Epoch).Dur("start_after", wait).Msg("term began")
@@ -205,8 +205,8 @@
 // replay is called with mu held. The standing comes first, since it decides
 // what becomes of the attempts that are found. Jobs come before the workers'
 // reports, so that no report names a job that the core does not know.
-func (s *Service) replay(t *term, authority sched.Authority, rows []jobs.Row) {
-	t.step(authority, sched.Configured{Config: s.config.Current()})
+func (s *Service) replay(t *term, authority sched.Ownership, rows []jobs.Row) {
+	t.step(authority, sched.ConfigUpdate{Config: s.config.Current()})
 	for _, row := range rows {
 		t.submit(row.Record)
 	}
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -327,7 +327,7 @@
 		return
 	}
 	id := record.Job.ID
-	t.step(sched.Saved{JobID: id, Attempt: record.Attempt, State: record.State, Failed: failed})
+	t.step(sched.SaveResult{JobID: id, Attempt: record.Attempt, State: record.State, Failed: failed})
 	if record.State != api.JobFinal || failed {
 		return
 	}
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -20,7 +20,7 @@
 )
 
 // begin takes the capacity of a placement and asks all workers to hold it.
-func (c *Core) begin(j *job, parts []placement.Part, firm bool) {
+func (c *Core) begin(j *job, parts []placement.Assignment, firm bool) {
 	c.dropWaiting(j)
 	c.takeParts(j, claim{parts: parts}, firm, groupHolding)
 	c.hold(j)
@@ -60,7 +60,7 @@
 	j.phase = phaseHolding
 	for _, g := range j.groups {
 		g.state = groupHolding
-		g.leaseUntil = c.now + HoldLease + c.cfg.Margin
+		g.leaseUntil = c.now + HoldLease + c.cfg.LeaseMargin
 		c.emit(Hold{Worker: g.worker.Name, JobID: j.id(), Attempt: g.attempt, Tasks: g.tasks, PerTask: j.perTask})
 	}
 	attempt := j.attempt
@@ -168,7 +168,7 @@
 		return false
 	}
 	for _, g := range j.groups {
-		if g.state != groupHeld || g.worker.ZoneOut || g.leaseUntil-c.cfg.Margin <= c.now {
+		if g.state != groupHeld || g.worker.ZoneOut || g.leaseUntil-c.cfg.LeaseMargin <= c.now {
 			return false
 		}
 	}
@@ -188,7 +188,7 @@
 
 func (c *Core) startGroup(g *group) {
 	g.state = groupStarting
-	g.leaseUntil = c.now + GroupLease + c.cfg.Margin
+	g.leaseUntil = c.now + GroupLease + c.cfg.LeaseMargin
 	c.emit(Start{
 		Worker: g.worker.Name, JobID: g.job.id(), Attempt: g.attempt,
 		FirstTask: g.firstTask, Checkpoint: g.job.checkpointFor(g.firstTask, g.tasks),
--- a/internal/sched/baseline_test.go
+++ b/internal/sched/baseline_test.go
@@ -39,7 +39,7 @@
 func (b *baseline) Step(_ time.Duration, ev Event) []Action {
 	b.out = nil
 	switch e := ev.(type) {
-	case Configured:
+	case ConfigUpdate:
 		b.config = e.Config
 		b.stuck = false
 	case WorkerUp:
@@ -52,7 +52,7 @@
 		b.queue = append(b.queue, j)
 	case GroupReport:
 		b.report(e)
-	case Saved:
+	case SaveResult:
 		b.saved(e)
 	case Tick:
 		return nil
@@ -190,7 +190,7 @@
 	b.out = append(b.out, Save{j.rec})
 }
 
-func (b *baseline) saved(e Saved) {
+func (b *baseline) saved(e SaveResult) {
 	j := b.jobs[e.JobID]
 	if j == nil || e.State != api.JobRunning || e.Attempt != j.rec.Attempt || len(j.rec.Placements) == 0 {
 		return
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -61,7 +61,7 @@
 func (b *bench) own() {
 	b.core = New(Config{TermStart: time.Unix(0, 0)})
 	b.now = 0
-	b.apply(Configured{b.config})
+	b.apply(ConfigUpdate{b.config})
 	for _, w := range b.workers {
 		b.apply(w)
 	}
@@ -72,7 +72,7 @@
 			b.apply(GroupReport{Worker: p.Worker, JobID: id, Attempt: rec.Attempt, State: GroupRunning})
 		}
 	}
-	b.apply(Authority{Owner: true, Epoch: 1})
+	b.apply(Ownership{Owner: true, Epoch: 1})
 }
 
 func (b *bench) job(tasks int) api.Job {
@@ -133,7 +133,7 @@
 		if rec.State == api.JobFinal {
 			delete(b.rows, rec.Job.ID)
 		}
-		b.events = append(b.events, Saved{JobID: rec.Job.ID, Attempt: rec.Attempt, State: rec.State})
+		b.events = append(b.events, SaveResult{JobID: rec.Job.ID, Attempt: rec.Attempt, State: rec.State})
 	}
 }
 
@@ -173,7 +173,7 @@
 	b.config = b.config.Clone()
 	b.config.Version++
 	b.config.Zones["z1"] = api.AvailabilityZone{Name: "z1", State: state}
-	b.apply(Configured{b.config})
+	b.apply(ConfigUpdate{b.config})
 	b.pass(40 * time.Second)
 }
 
@@ -282,7 +282,7 @@
 		for range t.N {
 			b.config = b.config.Clone()
 			b.config.Version++
-			b.apply(Configured{b.config})
+			b.apply(ConfigUpdate{b.config})
 		}
 	})
 }
--- a/internal/sched/bind.go
+++ b/internal/sched/bind.go
@@ -11,8 +11,8 @@
 	g.firm = true
 	g.fixed = true
 	c.update(g.worker, func(f *fleet.Worker) {
-		f.Firm = f.Firm.Add(g.amount)
-		f.Fixed = f.Fixed.Add(g.amount)
+		f.NonPreemptible = f.NonPreemptible.Add(g.amount)
+		f.NonRestartable = f.NonRestartable.Add(g.amount)
 	})
 	if j := g.job; !g.detached && j.reserved != nil {
 		j.reserved = nil
@@ -39,7 +39,7 @@
 	}
 	for _, g := range j.groups {
 		more := r.gang.PerTask.Times(g.tasks).Sub(g.amount)
-		if !g.live() || !g.worker.InService() || !more.Fits(g.worker.Avail(fleet.Evictable)) {
+		if !g.live() || !g.worker.InService() || !more.Fits(g.worker.Available(fleet.Preemptible)) {
 			return false
 		}
 	}
@@ -47,9 +47,9 @@
 }
 
 func (c *Core) bindTo(j *job, r *reservation) {
-	parts := make([]placement.Part, 0, len(j.groups))
+	parts := make([]placement.Assignment, 0, len(j.groups))
 	for _, g := range j.groups {
-		parts = append(parts, placement.Part{Worker: g.worker.Worker, Tasks: g.tasks})
+		parts = append(parts, placement.Assignment{Worker: g.worker.Worker, Tasks: g.tasks})
 	}
 	c.place(r, parts)
 	j.firm = false
@@ -59,9 +59,9 @@
 		g.share.used = g.share.used.Add(g.amount)
 		g.account.surplus = g.account.surplus.Sub(g.amount)
 		c.update(g.worker, func(f *fleet.Worker) {
-			f.Firm = f.Firm.Sub(g.amount)
+			f.NonPreemptible = f.NonPreemptible.Sub(g.amount)
 			if g.fixed {
-				f.Fixed = f.Fixed.Sub(g.amount)
+				f.NonRestartable = f.NonRestartable.Sub(g.amount)
 			}
 		})
 		g.firm = false
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -22,7 +22,7 @@
 // claim is a place for a gang and the preemptible work that has to end for it.
 type claim struct {
 	res     *reservation // nil outside of guarantees
-	parts   []placement.Part
+	parts   []placement.Assignment
 	victims []*job
 	loss    time.Duration
 	rule    victimRule
@@ -30,7 +30,7 @@
 
 // plan finds the victims that open the parts for a job with the least work
 // lost.
-func (c *Core) plan(j *job, parts []placement.Part, rule victimRule) (claim, bool) {
+func (c *Core) plan(j *job, parts []placement.Assignment, rule victimRule) (claim, bool) {
 	cl := claim{parts: parts, rule: rule}
 	var candidates []*job
 	for _, p := range parts {
@@ -101,8 +101,8 @@
 // that are ending and the victims have ended. For a claim that may stop work
 // which is not preemptible, other reservations are left out.
 func (c *Core) opening(w *worker, cl *claim) api.Resources {
-	open := w.FreeNow().Sub(w.Earmarked)
-	unreserved := w.Capacity.Sub(w.Reserved).Sub(w.Firm)
+	open := w.Unused().Sub(w.Claimed)
+	unreserved := w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)
 	for _, g := range w.groups {
 		victim := !g.detached && slices.Contains(cl.victims, g.job)
 		if !g.ending && !victim {
@@ -114,7 +114,7 @@
 		}
 	}
 	if cl.rule.firm {
-		return fleet.Least(open, unreserved)
+		return fleet.MinResources(open, unreserved)
 	}
 	return open
 }
@@ -158,9 +158,9 @@
 // when all of the place is free.
 func (c *Core) claim(j *job, cl claim, graceTime time.Duration) {
 	c.dropWaiting(j)
-	why := ReasonMadeRoom
+	why := ReasonPreempted
 	if cl.res != nil {
-		why = ReasonReclaim
+		why = ReasonReclaimed
 	}
 	j.reserved = cl.res
 	c.takeParts(j, cl, !c.lent(j) && cl.res == nil, groupClaimed)
@@ -209,14 +209,14 @@
 
 func (c *Core) claimReady(j *job) {
 	for _, g := range j.groups {
-		if !g.amount.Fits(g.worker.FreeNow()) {
+		if !g.amount.Fits(g.worker.Unused()) {
 			return
 		}
 	}
 	c.forgetClaim(j)
 	for _, g := range j.groups {
 		c.update(g.worker, func(f *fleet.Worker) {
-			f.Earmarked = f.Earmarked.Sub(g.amount)
+			f.Claimed = f.Claimed.Sub(g.amount)
 			f.Used = f.Used.Add(g.amount)
 		})
 	}
@@ -272,7 +272,7 @@
 // tryEvict starts a job where preemptible work outside of reservations makes
 // room with the least loss.
 func (c *Core) tryEvict(j *job, rule victimRule, graceTime time.Duration) bool {
-	best, ok := c.cheapest(j, c.request(j, fleet.Evictable), rule)
+	best, ok := c.cheapest(j, c.request(j, fleet.Preemptible), rule)
 	if ok {
 		c.claim(j, best, graceTime)
 	}
@@ -282,7 +282,7 @@
 // cheapest compares the places for a gang by the work that would be lost there.
 func (c *Core) cheapest(j *job, q placement.Request, rule victimRule) (best claim, found bool) {
 	plans := 0
-	placement.Each(c.fleet, q, func(parts []placement.Part) bool {
+	placement.ForEachDomain(c.fleet, q, func(parts []placement.Assignment) bool {
 		cl, ok := c.plan(j, parts, rule)
 		if ok && (!found || cl.loss < best.loss) {
 			best, found = cl, true
--- a/internal/sched/compare_test.go
+++ b/internal/sched/compare_test.go
@@ -202,11 +202,11 @@
 		t.sched = New(Config{TermStart: time.Unix(0, 0)})
 	}
 	t.onAct = t.observe
-	t.step(Configured{t.config})
+	t.step(ConfigUpdate{t.config})
 	for _, w := range load.fleet {
 		t.addAgent(w.Worker, w.Zone, w.Rack, w.Capacity).up()
 	}
-	t.step(Authority{Owner: true, Epoch: 1})
+	t.step(Ownership{Owner: true, Epoch: 1})
 	t.tick()
 	t.sample()
 	for _, job := range load.jobs {
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -7,16 +7,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// DefaultMargin is added to leases to allow for delays of messages and for
+// DefaultLeaseMargin is added to leases to allow for delays of messages and for
 // different clock rates.
-const DefaultMargin = 500 * time.Millisecond
+const DefaultLeaseMargin = 500 * time.Millisecond
 
 // Config sets up a core.
 type Config struct {
 	// TermStart is the wall clock time at time zero.
 	TermStart time.Time
-	// Margin is added to each lease before its capacity counts as free.
-	Margin time.Duration
+	// LeaseMargin is added to each lease before its capacity counts as free.
+	LeaseMargin time.Duration
 }
 
 // Core decides which gang runs where. It is not safe for concurrent use.
@@ -29,7 +29,7 @@
 	ordered   []*worker
 	jobs      map[string]*job
 	config    *api.Config
-	authority Authority
+	authority Ownership
 	draining  bool
 	timers    timerQueue
 	queue     *queue
@@ -62,8 +62,8 @@
 // New returns a core without workers and jobs. It starts nothing before it has
 // the authority and a configuration.
 func New(cfg Config) *Core {
-	if cfg.Margin == 0 {
-		cfg.Margin = DefaultMargin
+	if cfg.LeaseMargin == 0 {
+		cfg.LeaseMargin = DefaultLeaseMargin
 	}
 	return &Core{
 		cfg:      cfg,
@@ -104,11 +104,11 @@
 		c.workerStatus(e)
 	case GroupReport:
 		c.report(e)
-	case Saved:
+	case SaveResult:
 		c.saved(e)
-	case Configured:
+	case ConfigUpdate:
 		c.configured(e.Config)
-	case Authority:
+	case Ownership:
 		c.authority = e
 	case Tick:
 		c.tick()
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -60,7 +60,7 @@
 
 // moveFor stops the users of moved reservations, gives r and the moved ones
 // their new places and claims r's for the job.
-func (c *Core) moveFor(r *reservation, j *job, users []*job, moved []*reservation, places [][]placement.Part) bool {
+func (c *Core) moveFor(r *reservation, j *job, users []*job, moved []*reservation, places [][]placement.Assignment) bool {
 	for _, user := range users {
 		c.notice(user, "", ReasonMigrated, j.id())
 		c.preempt(user, grace(user), ReasonMigrated)
@@ -81,7 +81,7 @@
 
 // clearFirm stops work outside of guarantees that stands in a reservation's new
 // place.
-func (c *Core) clearFirm(j *job, m *reservation, parts []placement.Part) {
+func (c *Core) clearFirm(j *job, m *reservation, parts []placement.Assignment) {
 	for _, p := range parts {
 		c.dropFirmClaims(c.workers[p.Worker.Name])
 	}
@@ -91,8 +91,8 @@
 		return
 	}
 	for _, v := range cl.victims {
-		c.notice(v, "", ReasonReclaim, j.id())
-		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaim)
+		c.notice(v, "", ReasonReclaimed, j.id())
+		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaimed)
 	}
 }
 
@@ -137,14 +137,14 @@
 // swapPlaces finds places for r and for the moved reservations together, in
 // that order, on what is open once the moved ones have left theirs. It returns
 // nil if there are none, and changes nothing.
-func (c *Core) swapPlaces(r *reservation, moved []*reservation) [][]placement.Part {
+func (c *Core) swapPlaces(r *reservation, moved []*reservation) [][]placement.Assignment {
 	for _, m := range moved {
 		c.reserveParts(m.parts(), m.gang.PerTask, -1)
 	}
-	var places [][]placement.Part
+	var places [][]placement.Assignment
 	all := append([]*reservation{r}, moved...)
 	for _, m := range all {
-		parts := placement.Find(c.fleet, placement.Request{Gang: m.gang, View: fleet.Movable})
+		parts := placement.Find(c.fleet, placement.Request{Gang: m.gang, View: fleet.Restartable})
 		if parts == nil {
 			break
 		}
@@ -163,7 +163,7 @@
 	return places
 }
 
-func (c *Core) reserveParts(parts []placement.Part, perTask api.Resources, sign int) {
+func (c *Core) reserveParts(parts []placement.Assignment, perTask api.Resources, sign int) {
 	for _, p := range parts {
 		c.fleet.Update(p.Worker, func(w *fleet.Worker) {
 			w.Reserved = w.Reserved.Add(perTask.Times(sign * p.Tasks))
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -8,17 +8,17 @@
 
 // Dump is the state of the core for operators.
 type Dump struct {
-	Now      string            `json:"now"`
-	Version  uint64            `json:"config_version"`
-	Epoch    uint64            `json:"epoch"`
-	Owner    bool              `json:"owner"`
-	Draining bool              `json:"draining"`
-	Queued   int               `json:"queued"`
-	Missing  int               `json:"guarantees_without_place"`
-	Workers  []WorkerDump      `json:"workers"`
-	Jobs     []JobDump         `json:"jobs"`
-	Places   []ReservationDump `json:"reservations"`
-	Reasons  map[Reason]int    `json:"reasons"`
+	Now                string            `json:"now"`
+	ConfigVersion      uint64            `json:"config_version"`
+	Epoch              uint64            `json:"epoch"`
+	Owner              bool              `json:"owner"`
+	Draining           bool              `json:"draining"`
+	Queued             int               `json:"queued"`
+	UnplacedGuarantees int               `json:"guarantees_without_place"`
+	Workers            []WorkerDump      `json:"workers"`
+	Jobs               []JobDump         `json:"jobs"`
+	Reservations       []ReservationDump `json:"reservations"`
+	Reasons            map[Reason]int    `json:"reasons"`
 }
 
 // WorkerDump is the state of one worker.
@@ -56,10 +56,10 @@
 func (c *Core) Dump() any {
 	d := Dump{
 		Now: c.now.String(), Epoch: c.authority.Epoch, Owner: c.authority.Owner,
-		Draining: c.draining, Queued: c.queue.size, Missing: c.missing, Reasons: map[Reason]int{},
+		Draining: c.draining, Queued: c.queue.size, UnplacedGuarantees: c.missing, Reasons: map[Reason]int{},
 	}
 	if c.config != nil {
-		d.Version = c.config.Version
+		d.ConfigVersion = c.config.Version
 	}
 	for _, w := range c.ordered {
 		d.Workers = append(d.Workers, WorkerDump{
@@ -72,10 +72,10 @@
 		d.Jobs = append(d.Jobs, JobDump{id, j.rec.Job.Profile, string(j.phase), j.attempt, placements(j)})
 	}
 	for _, r := range c.slots {
-		d.Places = append(d.Places, r.dump())
+		d.Reservations = append(d.Reservations, r.dump())
 	}
 	for _, r := range c.waiting {
-		d.Places = append(d.Places, r.dump())
+		d.Reservations = append(d.Reservations, r.dump())
 	}
 	for why, n := range c.counts {
 		d.Reasons[why] = n
--- a/internal/sched/feasibility/feasibility.go
+++ b/internal/sched/feasibility/feasibility.go
@@ -86,9 +86,9 @@
 	return packAll(build(config, workers, without), config)
 }
 
-// Beside returns the fleet with all guarantees packed, as if all its zones
+// FleetWithGuarantees returns the fleet with all guarantees packed, as if all its zones
 // were in. What its workers have left is open to other work.
-func Beside(config *api.Config, workers []Worker) *fleet.Fleet {
+func FleetWithGuarantees(config *api.Config, workers []Worker) *fleet.Fleet {
 	f := build(&api.Config{}, workers, "")
 	packAll(f, config)
 	return f
@@ -123,7 +123,7 @@
 }
 
 func pack(f *fleet.Fleet, shape api.Shape) bool {
-	parts := placement.Find(f, placement.Request{Gang: shape, View: fleet.Evictable})
+	parts := placement.Find(f, placement.Request{Gang: shape, View: fleet.Preemptible})
 	for _, p := range parts {
 		f.Update(p.Worker, func(w *fleet.Worker) {
 			w.Reserved = w.Reserved.Add(shape.PerTask.Times(p.Tasks))
@@ -141,13 +141,13 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b api.Profile) int {
-		return cmp.Or(Compare(a.Guarantee.Shape, b.Guarantee.Shape), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(CompareShapes(a.Guarantee.Shape, b.Guarantee.Shape), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
 
-// Compare orders shapes by the difficulty to place them, the hardest first.
-func Compare(a, b api.Shape) int {
+// CompareShapes orders shapes by the difficulty to place them, the hardest first.
+func CompareShapes(a, b api.Shape) int {
 	x, y := a.PerTask.Times(a.Tasks), b.PerTask.Times(b.Tasks)
 	return cmp.Or(
 		cmp.Compare(y.Accelerators, x.Accelerators),
--- a/internal/sched/fits.go
+++ b/internal/sched/fits.go
@@ -31,11 +31,11 @@
 		return fmt.Sprintf("the gang needs %d accelerators, the quota of profile %q is %d",
 			j.total().Accelerators, name, p.QuotaAccelerators), true
 	}
-	if placement.Find(c.fleet, placement.Request{Gang: gang, View: fleet.Whole}) != nil {
+	if placement.Find(c.fleet, placement.Request{Gang: gang, View: fleet.FullCapacity}) != nil {
 		return c.blockedForever(j)
 	}
 	one := api.Shape{Tasks: 1, PerTask: gang.PerTask, Adjacency: api.AdjacentWorker}
-	if placement.Find(c.fleet, placement.Request{Gang: one, View: fleet.Whole}) == nil {
+	if placement.Find(c.fleet, placement.Request{Gang: one, View: fleet.FullCapacity}) == nil {
 		return fmt.Sprintf("no worker has %d accelerators, %d mCPU and %d MB for one task",
 			gang.PerTask.Accelerators, gang.PerTask.MilliCPU, gang.PerTask.MemoryMB), true
 	}
@@ -59,9 +59,9 @@
 	}
 	workers := c.known()
 	if b := c.beside; b.fleet == nil || b.version != c.config.Version || b.workers != len(workers) {
-		c.beside = besideGuarantees{c.config.Version, len(workers), feasibility.Beside(c.config, workers)}
+		c.beside = besideGuarantees{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
 	}
-	if placement.Find(c.beside.fleet, placement.Request{Gang: j.gang(), View: fleet.Evictable}) != nil {
+	if placement.Find(c.beside.fleet, placement.Request{Gang: j.gang(), View: fleet.Preemptible}) != nil {
 		return "", false
 	}
 	return fmt.Sprintf("no %s has room for %d tasks of %d accelerators beside the guaranteed capacity, and profile %q is not preemptible",
@@ -73,9 +73,9 @@
 	return g != nil && j.rec.Job.Gang.Tasks <= g.Shape.Tasks && j.perTask.Fits(g.Shape.PerTask)
 }
 
-// Feasible checks the guarantees of a configuration against the workers that
+// CheckFeasibility checks the guarantees of a configuration against the workers that
 // have announced themselves; those that are gone for now count as well.
-func (c *Core) Feasible(config *api.Config) []feasibility.Finding {
+func (c *Core) CheckFeasibility(config *api.Config) []feasibility.Finding {
 	return feasibility.Check(config, c.known())
 }
 
--- a/internal/sched/fleet/fleet.go
+++ b/internal/sched/fleet/fleet.go
@@ -21,8 +21,8 @@
 	Name    string
 	Zone    string
 	Workers []*Worker
-	// Gen is the generation at which the rack last gained capacity.
-	Gen uint64
+	// Generation is the generation at which the rack last gained capacity.
+	Generation uint64
 	// Total sums the available capacity of the rack's workers, by view.
 	Total [viewCount]api.Resources
 
@@ -81,14 +81,14 @@
 	return a.Name < b.Name
 }
 
-// Gen is the generation of the last gain of capacity anywhere.
-func (f *Fleet) Gen() uint64 { return f.gen }
+// Generation is the generation of the last gain of capacity anywhere.
+func (f *Fleet) Generation() uint64 { return f.gen }
 
-// Service is the capacity of all workers in service.
-func (f *Fleet) Service() api.Resources { return f.service }
+// InServiceCapacity is the capacity of all workers in service.
+func (f *Fleet) InServiceCapacity() api.Resources { return f.service }
 
-// Largest is the largest capacity of any worker, by dimension.
-func (f *Fleet) Largest() api.Resources { return f.largest }
+// LargestCapacity is the largest capacity of any worker, by dimension.
+func (f *Fleet) LargestCapacity() api.Resources { return f.largest }
 
 // Workers returns all workers in order of their first announcement.
 func (f *Fleet) Workers() []*Worker { return f.ordered }
@@ -100,7 +100,7 @@
 func (f *Fleet) Racks(zone string) []*Rack { return f.zoneOf[zone] }
 
 // ZoneTotal is what a view offers in a zone.
-func (f *Fleet) ZoneTotal(zone string, v View) api.Resources { return f.totals[zone][v] }
+func (f *Fleet) ZoneTotal(zone string, v CapacityView) api.Resources { return f.totals[zone][v] }
 
 // Worker returns the named worker, or nil.
 func (f *Fleet) Worker(name string) *Worker { return f.workers[name] }
@@ -187,18 +187,18 @@
 		f.service = f.service.Add(w.Capacity)
 	}
 	for v := range viewCount {
-		w.avail[v] = w.available(v)
+		w.avail[v] = w.computeAvailable(v)
 	}
 	f.reindexRack(w.Rack, func() {
 		f.addTotal(w.Rack, before, w.avail)
 	})
-	if w.Open() {
+	if w.Schedulable() {
 		f.byFree.ReplaceOrInsert(w)
 		w.indexed = true
 	}
 	if gained(before, w.avail) {
 		f.gen++
-		w.Rack.Gen = f.gen
+		w.Rack.Generation = f.gen
 		f.recent.MoveToFront(w.Rack.recent)
 	}
 }
@@ -265,11 +265,11 @@
 	f.byRack.AscendGreaterOrEqual(from, visit)
 }
 
-// RacksSince visits the racks that gained capacity after the generation.
-func (f *Fleet) RacksSince(gen uint64, visit func(*Rack) bool) {
+// RacksGainedSince visits the racks that gained capacity after the generation.
+func (f *Fleet) RacksGainedSince(gen uint64, visit func(*Rack) bool) {
 	for e := f.recent.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*Rack)
-		if r.Gen <= gen || !visit(r) {
+		if r.Generation <= gen || !visit(r) {
 			return
 		}
 	}
--- a/internal/sched/fleet/worker.go
+++ b/internal/sched/fleet/worker.go
@@ -2,23 +2,23 @@
 
 import "github.com/coltsfootlug/coltsfootlug/internal/api"
 
-// View selects which part of a worker's capacity a request may use.
-type View int
+// CapacityView selects which part of a worker's capacity a request may use.
+type CapacityView int
 
 // The views.
 const (
 	// Free is capacity that nothing uses, also inside reservations.
-	Free View = iota
-	// Firm is free capacity outside of reservations.
-	Firm
-	// Evictable is capacity outside of reservations that is free or used by
+	Free CapacityView = iota
+	// Unreserved is free capacity outside of reservations.
+	Unreserved
+	// Preemptible is capacity outside of reservations that is free or used by
 	// preemptible work.
-	Evictable
-	// Movable is capacity outside of reservations that is free or used by work
+	Preemptible
+	// Restartable is capacity outside of reservations that is free or used by work
 	// that may be stopped and run again elsewhere.
-	Movable
-	// Whole is the capacity of the empty worker, whether it is in service or not.
-	Whole
+	Restartable
+	// FullCapacity is the capacity of the empty worker, whether it is in service or not.
+	FullCapacity
 	viewCount
 )
 
@@ -30,15 +30,15 @@
 	Capacity api.Resources
 	// Used is taken by groups, whether held, running or not yet confirmed as ended.
 	Used api.Resources
-	// Firm is the part of Used by work that must not be preempted and that
+	// NonPreemptible is the part of Used by work that must not be preempted and that
 	// runs outside of reservations.
-	Firm api.Resources
-	// Fixed is the part of Firm that must not be stopped at all.
-	Fixed api.Resources
+	NonPreemptible api.Resources
+	// NonRestartable is the part of Firm that must not be stopped at all.
+	NonRestartable api.Resources
 	// Reserved belongs to guarantees and to reservations of waiting gangs.
 	Reserved api.Resources
-	// Earmarked is free, or about to be, and waits for a chosen gang.
-	Earmarked api.Resources
+	// Claimed is free, or about to be, and waits for a chosen gang.
+	Claimed api.Resources
 
 	Linked      bool
 	Healthy     bool
@@ -51,9 +51,9 @@
 	Paused bool
 	// ZoneOut says that operators have taken the worker's zone out.
 	ZoneOut bool
-	// Stepping says that the worker's zone returns by steps and that the
+	// AwaitingReopen says that the worker's zone returns by steps and that the
 	// worker is not yet open for work outside of guarantees.
-	Stepping bool
+	AwaitingReopen bool
 
 	avail   [viewCount]api.Resources
 	indexed bool
@@ -64,44 +64,44 @@
 	return w.Linked && w.Healthy && !w.Leaving && !w.Quarantined && !w.ZoneOut
 }
 
-// Open reports whether the worker may be given work outside of guarantees.
-func (w *Worker) Open() bool {
-	if !w.InService() || w.Stepping || w.Paused {
+// Schedulable reports whether the worker may be given work outside of guarantees.
+func (w *Worker) Schedulable() bool {
+	if !w.InService() || w.AwaitingReopen || w.Paused {
 		return false
 	}
 	return !w.Probation || w.Used == (api.Resources{})
 }
 
-// Avail returns what a view offers on the worker.
-func (w *Worker) Avail(v View) api.Resources { return w.avail[v] }
+// Available returns what a view offers on the worker.
+func (w *Worker) Available(v CapacityView) api.Resources { return w.avail[v] }
 
-// FreeNow is the capacity that no group uses.
-func (w *Worker) FreeNow() api.Resources { return w.Capacity.Sub(w.Used) }
+// Unused is the capacity that no group uses.
+func (w *Worker) Unused() api.Resources { return w.Capacity.Sub(w.Used) }
 
-func (w *Worker) available(v View) api.Resources {
+func (w *Worker) computeAvailable(v CapacityView) api.Resources {
 	switch v {
-	case Whole:
+	case FullCapacity:
 		return w.Capacity
-	case Evictable, Movable:
+	case Preemptible, Restartable:
 		return w.reclaimable(v)
 	}
-	if !w.Open() {
+	if !w.Schedulable() {
 		return api.Resources{}
 	}
-	free := positive(w.FreeNow().Sub(w.Earmarked))
+	free := positive(w.Unused().Sub(w.Claimed))
 	if v == Free {
 		return free
 	}
-	return Least(free, positive(w.Capacity.Sub(w.Reserved).Sub(w.Firm)))
+	return MinResources(free, positive(w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)))
 }
 
-func (w *Worker) reclaimable(v View) api.Resources {
+func (w *Worker) reclaimable(v CapacityView) api.Resources {
 	if !w.InService() || w.Probation {
 		return api.Resources{}
 	}
-	kept := w.Firm
-	if v == Movable {
-		kept = w.Fixed
+	kept := w.NonPreemptible
+	if v == Restartable {
+		kept = w.NonRestartable
 	}
 	return positive(w.Capacity.Sub(w.Reserved).Sub(kept))
 }
@@ -122,8 +122,8 @@
 	}
 }
 
-// Least is the smaller of two amounts in each dimension.
-func Least(a, b api.Resources) api.Resources {
+// MinResources is the smaller of two amounts in each dimension.
+func MinResources(a, b api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: min(a.Accelerators, b.Accelerators),
 		MilliCPU:     min(a.MilliCPU, b.MilliCPU),
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -19,7 +19,7 @@
 		return c.reclaimFirm(j)
 	}
 	if len(best.victims) > 0 && best.res.unused() {
-		if cl, ok := c.moveSlot(best.res, j, fleet.Firm); ok {
+		if cl, ok := c.moveSlot(best.res, j, fleet.Unreserved); ok {
 			best = cl
 		}
 	}
@@ -45,7 +45,7 @@
 		if !r.placed() || !r.unused() {
 			continue
 		}
-		if cl, ok := c.moveSlot(r, j, fleet.Evictable); ok {
+		if cl, ok := c.moveSlot(r, j, fleet.Preemptible); ok {
 			return cl
 		}
 	}
@@ -54,7 +54,7 @@
 
 func (c *Core) claimIn(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
 	rooms := r.rooms()
-	rooms = slices.DeleteFunc(rooms, func(room placement.Room) bool { return avoid(room.Worker) })
+	rooms = slices.DeleteFunc(rooms, func(room placement.Candidate) bool { return avoid(room.Worker) })
 	parts := placement.Pack(rooms, j.gang())
 	if parts == nil {
 		return claim{}, false
@@ -73,7 +73,7 @@
 	}
 	// A guarantee goes before the places kept for gangs that wait.
 	c.dropAllWaiting()
-	q := c.request(j, fleet.Movable)
+	q := c.request(j, fleet.Restartable)
 	q.Gang = r.gang
 	whole := &job{rec: j.rec, perTask: r.gang.PerTask}
 	best, ok := c.cheapest(whole, q, victimRule{firm: true})
@@ -82,8 +82,8 @@
 	}
 	c.place(r, best.parts)
 	for _, v := range best.victims {
-		c.notice(v, "", ReasonReclaim, j.id())
-		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaim)
+		c.notice(v, "", ReasonReclaimed, j.id())
+		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaimed)
 	}
 	cl, ok := c.claimIn(r, j, c.avoids(j))
 	if ok {
@@ -103,7 +103,7 @@
 }
 
 // moveSlot moves an unused guarantee to other capacity that suits the job.
-func (c *Core) moveSlot(r *reservation, j *job, v fleet.View) (claim, bool) {
+func (c *Core) moveSlot(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
 	q := c.request(j, v)
 	q.Gang = r.gang
 	parts := placement.Find(c.fleet, q)
@@ -115,11 +115,11 @@
 	return c.claimIn(r, j, c.avoids(j))
 }
 
-func (r *reservation) rooms() []placement.Room {
-	out := make([]placement.Room, 0, len(r.shares))
+func (r *reservation) rooms() []placement.Candidate {
+	out := make([]placement.Candidate, 0, len(r.shares))
 	for _, s := range r.shares {
 		if s.worker.InService() && !s.worker.Paused {
-			out = append(out, placement.Room{Worker: s.worker.Worker, Avail: s.amount.Sub(s.used)})
+			out = append(out, placement.Candidate{Worker: s.worker.Worker, Available: s.amount.Sub(s.used)})
 		}
 	}
 	return out
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -91,7 +91,7 @@
 	if len(j.avoid) == 0 {
 		return
 	}
-	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Whole, Avoid: func(w *fleet.Worker) bool {
+	elsewhere := placement.Request{Gang: j.gang(), View: fleet.FullCapacity, Exclude: func(w *fleet.Worker) bool {
 		return slices.Contains(j.avoid, w.Name)
 	}}
 	if placement.Find(c.fleet, elsewhere) != nil {
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -125,7 +125,7 @@
 	holdRetryMax = 10 * time.Second
 )
 
-func (c *Core) saved(e Saved) {
+func (c *Core) saved(e SaveResult) {
 	j := c.jobs[e.JobID]
 	if j == nil {
 		return
--- a/internal/sched/learn.go
+++ b/internal/sched/learn.go
@@ -67,7 +67,7 @@
 	if g.outgrown != outgrownReports {
 		return
 	}
-	c.notice(j, g.worker.Name, ReasonOutgrown, fmt.Sprintf("uses %d MB of %d MB", usage.MemoryMB, g.amount.MemoryMB))
+	c.notice(j, g.worker.Name, ReasonExceededDeclaration, fmt.Sprintf("uses %d MB of %d MB", usage.MemoryMB, g.amount.MemoryMB))
 	if !j.movable() || g.detached || j.phase != phaseRunning {
 		return
 	}
@@ -80,5 +80,5 @@
 		j.verdict = api.OutcomeFailed
 		j.verdictDetail = fmt.Sprintf("uses %d MB per task, more than any worker has", usage.MemoryMB/g.tasks)
 	}
-	c.end(j, grace(j), ReasonOutgrown)
+	c.end(j, grace(j), ReasonExceededDeclaration)
 }
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -171,7 +171,7 @@
 			firm = firm.Add(g.amount)
 		}
 	}
-	if used != w.Used || claimed != w.Earmarked {
+	if used != w.Used || claimed != w.Claimed {
 		t.Fatalf("%s: books differ from groups: %+v", w.Name, *w.Worker)
 	}
 	if w.InService() && !certain.Fits(w.Capacity) {
@@ -377,7 +377,7 @@
 		"take over": func(t *rapid.T) {
 			m.fault()
 			m.replay(t)
-			m.replace(HoldLease + DefaultMargin)
+			m.replace(HoldLease + DefaultLeaseMargin)
 		},
 		"": m.check,
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -38,24 +38,24 @@
 // reservations for other work.
 func (c *Core) tryFree(j *job) bool {
 	lent := c.lent(j)
-	q := c.request(j, fleet.Firm)
+	q := c.request(j, fleet.Unreserved)
 	if lent {
 		q.View = fleet.Free
 	}
 	if j.class.failed {
-		q.Since = j.class.since
+		q.GainedSince = j.class.since
 	}
 	parts := placement.Find(c.fleet, q)
 	if parts == nil {
-		j.class.since = c.fleet.Gen()
+		j.class.since = c.fleet.Generation()
 		return false
 	}
 	c.begin(j, parts, !lent)
 	return true
 }
 
-func (c *Core) request(j *job, v fleet.View) placement.Request {
-	return placement.Request{Gang: j.gang(), View: v, Avoid: c.avoids(j)}
+func (c *Core) request(j *job, v fleet.CapacityView) placement.Request {
+	return placement.Request{Gang: j.gang(), View: v, Exclude: c.avoids(j)}
 }
 
 // avoids returns the workers that a job must not use: those on which it has
--- a/internal/sched/placement/placement.go
+++ b/internal/sched/placement/placement.go
@@ -10,14 +10,14 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// Room is what one worker offers to a request.
-type Room struct {
-	Worker *fleet.Worker
-	Avail  api.Resources
+// Candidate is what one worker offers to a request.
+type Candidate struct {
+	Worker    *fleet.Worker
+	Available api.Resources
 }
 
-// Part is the number of a gang's tasks on one worker.
-type Part struct {
+// Assignment is the number of a gang's tasks on one worker.
+type Assignment struct {
 	Worker *fleet.Worker
 	Tasks  int
 }
@@ -25,16 +25,16 @@
 // Request asks for room for a gang.
 type Request struct {
 	Gang api.Shape
-	View fleet.View
-	// Since limits the search to racks (and their zones) that gained capacity
+	View fleet.CapacityView
+	// GainedSince limits the search to racks (and their zones) that gained capacity
 	// after this generation.
-	Since uint64
-	// Avoid excludes workers; nil excludes none.
-	Avoid func(*fleet.Worker) bool
+	GainedSince uint64
+	// Exclude excludes workers; nil excludes none.
+	Exclude func(*fleet.Worker) bool
 }
 
 // Find returns the best room for the whole gang, or nil.
-func Find(f *fleet.Fleet, q Request) []Part {
+func Find(f *fleet.Fleet, q Request) []Assignment {
 	if q.Gang.Tasks == 1 {
 		q.Gang.Adjacency = api.AdjacentWorker
 	}
@@ -48,19 +48,19 @@
 }
 
 func (q *Request) room(w *fleet.Worker) api.Resources {
-	if q.Avoid != nil && q.Avoid(w) {
+	if q.Exclude != nil && q.Exclude(w) {
 		return api.Resources{}
 	}
-	return w.Avail(q.View)
+	return w.Available(q.View)
 }
 
 // indexed reports whether the indexes by free capacity bound the view.
-func (q *Request) indexed() bool { return q.View == fleet.Free || q.View == fleet.Firm }
+func (q *Request) indexed() bool { return q.View == fleet.Free || q.View == fleet.Unreserved }
 
-func findWorker(f *fleet.Fleet, q Request) []Part {
+func findWorker(f *fleet.Fleet, q Request) []Assignment {
 	need := q.Gang.PerTask.Times(q.Gang.Tasks)
 	var best *fleet.Worker
-	if q.Since == 0 && q.indexed() {
+	if q.GainedSince == 0 && q.indexed() {
 		f.BestFit(need, func(w *fleet.Worker) bool {
 			if need.Fits(q.room(w)) {
 				best = w
@@ -80,15 +80,15 @@
 	return whole(best, q.Gang.Tasks)
 }
 
-func whole(w *fleet.Worker, tasks int) []Part {
+func whole(w *fleet.Worker, tasks int) []Assignment {
 	if w == nil {
 		return nil
 	}
-	return []Part{{Worker: w, Tasks: tasks}}
+	return []Assignment{{Worker: w, Tasks: tasks}}
 }
 
-func tighter(a, b *fleet.Worker, v fleet.View) bool {
-	x, y := a.Avail(v), b.Avail(v)
+func tighter(a, b *fleet.Worker, v fleet.CapacityView) bool {
+	x, y := a.Available(v), b.Available(v)
 	return cmp.Or(
 		cmp.Compare(x.Accelerators, y.Accelerators),
 		cmp.Compare(x.MilliCPU, y.MilliCPU),
@@ -104,8 +104,8 @@
 		}
 		return visit(r)
 	}
-	if q.Since > 0 {
-		f.RacksSince(q.Since, filtered)
+	if q.GainedSince > 0 {
+		f.RacksGainedSince(q.GainedSince, filtered)
 		return
 	}
 	if q.indexed() {
@@ -121,9 +121,9 @@
 	}
 }
 
-func findRack(f *fleet.Fleet, q Request) []Part {
+func findRack(f *fleet.Fleet, q Request) []Assignment {
 	need := q.Gang.PerTask.Times(q.Gang.Tasks)
-	var best []Part
+	var best []Assignment
 	var bestRack *fleet.Rack
 	eachRack(f, q, need, func(r *fleet.Rack) bool {
 		if bestRack != nil && !fullerRack(r, bestRack, q.View) {
@@ -134,29 +134,29 @@
 			best, bestRack = parts, r
 		}
 		// The index visits racks from the tightest fit on.
-		return best == nil || q.Since > 0 || !q.indexed()
+		return best == nil || q.GainedSince > 0 || !q.indexed()
 	})
 	return best
 }
 
-func fullerRack(a, b *fleet.Rack, v fleet.View) bool {
+func fullerRack(a, b *fleet.Rack, v fleet.CapacityView) bool {
 	return cmp.Or(
 		cmp.Compare(a.Total[v].Accelerators, b.Total[v].Accelerators),
 		cmp.Compare(a.Total[v].MilliCPU, b.Total[v].MilliCPU),
 		cmp.Compare(a.Name, b.Name)) < 0
 }
 
-func rooms(workers []*fleet.Worker, q *Request) []Room {
-	out := make([]Room, 0, len(workers))
+func rooms(workers []*fleet.Worker, q *Request) []Candidate {
+	out := make([]Candidate, 0, len(workers))
 	for _, w := range workers {
 		if avail := q.room(w); q.Gang.PerTask.Fits(avail) {
-			out = append(out, Room{w, avail})
+			out = append(out, Candidate{w, avail})
 		}
 	}
 	return out
 }
 
-func findZone(f *fleet.Fleet, q Request) []Part {
+func findZone(f *fleet.Fleet, q Request) []Assignment {
 	// One rack is the better place for a gang that may spread over a zone.
 	if parts := findRack(f, q); parts != nil {
 		return parts
@@ -176,10 +176,10 @@
 // zonesToTry returns the zones from the one with the least room on.
 func zonesToTry(f *fleet.Fleet, q Request) []string {
 	var zones []string
-	if q.Since == 0 {
+	if q.GainedSince == 0 {
 		zones = slices.Clone(f.Zones())
 	} else {
-		f.RacksSince(q.Since, func(r *fleet.Rack) bool {
+		f.RacksGainedSince(q.GainedSince, func(r *fleet.Rack) bool {
 			if !slices.Contains(zones, r.Zone) {
 				zones = append(zones, r.Zone)
 			}
@@ -195,9 +195,9 @@
 }
 
 // packZone spreads a gang over as few racks of the zone as it can.
-func packZone(f *fleet.Fleet, zone string, q Request) []Part {
+func packZone(f *fleet.Fleet, zone string, q Request) []Assignment {
 	type rackRoom struct {
-		rooms []Room
+		rooms []Candidate
 		tasks int
 	}
 	var racks []rackRoom
@@ -209,7 +209,7 @@
 		rs := rooms(r.Workers, &q)
 		n := 0
 		for _, room := range rs {
-			n += Count(room.Avail, q.Gang.PerTask)
+			n += TasksThatFit(room.Available, q.Gang.PerTask)
 		}
 		if n > 0 {
 			racks = append(racks, rackRoom{rs, n})
@@ -220,7 +220,7 @@
 		return nil
 	}
 	slices.SortStableFunc(racks, func(a, b rackRoom) int { return cmp.Compare(b.tasks, a.tasks) })
-	var parts []Part
+	var parts []Assignment
 	for left := q.Gang.Tasks; left > 0; {
 		// The last rack is the tightest that holds what is left.
 		pick := 0
@@ -239,13 +239,13 @@
 
 // Pack places the gang into the rooms, which are adjacent enough already
 // unless the gang must share one worker. It returns nil if the gang does not fit.
-func Pack(in []Room, gang api.Shape) []Part {
+func Pack(in []Candidate, gang api.Shape) []Assignment {
 	if gang.Adjacency == api.AdjacentWorker {
 		return packOne(in, gang)
 	}
 	total := 0
 	for _, r := range in {
-		total += Count(r.Avail, gang.PerTask)
+		total += TasksThatFit(r.Available, gang.PerTask)
 	}
 	if total < gang.Tasks {
 		return nil
@@ -253,11 +253,11 @@
 	return fill(in, gang.PerTask, gang.Tasks)
 }
 
-func packOne(in []Room, gang api.Shape) []Part {
-	var best *Room
+func packOne(in []Candidate, gang api.Shape) []Assignment {
+	var best *Candidate
 	for i := range in {
-		n := Count(in[i].Avail, gang.PerTask)
-		if n >= gang.Tasks && (best == nil || n < Count(best.Avail, gang.PerTask)) {
+		n := TasksThatFit(in[i].Available, gang.PerTask)
+		if n >= gang.Tasks && (best == nil || n < TasksThatFit(best.Available, gang.PerTask)) {
 			best = &in[i]
 		}
 	}
@@ -269,22 +269,22 @@
 
 // fill uses the largest rooms first and the tightest one for the rest. The
 // rooms hold at least the given number of tasks.
-func fill(in []Room, perTask api.Resources, tasks int) []Part {
+func fill(in []Candidate, perTask api.Resources, tasks int) []Assignment {
 	type slot struct {
 		worker *fleet.Worker
 		tasks  int
 	}
 	slots := make([]slot, 0, len(in))
 	for _, r := range in {
-		if n := Count(r.Avail, perTask); n > 0 {
+		if n := TasksThatFit(r.Available, perTask); n > 0 {
 			slots = append(slots, slot{r.Worker, n})
 		}
 	}
 	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(b.tasks, a.tasks) })
-	var parts []Part
+	var parts []Assignment
 	for left, i := tasks, 0; left > 0; {
 		if slots[i].tasks <= left {
-			parts = append(parts, Part{slots[i].worker, slots[i].tasks})
+			parts = append(parts, Assignment{slots[i].worker, slots[i].tasks})
 			left -= slots[i].tasks
 			i++
 			continue
@@ -293,7 +293,7 @@
 		for last+1 < len(slots) && slots[last+1].tasks >= left {
 			last++
 		}
-		parts = append(parts, Part{slots[last].worker, left})
+		parts = append(parts, Assignment{slots[last].worker, left})
 		left = 0
 	}
 	return parts
@@ -302,8 +302,8 @@
 // maxTasksPerWorker bounds the count of tasks that ask for nothing.
 const maxTasksPerWorker = 1 << 20
 
-// Count returns how many tasks of the given size fit into avail.
-func Count(avail, perTask api.Resources) int {
+// TasksThatFit returns how many tasks of the given size fit into avail.
+func TasksThatFit(avail, perTask api.Resources) int {
 	n := maxTasksPerWorker
 	if perTask.Accelerators > 0 {
 		n = min(n, avail.Accelerators/perTask.Accelerators)
@@ -317,9 +317,9 @@
 	return n
 }
 
-// Each visits one room for the whole gang in each worker, rack or zone that
+// ForEachDomain visits one room for the whole gang in each worker, rack or zone that
 // has one, until visit returns false.
-func Each(f *fleet.Fleet, q Request, visit func([]Part) bool) {
+func ForEachDomain(f *fleet.Fleet, q Request, visit func([]Assignment) bool) {
 	if q.Gang.Tasks == 1 {
 		q.Gang.Adjacency = api.AdjacentWorker
 	}
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -165,12 +165,12 @@
 }
 
 func (c *Core) worthTrying(cl *class) bool {
-	return !cl.failed || c.fleet.Gen() > cl.since || cl.account.gen > cl.sinceAccount
+	return !cl.failed || c.fleet.Generation() > cl.since || cl.account.gen > cl.sinceAccount
 }
 
 func (c *Core) rankClass(cl *class) {
 	p := c.config.Profiles[cl.key.profile]
-	cl.share = cl.account.share(c.fleet.Service(), p.Weight)
+	cl.share = cl.account.share(c.fleet.InServiceCapacity(), p.Weight)
 	switch {
 	case p.Urgent:
 		cl.rank = rankUrgent
@@ -257,7 +257,7 @@
 	if c.now-j.queuedAt < missingProfileWait {
 		return
 	}
-	c.refuseQueued(j, ReasonUnknownConfig, "profile \""+j.rec.Job.Profile+"\" does not exist")
+	c.refuseQueued(j, ReasonUnknownProfile, "profile \""+j.rec.Job.Profile+"\" does not exist")
 }
 
 // refuseQueued answers a queued job that can not go on.
--- a/internal/sched/renew.go
+++ b/internal/sched/renew.go
@@ -31,7 +31,7 @@
 		if !renewable(g) {
 			continue
 		}
-		g.leaseUntil = c.now + GroupLease + c.cfg.Margin
+		g.leaseUntil = c.now + GroupLease + c.cfg.LeaseMargin
 		c.startAgain(g)
 		refs = append(refs, GroupRef{g.job.id(), g.attempt})
 	}
--- a/internal/sched/reports.go
+++ b/internal/sched/reports.go
@@ -60,7 +60,7 @@
 
 func (c *Core) stopStray(w *worker, ref GroupRef) {
 	if !slices.ContainsFunc(w.strays, func(s stray) bool { return s.ref == ref }) {
-		w.strays = append(w.strays, stray{ref, c.now + GroupLease + c.cfg.Margin})
+		w.strays = append(w.strays, stray{ref, c.now + GroupLease + c.cfg.LeaseMargin})
 		c.after(stopResend, func() { c.resendStrays(w) })
 	}
 	c.pause(w, workerPause)
--- a/internal/sched/rig_test.go
+++ b/internal/sched/rig_test.go
@@ -143,7 +143,7 @@
 		failed := r.storeDown
 		r.after(r.storeLatency, func() {
 			if term == r.term {
-				r.step(Saved{JobID: rec.Job.ID, Attempt: rec.Attempt, State: rec.State, Failed: failed})
+				r.step(SaveResult{JobID: rec.Job.ID, Attempt: rec.Attempt, State: rec.State, Failed: failed})
 			}
 		})
 	})
@@ -160,7 +160,7 @@
 	next.Version++
 	change(next)
 	r.config = next
-	r.step(Configured{next})
+	r.step(ConfigUpdate{next})
 }
 
 func (r *rig) setZone(zone string, state api.ZoneState) {
@@ -173,7 +173,7 @@
 	r.stopped = map[GroupRef]bool{}
 	r.termStart = r.now
 	r.sched = next
-	r.step(Configured{r.config})
+	r.step(ConfigUpdate{r.config})
 	for _, name := range r.names {
 		if g := r.agents[name]; g.linked {
 			g.hello()
@@ -184,7 +184,7 @@
 			r.step(Submit{r.rows[id]})
 		}
 	}
-	r.step(Authority{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
+	r.step(Ownership{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
 }
 
 // agent is a fake worker agent that keeps the group protocol.
--- a/internal/sched/scenario_test.go
+++ b/internal/sched/scenario_test.go
@@ -106,11 +106,11 @@
 		s.workerCommand(d.CmdArgs[0].Key, d.CmdArgs[1].Key)
 	case "store":
 		s.storeDown = d.CmdArgs[0].Key != "up"
-		s.step(Authority{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
+		s.step(Ownership{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
 	case "drain":
 		s.step(Drain{})
 	case "takeover":
-		s.own(HoldLease + DefaultMargin)
+		s.own(HoldLease + DefaultLeaseMargin)
 	case "advance":
 		by, err := time.ParseDuration(d.CmdArgs[0].Key)
 		if err != nil {
@@ -165,7 +165,7 @@
 	next := s.config.Clone()
 	next.Profiles[p.Name] = p
 	refused := false
-	for _, f := range s.core.Feasible(next) {
+	for _, f := range s.core.CheckFeasibility(next) {
 		s.log = append(s.log, string(f.Severity)+": "+f.Detail)
 		refused = refused || f.Severity == "error"
 	}
--- a/internal/sched/slots.go
+++ b/internal/sched/slots.go
@@ -61,7 +61,7 @@
 	return true
 }
 
-func (c *Core) place(r *reservation, parts []placement.Part) {
+func (c *Core) place(r *reservation, parts []placement.Assignment) {
 	for _, p := range parts {
 		w := c.workers[p.Worker.Name]
 		s := &share{res: r, worker: w, amount: r.gang.PerTask.Times(p.Tasks)}
@@ -98,7 +98,7 @@
 // planSlots keeps a place for each gang that is guaranteed.
 func (c *Core) planSlots() {
 	// Capacity that became free may hold a guarantee that has no place.
-	retry := c.missing > 0 && c.fleet.Gen() > c.plannedGen
+	retry := c.missing > 0 && c.fleet.Generation() > c.plannedGen
 	repackDue := c.repackOwed && c.now >= c.repackedAt+repackInterval
 	if !c.slotsDirty && !retry && !repackDue {
 		return
@@ -120,7 +120,7 @@
 		c.repackedAt = c.now
 		c.repack()
 	}
-	c.plannedGen = c.fleet.Gen()
+	c.plannedGen = c.fleet.Generation()
 }
 
 // placeSlots looks for a place for each guarantee without one, the largest first.
@@ -131,7 +131,7 @@
 		if r.placed() || c.bind(r) {
 			continue
 		}
-		parts := placement.Find(c.fleet, placement.Request{Gang: r.gang, View: fleet.Evictable})
+		parts := placement.Find(c.fleet, placement.Request{Gang: r.gang, View: fleet.Preemptible})
 		if parts == nil {
 			c.missing++
 			c.lacking += r.size()
@@ -155,12 +155,12 @@
 }
 
 // compact packs the unused guarantees anew if that opens a place for a gang.
-func (c *Core) compact(j *job) []placement.Part {
+func (c *Core) compact(j *job) []placement.Assignment {
 	if c.now < c.compactedAt+compactInterval {
 		return nil
 	}
 	c.compactedAt = c.now
-	var parts []placement.Part
+	var parts []placement.Assignment
 	before := c.missing
 	c.rearrange(func() bool {
 		parts = c.soonestPlace(j)
@@ -173,7 +173,7 @@
 func (c *Core) rearrange(helps func() bool) {
 	type kept struct {
 		r     *reservation
-		parts []placement.Part
+		parts []placement.Assignment
 	}
 	missing, lacking := c.missing, c.lacking
 	var old []kept
@@ -201,11 +201,11 @@
 	c.missing, c.lacking = missing, lacking
 }
 
-func (r *reservation) parts() []placement.Part {
-	out := make([]placement.Part, 0, len(r.shares))
+func (r *reservation) parts() []placement.Assignment {
+	out := make([]placement.Assignment, 0, len(r.shares))
 	for _, s := range r.shares {
-		tasks := placement.Count(s.amount, r.gang.PerTask)
-		out = append(out, placement.Part{Worker: s.worker.Worker, Tasks: tasks})
+		tasks := placement.TasksThatFit(s.amount, r.gang.PerTask)
+		out = append(out, placement.Assignment{Worker: s.worker.Worker, Tasks: tasks})
 	}
 	return out
 }
@@ -213,7 +213,7 @@
 func (c *Core) bySize() []*reservation {
 	out := slices.Clone(c.slots)
 	slices.SortStableFunc(out, func(a, b *reservation) int {
-		return feasibility.Compare(a.gang, b.gang)
+		return feasibility.CompareShapes(a.gang, b.gang)
 	})
 	return out
 }
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -17,7 +17,7 @@
 	j.started = true
 	j.startedAt = c.now
 	j.firm = !c.lent(j)
-	until := max(c.now, c.authority.StartAfter) + GroupLease + c.cfg.Margin
+	until := max(c.now, c.authority.StartAfter) + GroupLease + c.cfg.LeaseMargin
 	for _, p := range j.rec.Placements {
 		w := c.workers[p.Worker]
 		if w == nil {
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -75,22 +75,22 @@
 	WorkerFault bool
 }
 
-// Saved answers a Save: Attempt (and State) of the job's row are durable.
+// SaveResult answers a Save: Attempt (and State) of the job's row are durable.
 // Failed means that the row has certainly not been written.
-type Saved struct {
+type SaveResult struct {
 	JobID   string
 	Attempt uint32
 	State   api.JobState
 	Failed  bool
 }
 
-// Configured brings a configuration; one with a lower version is ignored.
-type Configured struct{ Config *api.Config }
+// ConfigUpdate brings a configuration; one with a lower version is ignored.
+type ConfigUpdate struct{ Config *api.Config }
 
-// Authority tells whether this process is the owner at this moment, with the
+// Ownership tells whether this process is the owner at this moment, with the
 // epoch of its term. Without authority the core starts nothing. StartAfter is
 // the time up to which the previous owner's permissions may still be in use.
-type Authority struct {
+type Ownership struct {
 	Owner      bool
 	Epoch      uint64
 	StartAfter time.Duration
@@ -109,9 +109,9 @@
 func (WorkerDown) event()   {}
 func (WorkerStatus) event() {}
 func (GroupReport) event()  {}
-func (Saved) event()        {}
-func (Configured) event()   {}
-func (Authority) event()    {}
+func (SaveResult) event()   {}
+func (ConfigUpdate) event() {}
+func (Ownership) event()    {}
 func (Tick) event()         {}
 func (Drain) event()        {}
 
@@ -200,24 +200,24 @@
 
 // The reasons of decisions.
 const (
-	ReasonNeverFits     Reason = "never-fits"
-	ReasonNoCapacity    Reason = "no-capacity"
-	ReasonQuota         Reason = "quota-reached"
-	ReasonReclaim       Reason = "reclaimed-for-guarantee"
-	ReasonZoneOut       Reason = "zone-out"
-	ReasonWorkerLeaving Reason = "worker-leaving"
-	ReasonZoneReturn    Reason = "zone-returning-by-steps"
-	ReasonWorkerLost    Reason = "worker-lost"
-	ReasonQuarantine    Reason = "worker-quarantined"
-	ReasonTaskFailed    Reason = "task-failed"
-	ReasonCancelled     Reason = "cancelled"
-	ReasonOutgrown      Reason = "outgrew-declaration"
-	ReasonHoldRefused   Reason = "hold-refused"
-	ReasonHoldTimeout   Reason = "hold-timeout"
-	ReasonMadeRoom      Reason = "made-room-for-waiting-work"
-	ReasonReserved      Reason = "capacity-reserved"
-	ReasonMigrated      Reason = "migrated"
-	ReasonDeadline      Reason = "deadline-passed"
-	ReasonMayHaveRun    Reason = "may-have-run"
-	ReasonUnknownConfig Reason = "unknown-profile"
+	ReasonNeverFits           Reason = "never-fits"
+	ReasonNoCapacity          Reason = "no-capacity"
+	ReasonQuota               Reason = "quota-reached"
+	ReasonReclaimed           Reason = "reclaimed-for-guarantee"
+	ReasonZoneOut             Reason = "zone-out"
+	ReasonWorkerLeaving       Reason = "worker-leaving"
+	ReasonZoneReturning       Reason = "zone-returning-by-steps"
+	ReasonWorkerLost          Reason = "worker-lost"
+	ReasonQuarantine          Reason = "worker-quarantined"
+	ReasonTaskFailed          Reason = "task-failed"
+	ReasonCancelled           Reason = "cancelled"
+	ReasonExceededDeclaration Reason = "outgrew-declaration"
+	ReasonHoldRefused         Reason = "hold-refused"
+	ReasonHoldTimeout         Reason = "hold-timeout"
+	ReasonPreempted           Reason = "made-room-for-waiting-work"
+	ReasonReserved            Reason = "capacity-reserved"
+	ReasonMigrated            Reason = "migrated"
+	ReasonDeadline            Reason = "deadline-passed"
+	ReasonMayHaveRun          Reason = "may-have-run"
+	ReasonUnknownProfile      Reason = "unknown-profile"
 )
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -84,7 +84,7 @@
 // large reports whether a gang needs more than half of the largest worker, so
 // that smaller work could keep it waiting for ever.
 func (c *Core) large(j *job) bool {
-	need, largest := j.total(), c.fleet.Largest()
+	need, largest := j.total(), c.fleet.LargestCapacity()
 	if need.Accelerators > 0 {
 		return need.Accelerators*2 > largest.Accelerators
 	}
@@ -136,12 +136,12 @@
 // freeingWorker is a worker with the time until its work outside of
 // reservations that must not be preempted is expected to end.
 type freeingWorker struct {
-	room placement.Room
+	room placement.Candidate
 	wait time.Duration
 }
 
-func (c *Core) soonestPlace(j *job) []placement.Part {
-	var best []placement.Part
+func (c *Core) soonestPlace(j *job) []placement.Assignment {
+	var best []placement.Assignment
 	var bestWait time.Duration
 	for _, domain := range c.domains(j.gang().Adjacency) {
 		parts, wait := c.soonestIn(j, domain)
@@ -170,20 +170,20 @@
 	return out
 }
 
-func (c *Core) soonestIn(j *job, domain []*fleet.Worker) ([]placement.Part, time.Duration) {
+func (c *Core) soonestIn(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
 	avoid := c.avoids(j)
 	var all []freeingWorker
 	for _, w := range domain {
-		if !w.Open() || avoid(w) {
+		if !w.Schedulable() || avoid(w) {
 			continue
 		}
 		avail := w.Capacity.Sub(w.Reserved)
-		if placement.Count(avail, j.perTask) > 0 {
-			all = append(all, freeingWorker{placement.Room{Worker: w, Avail: avail}, c.firmWait(c.workers[w.Name])})
+		if placement.TasksThatFit(avail, j.perTask) > 0 {
+			all = append(all, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.firmWait(c.workers[w.Name])})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b freeingWorker) int { return cmp.Compare(a.wait, b.wait) })
-	var rooms []placement.Room
+	var rooms []placement.Candidate
 	gang := j.gang()
 	for _, f := range all {
 		rooms = append(rooms, f.room)
@@ -216,7 +216,7 @@
 	if move >= left || !c.migratable(g) {
 		return left
 	}
-	away := placement.Request{Gang: j.gang(), View: fleet.Firm, Avoid: func(w *fleet.Worker) bool { return w == g.worker.Worker }}
+	away := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool { return w == g.worker.Worker }}
 	if placement.Find(c.fleet, away) == nil {
 		return left
 	}
@@ -249,8 +249,8 @@
 		return false
 	}
 	for _, s := range r.shares {
-		open := s.worker.Capacity.Sub(s.worker.Reserved).Sub(s.worker.Firm).Add(s.amount)
-		if !s.worker.Open() || !s.amount.Fits(open) {
+		open := s.worker.Capacity.Sub(s.worker.Reserved).Sub(s.worker.NonPreemptible).Add(s.amount)
+		if !s.worker.Schedulable() || !s.amount.Fits(open) {
 			return false
 		}
 	}
@@ -309,7 +309,7 @@
 	if gain <= moveCost(j) {
 		return false
 	}
-	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Firm, Avoid: func(w *fleet.Worker) bool {
+	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool {
 		return r.shareOn(c.workers[w.Name]) != nil
 	}}
 	return placement.Find(c.fleet, elsewhere) != nil
--- a/internal/sched/workers.go
+++ b/internal/sched/workers.go
@@ -71,7 +71,7 @@
 		f.Healthy = true
 		f.Leaving = false
 		f.ZoneOut = out
-		f.Stepping = c.stepping(f)
+		f.AwaitingReopen = c.stepping(f)
 	})
 	c.slotsDirty = true
 	if !wasDown {
@@ -181,15 +181,15 @@
 	g.fixed = g.fixed || (g.firm && !g.job.movable())
 	c.update(w, func(f *fleet.Worker) {
 		if g.state == groupClaimed {
-			f.Earmarked = f.Earmarked.Add(g.amount)
+			f.Claimed = f.Claimed.Add(g.amount)
 		} else {
 			f.Used = f.Used.Add(g.amount)
 		}
 		if g.firm {
-			f.Firm = f.Firm.Add(g.amount)
+			f.NonPreemptible = f.NonPreemptible.Add(g.amount)
 		}
 		if g.fixed {
-			f.Fixed = f.Fixed.Add(g.amount)
+			f.NonRestartable = f.NonRestartable.Add(g.amount)
 		}
 	})
 }
@@ -214,15 +214,15 @@
 	g.account.sub(g)
 	c.update(w, func(f *fleet.Worker) {
 		if claimed {
-			f.Earmarked = f.Earmarked.Sub(g.amount)
+			f.Claimed = f.Claimed.Sub(g.amount)
 		} else {
 			f.Used = f.Used.Sub(g.amount)
 		}
 		if g.firm {
-			f.Firm = f.Firm.Sub(g.amount)
+			f.NonPreemptible = f.NonPreemptible.Sub(g.amount)
 		}
 		if g.fixed {
-			f.Fixed = f.Fixed.Sub(g.amount)
+			f.NonRestartable = f.NonRestartable.Sub(g.amount)
 		}
 	})
 	if g.share != nil {
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -52,13 +52,13 @@
 		return
 	}
 	if !first {
-		c.notice(nil, "", ReasonZoneReturn, zone)
+		c.notice(nil, "", ReasonZoneReturning, zone)
 		c.zones[zone] = &zoneReturn{}
 	}
 	for _, w := range changed {
 		c.update(w, func(f *fleet.Worker) {
 			f.ZoneOut = false
-			f.Stepping = !first
+			f.AwaitingReopen = !first
 		})
 	}
 	c.slotsDirty = true
@@ -73,7 +73,7 @@
 	for _, w := range workers {
 		c.update(w, func(f *fleet.Worker) {
 			f.ZoneOut = true
-			f.Stepping = false
+			f.AwaitingReopen = false
 		})
 	}
 	c.slotsDirty = true
@@ -178,8 +178,8 @@
 	racks := c.fleet.Racks(zone)
 	for i := range c.openRacks(zone) {
 		for _, w := range racks[i].Workers {
-			if w.Stepping {
-				c.update(c.workers[w.Name], func(f *fleet.Worker) { f.Stepping = false })
+			if w.AwaitingReopen {
+				c.update(c.workers[w.Name], func(f *fleet.Worker) { f.AwaitingReopen = false })
 			}
 		}
 	}
