--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -193,7 +193,7 @@
 			var p graph.Progress
 			return json.Unmarshal(data, &p) == nil && p.State.Final() && !p.Finished.IsZero() && now.Sub(p.Finished) > plan.KeepFinal
 		},
-		Before: func(ctx context.Context, data json.RawMessage) error {
+		BeforeDelete: func(ctx context.Context, data json.RawMessage) error {
 			var p graph.Progress
 			if err := json.Unmarshal(data, &p); err != nil {
 				return errors.Trace(err)
--- a/internal/entry/httpapi/requests.go
+++ b/internal/entry/httpapi/requests.go
@@ -28,7 +28,7 @@
 			call.Timeout = profile.Timeout.D()
 		}
 	}
-	reply, err := a.Requests.Do(call)
+	reply, err := a.Requests.Submit(call)
 	if err != nil {
 		notRun(ctx, fasthttp.StatusServiceUnavailable, time.Second, "%v", err)
 		return
--- a/internal/entry/requests/claims.go
+++ b/internal/entry/requests/claims.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return standing{reply: &Reply{
 			Outcome:    api.OutcomeUnknown,
-			Reason:     route.ReasonStoreDown,
+			Reason:     route.ReasonStoreUnavailable,
 			Detail:     "this call has not run; whether an earlier one with the same key has cannot be read now; repeat it with the same key",
 			RetryAfter: keyRetryAfter,
 		}}
@@ -168,7 +168,7 @@
 		if err := json.Unmarshal(rows[0].Data, &old); err != nil {
 			return failed
 		}
-		if !replaceable(old, act.From) {
+		if !replaceable(old, act.Replaces) {
 			return c.existing(ctx, act, w, old)
 		}
 	}
@@ -220,7 +220,7 @@
 func (c *claims) unreadable(id string, w *waiter) {
 	c.end(id, w, Reply{
 		Outcome:    api.OutcomeUnknown,
-		Reason:     route.ReasonStoreDown,
+		Reason:     route.ReasonStoreUnavailable,
 		Detail:     "the recorded answer cannot be read now; repeat the call with the same key",
 		RetryAfter: keyRetryAfter,
 	})
@@ -236,7 +236,7 @@
 	}
 	delete(c.service.waiters, id)
 	w.reply <- reply
-	c.service.stepLocked(route.Gone{ID: id})
+	c.service.stepLocked(route.CallerGone{ID: id})
 }
 
 // ReasonKeyReused says that a key came with another body than the first time.
--- a/internal/entry/requests/lookup_test.go
+++ b/internal/entry/requests/lookup_test.go
@@ -30,7 +30,7 @@
 	call.Timeout = 50 * time.Millisecond
 	answer := make(chan Reply, 1)
 	go func() {
-		reply, _ := s.Do(call)
+		reply, _ := s.Submit(call)
 		answer <- reply
 	}()
 	select {
--- a/internal/entry/requests/requests.go
+++ b/internal/entry/requests/requests.go
@@ -23,8 +23,8 @@
 
 const idlePollInterval = 20 * time.Millisecond
 
-// ErrTooMany says that the entry holds as many requests as it may.
-const ErrTooMany = errors.ConstError("entry holds too many requests")
+// ErrTooManyRequests says that the entry holds as many requests as it may.
+const ErrTooManyRequests = errors.ConstError("entry holds too many requests")
 
 // Members lists the live entries, this one included.
 type Members interface {
@@ -62,8 +62,8 @@
 	Body        []byte
 }
 
-// Permits tells whether work may start and in which zones.
-type Permits interface {
+// PermitSource tells whether work may start and in which zones.
+type PermitSource interface {
 	Permit() bool
 	Current() *api.Config
 }
@@ -78,7 +78,7 @@
 type Service struct {
 	cfg      Config
 	links    *links.Server
-	permits  Permits
+	permits  PermitSource
 	members  Members
 	claims   *claims
 	registry metrics.Registry
@@ -96,7 +96,7 @@
 }
 
 // New returns the service; it listens to srv from now on.
-func New(cfg Config, srv *links.Server, permits Permits, members Members, l ledger.Ledger, objects external.Objects, registry metrics.Registry, log zerolog.Logger) *Service {
+func New(cfg Config, srv *links.Server, permits PermitSource, members Members, l ledger.Ledger, objects external.Objects, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
 		cfg:      cfg,
 		links:    srv,
@@ -155,8 +155,8 @@
 	return p
 }
 
-// Do carries out a call and returns its final answer.
-func (s *Service) Do(call Call) (Reply, error) {
+// Submit carries out a call and returns its final answer.
+func (s *Service) Submit(call Call) (Reply, error) {
 	deadline := s.now() + call.Timeout
 	if call.Key == "" || call.Idempotent {
 		return s.submit(call, deadline)
@@ -195,7 +195,7 @@
 	s.mu.Lock()
 	if len(s.waiters) >= s.cfg.MaxRequests {
 		s.mu.Unlock()
-		return Reply{}, errors.Trace(ErrTooMany)
+		return Reply{}, errors.Trace(ErrTooManyRequests)
 	}
 	s.serial++
 	id := fmt.Sprintf("%s-%d", s.prefix, s.serial)
--- a/internal/entry/requests/requests_test.go
+++ b/internal/entry/requests/requests_test.go
@@ -63,7 +63,7 @@
 func TestKeyOfAnotherBodyIsRefusedAsNotRun(t *testing.T) {
 	s, table := newTestService(t, standin.NewObjects())
 	putClaim(t, table, claimRow{Digest: rpc.Digest([]byte("first")), Outcome: api.OutcomeDone, Status: 200})
-	reply, err := s.Do(keyedCall("second"))
+	reply, err := s.Submit(keyedCall("second"))
 	if err != nil || reply.Outcome != api.OutcomeNotRun || reply.Reason != ReasonKeyReused {
 		t.Fatalf("reply %+v, error %v; want not-run because of %s", reply, err, ReasonKeyReused)
 	}
@@ -73,15 +73,15 @@
 	s, table := newTestService(t, standin.NewObjects())
 	putClaim(t, table, claimRow{Digest: rpc.Digest([]byte("b")), Outcome: api.OutcomeDone, Status: 200, Object: "absent"})
 	for range 5 {
-		reply, err := s.Do(keyedCall("b"))
+		reply, err := s.Submit(keyedCall("b"))
 		if err != nil || reply.Outcome != api.OutcomeUnknown || reply.RetryAfter == 0 {
 			t.Fatalf("reply %+v, error %v; want unknown with a time to come back", reply, err)
 		}
 	}
 	other := keyedCall("b")
 	other.Key, other.Timeout = "other", 300*time.Millisecond
-	reply, err := s.Do(other)
-	if err != nil || reply.Reason == route.ReasonStoreDown {
+	reply, err := s.Submit(other)
+	if err != nil || reply.Reason == route.ReasonStoreUnavailable {
 		t.Fatalf("reply %+v, error %v to another key; the table answers", reply, err)
 	}
 }
--- a/internal/entry/requests/retention.go
+++ b/internal/entry/requests/retention.go
@@ -22,7 +22,7 @@
 			var row claimRow
 			return json.Unmarshal(data, &row) == nil && now.Sub(row.Created) > claimKeep
 		},
-		Before: func(ctx context.Context, data json.RawMessage) error {
+		BeforeDelete: func(ctx context.Context, data json.RawMessage) error {
 			var row claimRow
 			if json.Unmarshal(data, &row) != nil || row.Object == "" {
 				return nil
--- a/internal/entry/retention/retention.go
+++ b/internal/entry/retention/retention.go
@@ -26,9 +26,9 @@
 	Name    string
 	Prefix  string
 	Expired func(data json.RawMessage, now time.Time) bool
-	// Before, if not nil, removes what belongs to the row; on an error the row
+	// BeforeDelete, if not nil, removes what belongs to the row; on an error the row
 	// stays for the next round.
-	Before func(ctx context.Context, data json.RawMessage) error
+	BeforeDelete func(ctx context.Context, data json.RawMessage) error
 }
 
 // Ownership tells whether this entry owns the cell.
@@ -101,8 +101,8 @@
 }
 
 func (s *Service) remove(ctx context.Context, rule Rule, row ledger.Row) error {
-	if rule.Before != nil {
-		if err := rule.Before(ctx, row.Data); err != nil {
+	if rule.BeforeDelete != nil {
+		if err := rule.BeforeDelete(ctx, row.Data); err != nil {
 			return errors.Annotatef(err, "removing what belongs to %q", row.Key)
 		}
 	}
--- a/internal/entry/retention/retention_test.go
+++ b/internal/entry/retention/retention_test.go
@@ -44,7 +44,7 @@
 		Expired: func(data json.RawMessage, _ time.Time) bool {
 			return string(data) != `"claim/b"`
 		},
-		Before: func(_ context.Context, data json.RawMessage) error {
+		BeforeDelete: func(_ context.Context, data json.RawMessage) error {
 			if string(data) == `"claim/c"` {
 				return errors.New("object store down")
 			}
--- a/internal/route/admit.go
+++ b/internal/route/admit.go
@@ -21,11 +21,11 @@
 	case c.draining:
 		return refuse(q, ReasonDraining, "the entry is stopping", minRetryAfter)
 	case q.Deadline <= c.now:
-		return refuse(q, ReasonDeadline, "the deadline has passed", 0)
+		return refuse(q, ReasonDeadlinePassed, "the deadline has passed", 0)
 	case reason != "":
 		return refuse(q, reason, unservableDetail(reason, s.name), refusalPatience)
 	case q.claims() && c.breaker.open(c.now):
-		return refuse(q, ReasonStoreDown, claimsFailing, breakerPause)
+		return refuse(q, ReasonStoreUnavailable, claimsFailing, breakerPause)
 	case queued >= limit:
 		return refuse(q, ReasonQueueFull, fmt.Sprintf("the queue of profile %q is full", q.Profile), wait)
 	case len(c.requests) >= c.cfg.MaxOpen:
@@ -35,7 +35,7 @@
 	end := c.now + wait + t.upper()
 	if wait > 0 && end > q.Deadline {
 		detail := fmt.Sprintf("the queue of profile %q implies a wait of %v", q.Profile, wait.Round(time.Millisecond))
-		return refuse(q, ReasonWontMeet, detail, end-q.Deadline)
+		return refuse(q, ReasonDeadlineCannotBeMet, detail, end-q.Deadline)
 	}
 	return nil
 }
@@ -51,7 +51,7 @@
 }
 
 func unservableDetail(reason Reason, service string) string {
-	if reason == ReasonStale {
+	if reason == ReasonConfigNotFresh {
 		return "the entry's configuration is not fresh"
 	}
 	return fmt.Sprintf("service %q has no endpoint that takes work", service)
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -273,7 +273,7 @@
 		c.requeue(r)
 		return true
 	case !r.lost() || c.now >= r.since+lostPatience:
-		c.giveUp(r, ReasonRetryBudget, "the agent has gone silent and no retry is left", 0)
+		c.giveUp(r, ReasonRetryBudgetSpent, "the agent has gone silent and no retry is left", 0)
 		return true
 	default:
 		return false
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -23,7 +23,7 @@
 func (c *Core) claim(r *request, at *attempt) {
 	at.state = attemptClaiming
 	r.claiming = at
-	c.emit(Claim{ID: r.ID, Key: r.Key, Holder: at.holder(), From: r.from})
+	c.emit(Claim{ID: r.ID, Key: r.Key, Holder: at.holder(), Replaces: r.from})
 	c.setPhase(r, phaseClaiming)
 }
 
@@ -51,7 +51,7 @@
 	}
 	switch {
 	case e.Failed:
-		c.giveUp(r, ReasonStoreDown, "the key cannot be looked up: the table does not answer", refusalPatience)
+		c.giveUp(r, ReasonStoreUnavailable, "the key cannot be looked up: the table does not answer", refusalPatience)
 	case e.Won:
 		c.claimWon(r)
 	default:
--- a/internal/route/core.go
+++ b/internal/route/core.go
@@ -84,7 +84,7 @@
 	switch e := ev.(type) {
 	case Submit:
 		c.submit(e.Request)
-	case Gone:
+	case CallerGone:
 		c.gone(e)
 	case AgentUp:
 		c.agentUp(e)
@@ -170,7 +170,7 @@
 func (c *Core) unservable(s *service) Reason {
 	switch {
 	case !c.fresh() && c.now-c.freshAt > refusalPatience:
-		return ReasonStale
+		return ReasonConfigNotFresh
 	case c.now-s.usableAt > refusalPatience:
 		return ReasonNoEndpoint
 	default:
--- a/internal/route/dump.go
+++ b/internal/route/dump.go
@@ -17,7 +17,7 @@
 	ZonesOut      []string      `json:"zones_out"`
 	Draining      bool          `json:"draining"`
 	Entries       int           `json:"entries"`
-	Open          int           `json:"open"`
+	OpenRequests  int           `json:"open"`
 	Attempts      int           `json:"attempts"`
 	RetryTokens   float64       `json:"retry_tokens"`
 	ClaimsRefused bool          `json:"claims_refused"`
@@ -38,18 +38,18 @@
 
 // AgentDump is one agent in a Dump.
 type AgentDump struct {
-	Name        string       `json:"name"`
-	Incarnation string       `json:"incarnation"`
-	Zone        string       `json:"zone"`
-	Usable      bool         `json:"usable"`
-	Up          bool         `json:"up"`
-	Healthy     bool         `json:"healthy"`
-	Leaving     bool         `json:"leaving"`
-	Silence     api.Duration `json:"silence"`
-	Slots       int          `json:"slots"`
-	Limit       int          `json:"limit"`
-	Open        int          `json:"open"`
-	Others      int          `json:"others"`
+	Name         string       `json:"name"`
+	Incarnation  string       `json:"incarnation"`
+	Zone         string       `json:"zone"`
+	Usable       bool         `json:"usable"`
+	Up           bool         `json:"up"`
+	Healthy      bool         `json:"healthy"`
+	Leaving      bool         `json:"leaving"`
+	Silence      api.Duration `json:"silence"`
+	Slots        int          `json:"slots"`
+	Limit        int          `json:"limit"`
+	OpenAttempts int          `json:"open"`
+	OthersInUse  int          `json:"others"`
 }
 
 // FlowDump is one queue in a Dump.
@@ -63,13 +63,13 @@
 
 // RequestDump is one request in a Dump.
 type RequestDump struct {
-	ID       string       `json:"id"`
-	Service  string       `json:"service"`
-	Profile  string       `json:"profile"`
-	Phase    string       `json:"phase"`
-	In       api.Duration `json:"in_phase"`
-	Left     api.Duration `json:"left"`
-	Attempts []string     `json:"attempts"`
+	ID        string       `json:"id"`
+	Service   string       `json:"service"`
+	Profile   string       `json:"profile"`
+	Phase     string       `json:"phase"`
+	InPhase   api.Duration `json:"in_phase"`
+	Remaining api.Duration `json:"left"`
+	Attempts  []string     `json:"attempts"`
 }
 
 // Dump returns the state of the core.
@@ -78,7 +78,7 @@
 		Fresh:         c.fresh(),
 		Draining:      c.draining,
 		Entries:       c.entries,
-		Open:          len(c.requests),
+		OpenRequests:  len(c.requests),
 		Attempts:      len(c.attempts),
 		RetryTokens:   c.budget.tokens,
 		ClaimsRefused: c.breaker.open(c.now),
@@ -118,18 +118,18 @@
 
 func (c *Core) dumpAgent(a *agent) AgentDump {
 	return AgentDump{
-		Name:        a.name,
-		Incarnation: a.incarnation,
-		Zone:        a.zone,
-		Usable:      c.usable(a),
-		Up:          a.up,
-		Healthy:     a.healthy,
-		Leaving:     a.leaving,
-		Silence:     api.Duration(c.now - max(a.statusAt, a.changed)),
-		Slots:       a.slots,
-		Limit:       c.limit(a),
-		Open:        a.held,
-		Others:      a.others,
+		Name:         a.name,
+		Incarnation:  a.incarnation,
+		Zone:         a.zone,
+		Usable:       c.usable(a),
+		Up:           a.up,
+		Healthy:      a.healthy,
+		Leaving:      a.leaving,
+		Silence:      api.Duration(c.now - max(a.statusAt, a.changed)),
+		Slots:        a.slots,
+		Limit:        c.limit(a),
+		OpenAttempts: a.held,
+		OthersInUse:  a.others,
 	}
 }
 
@@ -148,12 +148,12 @@
 
 func (c *Core) dumpRequest(r *request) RequestDump {
 	d := RequestDump{
-		ID:      r.ID,
-		Service: r.Service,
-		Profile: r.Profile,
-		Phase:   string(r.phase),
-		In:      api.Duration((c.now - r.since).Round(time.Millisecond)),
-		Left:    api.Duration((r.Deadline - c.now).Round(time.Millisecond)),
+		ID:        r.ID,
+		Service:   r.Service,
+		Profile:   r.Profile,
+		Phase:     string(r.phase),
+		InPhase:   api.Duration((c.now - r.since).Round(time.Millisecond)),
+		Remaining: api.Duration((r.Deadline - c.now).Round(time.Millisecond)),
 	}
 	for _, at := range r.attempts {
 		d.Attempts = append(d.Attempts, at.agent.name+" "+string(at.state))
--- a/internal/route/machine_test.go
+++ b/internal/route/machine_test.go
@@ -265,7 +265,7 @@
 		"gone": func(t *rapid.T) {
 			if open := w.oracle.open(); len(open) > 0 {
 				s := rapid.SampledFrom(open).Draw(t, "who")
-				s.entry.reach(s.gen, func() { w.stepEntry(s.entry, route.Gone{ID: s.id}) })
+				s.entry.reach(s.gen, func() { w.stepEntry(s.entry, route.CallerGone{ID: s.id}) })
 			}
 		},
 		"kill entry": func(t *rapid.T) {
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func (c *Core) gone(e Gone) {
+func (c *Core) gone(e CallerGone) {
 	r := c.requests[e.ID]
 	if r == nil {
 		return
@@ -149,13 +149,13 @@
 	switch r.phase {
 	case phaseQueued:
 		if !r.doubtful() && c.now >= latestStart(r) {
-			c.giveUp(r, ReasonWontMeet, "the request cannot end before its deadline any more", c.retryAfter(r))
+			c.giveUp(r, ReasonDeadlineCannotBeMet, "the request cannot end before its deadline any more", c.retryAfter(r))
 			return
 		}
 	case phaseClaiming:
 		if c.now >= r.since+claimTimeout {
 			c.breaker.failed(c.now)
-			c.giveUp(r, ReasonStoreDown, "the key cannot be looked up: the table has not answered the claim", refusalPatience)
+			c.giveUp(r, ReasonStoreUnavailable, "the key cannot be looked up: the table has not answered the claim", refusalPatience)
 			return
 		}
 	case phaseFollowing:
@@ -175,7 +175,7 @@
 		c.giveUp(r, ReasonKeyInProgress, "the deadline has passed while another execution holds the key", 0)
 		return
 	}
-	c.giveUp(r, ReasonDeadline, "the deadline has passed", c.retryAfter(r))
+	c.giveUp(r, ReasonDeadlinePassed, "the deadline has passed", c.retryAfter(r))
 }
 
 func (c *Core) retryAfter(r *request) time.Duration {
--- a/internal/route/scenario_test.go
+++ b/internal/route/scenario_test.go
@@ -154,7 +154,7 @@
 		}
 		return ClaimReply{id, s.flag("won", false), s.flag("failed", false), api.Outcome(s.text("final", "")), h}
 	case "gone":
-		return Gone{id}
+		return CallerGone{id}
 	case "peers":
 		return Peers{s.number("entries", 2)}
 	case "drain":
@@ -182,8 +182,8 @@
 		return fmt.Sprintf("ack %s/%d to %s", a.ID, a.Attempt, a.Agent)
 	case Claim:
 		from := "none"
-		if a.From != nil {
-			from = fmt.Sprintf("%s/%d", a.From.RequestID, a.From.Attempt)
+		if a.Replaces != nil {
+			from = fmt.Sprintf("%s/%d", a.Replaces.RequestID, a.Replaces.Attempt)
 		}
 		return fmt.Sprintf("claim %q for %s/%d at %s from %s", a.Key, a.Holder.RequestID, a.Holder.Attempt, a.Holder.Agent, from)
 	case Answer:
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -124,7 +124,7 @@
 			return
 		}
 		if r.claims() && !c.breaker.allow(c.now) {
-			c.giveUp(r, ReasonStoreDown, claimsFailing, breakerPause)
+			c.giveUp(r, ReasonStoreUnavailable, claimsFailing, breakerPause)
 			continue
 		}
 		s.queue.serve(cost(r.flow, s))
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -347,7 +347,7 @@
 			return route.ClaimReply{ID: x.ID, Failed: true}, false
 		}
 		row := w.table[x.Key]
-		if row == nil && x.From == nil || row != nil && x.From != nil && row.holder == *x.From && row.outcome == "" {
+		if row == nil && x.Replaces == nil || row != nil && x.Replaces != nil && row.holder == *x.Replaces && row.outcome == "" {
 			w.table[x.Key] = &rowSim{holder: x.Holder}
 			return route.ClaimReply{ID: x.ID, Won: true, Holder: x.Holder}, true
 		}
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -30,9 +30,9 @@
 // in the table before its first execution.
 type Submit struct{ Request Request }
 
-// Gone says that the caller of a request has gone away. The request still ends
+// CallerGone says that the caller of a request has gone away. The request still ends
 // with one Answer: at once when nothing of it is under way.
-type Gone struct{ ID string }
+type CallerGone struct{ ID string }
 
 // AgentUp says that a link with an agent is open. Another incarnation of the
 // same agent replaces the earlier one, whose executions are then lost.
@@ -106,7 +106,7 @@
 type Drain struct{}
 
 func (Submit) event()      {}
-func (Gone) event()        {}
+func (CallerGone) event()  {}
 func (AgentUp) event()     {}
 func (AgentDown) event()   {}
 func (AgentStatus) event() {}
@@ -163,10 +163,10 @@
 // Claim asks the table for the key, for an attempt at the given agent. From is
 // the holder that this claim replaces after a certain not-run, or nil.
 type Claim struct {
-	ID     string
-	Key    string
-	Holder ClaimHolder
-	From   *ClaimHolder
+	ID       string
+	Key      string
+	Holder   ClaimHolder
+	Replaces *ClaimHolder
 }
 
 // Answer ends a request. With FromResult the complete body is that of the
@@ -205,15 +205,15 @@
 
 // The reasons of answers.
 const (
-	ReasonResult        Reason = "result"
-	ReasonNoEndpoint    Reason = "no-endpoint"
-	ReasonQueueFull     Reason = "queue-full"
-	ReasonWontMeet      Reason = "deadline-cannot-be-met"
-	ReasonDeadline      Reason = "deadline-passed"
-	ReasonStoreDown     Reason = "store-unavailable"
-	ReasonRetryBudget   Reason = "retry-budget-spent"
-	ReasonDraining      Reason = "draining"
-	ReasonAgentLost     Reason = "agent-lost"
-	ReasonKeyInProgress Reason = "key-in-progress"
-	ReasonStale         Reason = "configuration-not-fresh"
+	ReasonResult              Reason = "result"
+	ReasonNoEndpoint          Reason = "no-endpoint"
+	ReasonQueueFull           Reason = "queue-full"
+	ReasonDeadlineCannotBeMet Reason = "deadline-cannot-be-met"
+	ReasonDeadlinePassed      Reason = "deadline-passed"
+	ReasonStoreUnavailable    Reason = "store-unavailable"
+	ReasonRetryBudgetSpent    Reason = "retry-budget-spent"
+	ReasonDraining            Reason = "draining"
+	ReasonAgentLost           Reason = "agent-lost"
+	ReasonKeyInProgress       Reason = "key-in-progress"
+	ReasonConfigNotFresh      Reason = "configuration-not-fresh"
 )
