--- a/cmd/coltsfoot-agent/hosted.go
+++ b/cmd/coltsfoot-agent/hosted.go
@@ -33,7 +33,7 @@
 		func() *settings.Hosted { return s },
 		func() zerolog.Logger { return h.Log },
 		func() metrics.Registry { return h.Registry },
-		ledger.Monotonic,
+		ledger.NewMonotonicClock,
 		hostedFinder,
 		func(f *keeper.Finder, s *settings.Hosted, clock func() time.Duration) *keeper.Keeper {
 			return keeper.New(platform.NewRunner(s.WorkerAddress), f, clock, h.Registry, h.Log)
--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -89,7 +89,7 @@
 		func() procmain.HostedFlags { return h.Flags },
 		func() zerolog.Logger { return h.Log },
 		func() metrics.Registry { return h.Registry },
-		func() clock { return clock(ledger.Monotonic()) },
+		func() clock { return clock(ledger.NewMonotonicClock()) },
 		func() *leaving { return &leaving{} },
 		func(s *settings.Hosted) *platform.Store { return platform.NewStore(s.TableAddress) },
 		hostedLedger, hostedPolicies, hostedOwner, hostedStore, hostedScheduler, hostedPeers, hostedHandover, hostedRPC,
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -63,7 +63,7 @@
 	err := k.Provide(
 		func() *settings.Entry { return s },
 		func() zerolog.Logger { return log },
-		func() clock { return clock(ledger.Monotonic()) },
+		func() clock { return clock(ledger.NewMonotonicClock()) },
 		metrics.NewRegistry,
 		newTable, newObjects, newLedger, newMembership, newConfig, newOwner,
 		newBeat, newLinks, newStore, jobs.NewWaiters, newScheduler, newRequests,
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -20,7 +20,7 @@
 // owner orders, while an earlier owner's start gets no answer, is settled under
 // the next owner's epoch: it would wait for the outcome for ever.
 func TestNextOwnersStopOfAStartInDoubtIsSettled(t *testing.T) {
-	clock := ledger.Monotonic()
+	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
 	k := New(runner, NewFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
 	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), Born: runner.Born()}
--- a/internal/agent/keeper/session_test.go
+++ b/internal/agent/keeper/session_test.go
@@ -70,7 +70,7 @@
 	first, second := startMute(t, &located), startMute(t, &located)
 	located.Store(&rpc.LocateReply{OwnerAddress: first.address, Epoch: 1})
 
-	clock := ledger.Monotonic()
+	clock := ledger.NewMonotonicClock()
 	finder := NewFinder(noRows{}, "all", []string{first.address, second.address}, clock, zerolog.Nop())
 	k := New(standin.NewRunner(), finder, clock, metrics.NewRegistry(), zerolog.Nop())
 	k.Heartbeat(plan.WorkerInfo{ID: "w", Instance: "i", Born: 1}, 1)
--- a/internal/confstate/edit.go
+++ b/internal/confstate/edit.go
@@ -60,5 +60,5 @@
 	if expect == AnyVersion || have == expect {
 		return nil
 	}
-	return errors.Annotatef(ErrLostRace, "%s %q is at version %d, expected %d", kind, name, have, expect)
+	return errors.Annotatef(ErrVersionConflict, "%s %q is at version %d, expected %d", kind, name, have, expect)
 }
--- a/internal/confstate/permit.go
+++ b/internal/confstate/permit.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// PeerFreshLimit is the age up to which a peer's report counts.
-	PeerFreshLimit = 2 * time.Second
+	// MaxPeerReportAge is the age up to which a peer's report counts.
+	MaxPeerReportAge = 2 * time.Second
 	// listSlack is how much older than the last contact with the store the list
 	// of entries may be.
 	listSlack = 2500 * time.Millisecond
@@ -18,10 +18,10 @@
 // Peer is another entry as this one knows it.
 type Peer struct {
 	ID string
-	// Heard is when the request was sent whose answer brought the last report,
+	// LastReportAt is when the request was sent whose answer brought the last report,
 	// on this process's monotonic clock. It counts only if Ever is set.
-	Heard        time.Duration
-	Ever         bool
+	LastReportAt time.Duration
+	HasReported  bool
 	StoreFailing bool
 }
 
@@ -38,7 +38,7 @@
 // downEverywhere reports whether the store fails for this entry and all peers.
 // outage is for how long it has failed here.
 func downEverywhere(now, outage time.Duration, view PeerView) bool {
-	if outage <= FreshLimit {
+	if outage <= MaxConfigAge {
 		return false
 	}
 	peers, listed, known := view.Peers()
@@ -46,7 +46,7 @@
 		return false
 	}
 	for _, p := range peers {
-		if !p.Ever || now-p.Heard > PeerFreshLimit || !p.StoreFailing {
+		if !p.HasReported || now-p.LastReportAt > MaxPeerReportAge || !p.StoreFailing {
 			return false
 		}
 	}
--- a/internal/confstate/service.go
+++ b/internal/confstate/service.go
@@ -164,7 +164,7 @@
 
 // StoreFailing reports whether the store has answered no call of this entry
 // for longer than FreshLimit.
-func (s *Service) StoreFailing() bool { return s.ledger.Outage() > FreshLimit }
+func (s *Service) StoreFailing() bool { return s.ledger.Outage() > MaxConfigAge }
 
 // StoreDownEverywhere reports whether this entry and all its peers fail to
 // reach the store.
--- a/internal/confstate/service_test.go
+++ b/internal/confstate/service_test.go
@@ -86,7 +86,7 @@
 	}
 	if l.unknown {
 		l.unknown = false
-		return nil, ledger.ErrUnknown
+		return nil, ledger.ErrOutcomeUnknown
 	}
 	return rows, nil
 }
@@ -161,7 +161,7 @@
 }
 
 func result(c *api.Config, err error) string {
-	for _, known := range []error{ErrLostRace, ErrStoreDown, ledger.ErrUnknown} {
+	for _, known := range []error{ErrVersionConflict, ErrStoreDown, ledger.ErrOutcomeUnknown} {
 		if errors.Is(err, known) {
 			return fmt.Sprintf("%v\n%s", err, describe(c))
 		}
@@ -238,7 +238,7 @@
 			continue
 		}
 		age, _ := time.ParseDuration(f[1])
-		e.peers.peers = append(e.peers.peers, Peer{ID: f[0], Ever: true, Heard: s.store.now - age, StoreFailing: f[2] == "failing"})
+		e.peers.peers = append(e.peers.peers, Peer{ID: f[0], HasReported: true, LastReportAt: s.store.now - age, StoreFailing: f[2] == "failing"})
 	}
 }
 
--- a/internal/confstate/types.go
+++ b/internal/confstate/types.go
@@ -11,8 +11,8 @@
 	"github.com/juju/errors"
 )
 
-// ErrLostRace says that the item's version is not the expected one.
-const ErrLostRace = errors.ConstError("item has another version")
+// ErrVersionConflict says that the item's version is not the expected one.
+const ErrVersionConflict = errors.ConstError("item has another version")
 
 // ErrStoreDown says that the change was not accepted and has not been made.
 const ErrStoreDown = errors.ConstError("configuration store unavailable")
@@ -20,8 +20,8 @@
 // AnyVersion as an expected version skips the comparison.
 const AnyVersion = ^uint64(0)
 
-// FreshLimit is the age up to which a confirmed configuration allows starts.
-const FreshLimit = 1500 * time.Millisecond
+// MaxConfigAge is the age up to which a confirmed configuration allows starts.
+const MaxConfigAge = 1500 * time.Millisecond
 
 // PollInterval is the time between two reads of the configuration's head.
 const PollInterval = 400 * time.Millisecond
--- a/internal/confstate/update.go
+++ b/internal/confstate/update.go
@@ -53,7 +53,7 @@
 	}
 	// This process may have been paused since the first look.
 	if err := s.awaitSettled(ctx); err != nil {
-		return nil, errors.Annotatef(ledger.ErrUnknown, "version %d is written, but may not be in force: %v", c.Version, err)
+		return nil, errors.Annotatef(ledger.ErrOutcomeUnknown, "version %d is written, but may not be in force: %v", c.Version, err)
 	}
 	return c, nil
 }
--- a/internal/confstate/view.go
+++ b/internal/confstate/view.go
@@ -44,5 +44,5 @@
 
 // fresh reports whether the configuration was confirmed within FreshLimit.
 func (v *view) fresh(now time.Duration) bool {
-	return v.known && now-v.confirmed <= FreshLimit
+	return v.known && now-v.confirmed <= MaxConfigAge
 }
--- a/internal/entry/graphs/front.go
+++ b/internal/entry/graphs/front.go
@@ -253,7 +253,7 @@
 	switch {
 	case err == nil:
 		return Answer{Outcome: OK}
-	case errors.Is(err, ledger.ErrUnknown):
+	case errors.Is(err, ledger.ErrOutcomeUnknown):
 		return Answer{Outcome: Unknown, Detail: err.Error()}
 	default:
 		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: err.Error()}
--- a/internal/entry/httpapi/config.go
+++ b/internal/entry/httpapi/config.go
@@ -150,7 +150,7 @@
 // refuseChange answers a change that was not made.
 func refuseChange(ctx *fasthttp.RequestCtx, err error, version uint64) {
 	switch {
-	case errors.Is(err, confstate.ErrLostRace):
+	case errors.Is(err, confstate.ErrVersionConflict):
 		p := httpx.Problemf(fasthttp.StatusPreconditionFailed, "%v; the current version is %d", err, version)
 		p.Version = version
 		ctx.Response.Header.Set(fasthttp.HeaderETag, httpx.ETag(version))
--- a/internal/entry/httpapi/httpapi.go
+++ b/internal/entry/httpapi/httpapi.go
@@ -99,7 +99,7 @@
 // storeProblem answers after the store gave no answer; nothing was accepted.
 func storeProblem(ctx *fasthttp.RequestCtx, err error) {
 	p := httpx.Problemf(fasthttp.StatusServiceUnavailable, "platform's table is unavailable: %v", err)
-	if errors.Is(err, ledger.ErrUnknown) {
+	if errors.Is(err, ledger.ErrOutcomeUnknown) {
 		p.Detail = "platform's table gave no answer: the change may or may not take effect; repeat the call"
 	}
 	p.RetryAfter = seconds(storeRetryAfter)
--- a/internal/entry/scheduler/save_test.go
+++ b/internal/entry/scheduler/save_test.go
@@ -25,7 +25,7 @@
 	rows, err := l.Ledger.Commit(ctx, cause, writes...)
 	if l.armed {
 		l.armed = false
-		return nil, ledger.ErrUnknown
+		return nil, ledger.ErrOutcomeUnknown
 	}
 	return rows, err
 }
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -306,7 +306,7 @@
 			return row.Record, nil
 		}
 		metrics.GetOrRegisterCounter("scheduler.save_failed", t.service.registry).Inc(1)
-		inDoubt = inDoubt || errors.Is(err, ledger.ErrUnknown)
+		inDoubt = inDoubt || errors.Is(err, ledger.ErrOutcomeUnknown)
 		if isSettled(err) || nothingWritten(err) && !inDoubt && record.State != api.JobFinal {
 			return record, err
 		}
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -43,7 +43,7 @@
 		b.Run(fmt.Sprintf("grouped=%v", !ungrouped), func(b *testing.B) {
 			table := newFakeTable()
 			table.latency = benchLatency
-			c := New(table, Config{Budgets: map[Cause]Budget{}, Ungrouped: ungrouped})
+			c := New(table, Config{Budgets: map[Cause]Budget{}, DisableGroupCommit: ungrouped})
 			for round := range b.N {
 				burst(b, c, round)
 			}
--- a/internal/ledger/cleanup.go
+++ b/internal/ledger/cleanup.go
@@ -69,10 +69,10 @@
 // scan finds what a failed removal leaves.
 func (c *Client) clean(ctx context.Context) {
 	now := c.cfg.Clock()
-	if now < c.cfg.TombstoneAge || c.breaker.open() {
+	if now < c.cfg.TombstoneTTL || c.breaker.open() {
 		return
 	}
-	old := c.graves.takeOlder(now-c.cfg.TombstoneAge, defaultMaxGroupRows)
+	old := c.graves.takeOlder(now-c.cfg.TombstoneTTL, defaultMaxGroupRows)
 	if len(old) == 0 || c.spend(ctx, CauseCleanup, c.meter.writeLimit(CauseCleanup)) != nil {
 		return
 	}
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -62,7 +62,7 @@
 		reads:   make(chan struct{}, cfg.MaxReads),
 	}
 	senders := 1
-	if cfg.Ungrouped {
+	if cfg.DisableGroupCommit {
 		c.cfg.MaxGroupRows = 1
 		senders = defaultUngrouped
 	}
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Down reports whether the breaker is open.
-func (c *Client) Down() bool { return c.breaker.open() }
+// BreakerOpen reports whether the breaker is open.
+func (c *Client) BreakerOpen() bool { return c.breaker.open() }
 
 // Outage returns for how long the store has answered no call, or 0 when it
 // answers or when the outage was not observed without a gap.
@@ -204,7 +204,7 @@
 		return w.rows, w.err
 	default:
 		c.meter.count(w.cause, countUnknown, 1)
-		return nil, errors.Annotate(ErrUnknown, w.ctx.Err().Error())
+		return nil, errors.Annotate(ErrOutcomeUnknown, w.ctx.Err().Error())
 	}
 }
 
--- a/internal/ledger/client_test.go
+++ b/internal/ledger/client_test.go
@@ -97,7 +97,7 @@
 			counts[errors.Cause(err).Error()]++
 		}()
 	}
-	waitFor(t, "the breaker opens", c.Down)
+	waitFor(t, "the breaker opens", c.BreakerOpen)
 	lane := c.lanes[laneBulk]
 	if n := lane.len(); n > limit {
 		t.Errorf("%d commits wait, limit %d", n, limit)
--- a/internal/ledger/config.go
+++ b/internal/ledger/config.go
@@ -49,18 +49,18 @@
 
 // Config sets the limits of a client. Zero values take the defaults.
 type Config struct {
-	// Ungrouped sends every commit in a transaction of its own.
-	Ungrouped     bool
-	MaxGroupRows  int
-	MaxGroupBytes int
+	// DisableGroupCommit sends every commit in a transaction of its own.
+	DisableGroupCommit bool
+	MaxGroupRows       int
+	MaxGroupBytes      int
 	// MaxQueue and MaxQueueBytes bound the commits that wait in one lane.
 	MaxQueue      int
 	MaxQueueBytes int
 	// MaxReads bounds the reads in progress.
 	MaxReads  int
 	OpTimeout time.Duration
-	// TombstoneAge is how long the row of a deleted key stays as a tombstone.
-	TombstoneAge time.Duration
+	// TombstoneTTL is how long the row of a deleted key stays as a tombstone.
+	TombstoneTTL time.Duration
 	Budgets      map[Cause]Budget
 	Metrics      metrics.Registry
 	Log          zerolog.Logger
@@ -86,8 +86,8 @@
 	if c.OpTimeout == 0 {
 		c.OpTimeout = defaultOpTimeout
 	}
-	if c.TombstoneAge == 0 {
-		c.TombstoneAge = defaultTombstoneAge
+	if c.TombstoneTTL == 0 {
+		c.TombstoneTTL = defaultTombstoneAge
 	}
 	if c.Budgets == nil {
 		c.Budgets = DefaultBudgets()
@@ -101,7 +101,7 @@
 
 func (c *Config) setHooks() {
 	if c.Clock == nil {
-		c.Clock = Monotonic()
+		c.Clock = NewMonotonicClock()
 	}
 	if c.Sleep == nil {
 		c.Sleep = kernel.Sleep
@@ -123,9 +123,9 @@
 	}
 }
 
-// Monotonic returns a clock that counts from now on, never goes back and goes
+// NewMonotonicClock returns a clock that counts from now on, never goes back and goes
 // on while the host is suspended.
-func Monotonic() func() time.Duration {
+func NewMonotonicClock() func() time.Duration {
 	start := sinceBoot()
 	return func() time.Duration { return sinceBoot() - start }
 }
--- a/internal/ledger/dump.go
+++ b/internal/ledger/dump.go
@@ -19,7 +19,7 @@
 // DumpState returns the client's state.
 func (c *Client) DumpState() any {
 	s := State{
-		Down:          c.Down(),
+		Down:          c.BreakerOpen(),
 		OutageMS:      c.Outage().Milliseconds(),
 		Queues:        map[laneName]int{},
 		ReadsInFlight: len(c.reads),
--- a/internal/ledger/group.go
+++ b/internal/ledger/group.go
@@ -208,7 +208,7 @@
 	}
 	switch {
 	case unclear:
-		p.end(nil, errors.Annotatef(ErrUnknown, "row %q has had more writes than it remembers", p.writes[0].Key))
+		p.end(nil, errors.Annotatef(ErrOutcomeUnknown, "row %q has had more writes than it remembers", p.writes[0].Key))
 	case changed:
 		p.end(p.currentRows(rows), errors.Annotatef(ErrConflict, "row %q", p.firstChanged(rows)))
 	}
--- a/internal/ledger/health_test.go
+++ b/internal/ledger/health_test.go
@@ -68,7 +68,7 @@
 	for range 2 * breakerThreshold {
 		_, _ = c.Get(context.Background(), CauseConfig, "a")
 	}
-	if c.Down() {
+	if c.BreakerOpen() {
 		t.Error("breaker is open")
 	}
 }
--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -85,7 +85,7 @@
 		b.WriteString("committed")
 	case errors.Is(err, ErrConflict):
 		b.WriteString("conflict")
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrOutcomeUnknown):
 		b.WriteString("unknown")
 	case errors.Is(err, ErrDown):
 		b.WriteString("down")
@@ -202,7 +202,7 @@
 	case "table":
 		return s.dump()
 	case "state":
-		return fmt.Sprintf("down=%v time=%v", s.client(arg("client")).Down(), s.time.now)
+		return fmt.Sprintf("down=%v time=%v", s.client(arg("client")).BreakerOpen(), s.time.now)
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
 	}
--- a/internal/ledger/send.go
+++ b/internal/ledger/send.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		if w.doubt {
-			w.end(nil, errors.Annotate(ErrUnknown, w.ctx.Err().Error()))
+			w.end(nil, errors.Annotate(ErrOutcomeUnknown, w.ctx.Err().Error()))
 			continue
 		}
 		w.end(nil, errors.Annotate(ErrDown, w.ctx.Err().Error()))
@@ -91,7 +91,7 @@
 		c.remember(w)
 	case errors.Is(w.err, ErrConflict):
 		c.meter.count(w.cause, countConflicts, 1)
-	case errors.Is(w.err, ErrUnknown):
+	case errors.Is(w.err, ErrOutcomeUnknown):
 		c.meter.count(w.cause, countUnknown, 1)
 	default:
 		c.meter.count(w.cause, countRefused, 1)
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -12,15 +12,15 @@
 	"github.com/juju/errors"
 )
 
-// Errors of the ledger. ErrUnknown is returned only when ctx ends before a
+// Errors of the ledger. ErrOutcomeUnknown is returned only when ctx ends before a
 // lost answer could be settled, or when so many other writes came between that
 // the row no longer tells; ErrOverloaded and ErrDown mean that nothing has been
 // written.
 const (
-	ErrConflict   = errors.ConstError("row has changed")
-	ErrUnknown    = errors.ConstError("write may have taken effect")
-	ErrDown       = errors.ConstError("store is down; nothing was written")
-	ErrOverloaded = errors.ConstError("too many writes wait for the store; nothing was written")
+	ErrConflict       = errors.ConstError("row has changed")
+	ErrOutcomeUnknown = errors.ConstError("write may have taken effect")
+	ErrDown           = errors.ConstError("store is down; nothing was written")
+	ErrOverloaded     = errors.ConstError("too many writes wait for the store; nothing was written")
 )
 
 // Cause names what an operation is for; budgets and counters are kept by cause.
@@ -63,8 +63,8 @@
 	// Commit applies all writes or none and returns the new rows, without data.
 	// On ErrConflict the current rows of all keys are returned with their data.
 	Commit(ctx context.Context, cause Cause, writes ...Write) ([]Row, error)
-	// Down reports whether the breaker is open.
-	Down() bool
+	// BreakerOpen reports whether the breaker is open.
+	BreakerOpen() bool
 	// Outage returns for how long the store has answered no call, or 0 when it
 	// answers or when the outage was not observed without a gap.
 	Outage() time.Duration
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -271,7 +271,7 @@
 func (r *roster) peers() []confstate.Peer {
 	var out []confstate.Peer
 	for _, m := range r.entries() {
-		p := confstate.Peer{ID: m.name, Heard: m.heard, Ever: m.ever}
+		p := confstate.Peer{ID: m.name, LastReportAt: m.heard, HasReported: m.ever}
 		p.StoreFailing = m.state != nil && m.state.StoreFailing
 		out = append(out, p)
 	}
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -147,7 +147,7 @@
 	var out []string
 	list, _, known := s.Peers()
 	for _, p := range list {
-		out = append(out, fmt.Sprintf("%s:%v", p.ID, p.Ever))
+		out = append(out, fmt.Sprintf("%s:%v", p.ID, p.HasReported))
 	}
 	return fmt.Sprintf("%v %v", known, out)
 }
@@ -222,7 +222,7 @@
 	expect(t, "entries", entries(a), "a b")
 	expect(t, "peers", peers(a), "true [b#1:true b#2:true]")
 	list, _, _ := a.Peers()
-	if age := n.now - list[0].Heard; age <= confstate.PeerFreshLimit {
+	if age := n.now - list[0].LastReportAt; age <= confstate.MaxPeerReportAge {
 		t.Errorf("b#1 was heard %v ago", age)
 	}
 }
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -33,7 +33,7 @@
 	// minWatch is how long a watch lasts at least before the row is claimed. By
 	// then no report of this process that the store fails counts any more, so
 	// that an owner that goes on through an outage has stopped.
-	minWatch = confstate.PeerFreshLimit + 200*time.Millisecond
+	minWatch = confstate.MaxPeerReportAge + 200*time.Millisecond
 )
 
 // Times configures a core.
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -17,7 +17,7 @@
 
 // inForceBound is how long after its acknowledgement a change may still be
 // unknown to a process that starts work.
-const inForceBound = time.Duration(float64(confstate.PeerFreshLimit) * clockSlack)
+const inForceBound = time.Duration(float64(confstate.MaxPeerReportAge) * clockSlack)
 
 // oracle holds the one history of the table and compares with it what the
 // processes say.
@@ -152,7 +152,7 @@
 	switch {
 	case c.err == nil:
 		o.acknowledged(w, c)
-	case errors.Is(c.err, confstate.ErrLostRace):
+	case errors.Is(c.err, confstate.ErrVersionConflict):
 		if have := o.configs[o.last].Profiles[c.profile].Version; have == c.expect {
 			o.failf("%v: %s lost a race at version %d, which is the present one", w.now, c.marker, have)
 		}
@@ -199,7 +199,7 @@
 	}
 	for _, c := range changes {
 		n := times[c.marker]
-		refused := errors.Is(c.err, confstate.ErrLostRace) || errors.Is(c.err, confstate.ErrStoreDown)
+		refused := errors.Is(c.err, confstate.ErrVersionConflict) || errors.Is(c.err, confstate.ErrStoreDown)
 		switch {
 		case c.err == nil && n != 1:
 			o.failf("%s was acknowledged and happened %d times", c.marker, n)
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -255,7 +255,7 @@
 // Current returns this process's rights at this moment. Callers ask again
 // before each effect.
 func (s *Service) Current() Authority {
-	o := Outage{Down: s.ledger.Down()}
+	o := Outage{Down: s.ledger.BreakerOpen()}
 	if s.cfg.Peers != nil {
 		o.Everywhere = s.cfg.Peers.StoreDownEverywhere()
 		s.hearPeers()
--- a/internal/owner/service_test.go
+++ b/internal/owner/service_test.go
@@ -27,7 +27,7 @@
 	}
 	m.mu.Unlock()
 	<-ctx.Done()
-	return nil, ledger.ErrUnknown
+	return nil, ledger.ErrOutcomeUnknown
 }
 
 func (m *muteLedger) Get(context.Context, ledger.Cause, ...string) ([]ledger.Row, error) {
@@ -36,12 +36,12 @@
 	return []ledger.Row{m.row}, nil
 }
 
-func (m *muteLedger) Down() bool { return false }
+func (m *muteLedger) BreakerOpen() bool { return false }
 
 // TestUnansweredWriteIsLookedFor shows that a write whose answer is lost counts
 // once the row is as written, long before the write is given up.
 func TestUnansweredWriteIsLookedFor(t *testing.T) {
-	s := New(&muteLedger{}, "all", Self{ID: "a"}, ledger.Monotonic(), Config{Log: zerolog.Nop()})
+	s := New(&muteLedger{}, "all", Self{ID: "a"}, ledger.NewMonotonicClock(), Config{Log: zerolog.Nop()})
 	if err := s.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -226,7 +226,7 @@
 }
 
 func (f *fleet) startEntry(id, address string, all []string) *entry {
-	clock := ledger.Monotonic()
+	clock := ledger.NewMonotonicClock()
 	registry := metrics.NewRegistry()
 	log := f.log.With().Str("id", id).Logger()
 	e := &entry{address: address, path: &path{Table: f.table}}
@@ -251,7 +251,7 @@
 }
 
 func (f *fleet) startAgent(i int, entries []string) *agent {
-	clock := ledger.Monotonic()
+	clock := ledger.NewMonotonicClock()
 	id := fmt.Sprintf("w%d", i)
 	log := f.log.With().Str("id", id).Logger()
 	rows := ledger.New(&path{Table: f.table}, ledger.Config{Log: log, Clock: clock})
