--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -20,10 +20,10 @@
 // owner orders, while an earlier owner's start gets no answer, is settled under
 // the next owner's epoch: it would wait for the outcome for ever.
 func TestNextOwnersStopOfAStartInDoubtIsSettled(t *testing.T) {
-	clock := ledger.Monotonic()
+	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
 	k := New(runner, NewFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
-	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), Born: runner.Born()}
+	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Born()}
 	k.Heartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
