--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -171,13 +171,13 @@
 func (p ownerPeers) StoreDownEverywhere() bool { return p.config.StoreDownEverywhere() }
 func (p ownerPeers) HighestOwnerEpoch() uint64 { return p.membership.HighestOwnerEpoch() }
 
-func newBeat(s *settings.Entry, config confstate.Store, m *membership.Service, o *owner.Service) *node.Beat {
-	return &node.Beat{EntryID: string(s.ID), Config: config, Members: m, Owner: o}
+func newBeat(s *settings.Entry, config confstate.Store, m *membership.Service, o *owner.Service) *node.HeartbeatFiller {
+	return &node.HeartbeatFiller{EntryID: string(s.ID), Config: config, Members: m, Owner: o}
 }
 
-func newLinks(beat *node.Beat, config confstate.Store, registry metrics.Registry, log zerolog.Logger) *links.Server {
+func newLinks(beat *node.HeartbeatFiller, config confstate.Store, registry metrics.Registry, log zerolog.Logger) *links.Server {
 	server := links.New(beat, registry, log)
-	config.Subscribe(func(*api.Config) { server.BeatAll() })
+	config.Subscribe(func(*api.Config) { server.SendHeartbeats() })
 	return server
 }
 
--- a/internal/entry/httpapi/jobs.go
+++ b/internal/entry/httpapi/jobs.go
@@ -78,9 +78,9 @@
 		notRun(ctx, status, 0, format, args...)
 		return
 	}
-	record, err := a.Jobs.One(c, job.ID)
+	record, err := a.Jobs.GetRecord(c, job.ID)
 	switch {
-	case errors.Is(err, jobs.ErrNoJob):
+	case errors.Is(err, jobs.ErrJobNotFound):
 		notRun(ctx, status, 0, format, args...)
 	case err != nil:
 		storeProblem(ctx, err)
@@ -91,7 +91,7 @@
 
 // announce tells the owner of the cell; its scan finds the job in any case.
 func (a *API) announce(record api.JobRecord) {
-	if !a.Scheduler.Submitted(record) {
+	if !a.Scheduler.AddSubmitted(record) {
 		a.Notifier.JobChanged(record.Job.ID)
 	}
 }
@@ -156,7 +156,7 @@
 	id := pathValue(ctx, "id")
 	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	record, err := a.Jobs.One(c, id)
+	record, err := a.Jobs.GetRecord(c, id)
 	if err == nil && wait > 0 && record.State != api.JobFinal {
 		record = a.awaitJob(id, wait, record)
 	}
@@ -176,7 +176,7 @@
 
 func writeRecord(ctx *fasthttp.RequestCtx, status int, record api.JobRecord, err error) {
 	switch {
-	case errors.Is(err, jobs.ErrNoJob):
+	case errors.Is(err, jobs.ErrJobNotFound):
 		problem(ctx, fasthttp.StatusNotFound, "%v", err)
 	case err != nil:
 		storeProblem(ctx, err)
@@ -204,8 +204,8 @@
 	id := pathValue(ctx, "id")
 	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	record, err := a.Jobs.AskCancel(c, id)
-	if errors.Is(err, jobs.ErrFinal) {
+	record, err := a.Jobs.RequestCancel(c, id)
+	if errors.Is(err, jobs.ErrJobFinal) {
 		writeRecord(ctx, fasthttp.StatusOK, record, nil)
 		return
 	}
@@ -224,7 +224,7 @@
 	state := api.JobState(ctx.QueryArgs().Peek("state"))
 	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	list, err := a.Jobs.List(c, string(ctx.QueryArgs().Peek("after")), limit)
+	list, err := a.Jobs.ListRecords(c, string(ctx.QueryArgs().Peek("after")), limit)
 	if err != nil {
 		storeProblem(ctx, err)
 		return
--- a/internal/entry/jobs/store.go
+++ b/internal/entry/jobs/store.go
@@ -28,11 +28,11 @@
 
 // Errors of the store.
 const (
-	ErrNoJob     = errors.ConstError("job does not exist")
-	ErrKeyReused = errors.ConstError("idempotency key belongs to a different job")
-	ErrFinal     = errors.ConstError("job is final")
-	// ErrEpoch says that an owner with a higher epoch has written the row.
-	ErrEpoch = errors.ConstError("row was written by a later owner")
+	ErrJobNotFound = errors.ConstError("job does not exist")
+	ErrKeyReused   = errors.ConstError("idempotency key belongs to a different job")
+	ErrJobFinal    = errors.ConstError("job is final")
+	// ErrStaleEpoch says that an owner with a higher epoch has written the row.
+	ErrStaleEpoch = errors.ConstError("row was written by a later owner")
 )
 
 // Row is the table's row of a job. Epoch is that of the owner who wrote it
@@ -46,9 +46,9 @@
 	version uint64
 }
 
-// Active is the row that marks a job as not final. Each write of it tells the
+// ActiveJob is the row that marks a job as not final. Each write of it tells the
 // owner to look at the job again.
-type Active struct {
+type ActiveJob struct {
 	ID      string
 	Version uint64
 }
@@ -108,8 +108,8 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Get returns the rows of the jobs that exist, by id.
-func (s *Store) Get(ctx context.Context, cause ledger.Cause, ids ...string) (map[string]Row, error) {
+// GetRows returns the rows of the jobs that exist, by id.
+func (s *Store) GetRows(ctx context.Context, cause ledger.Cause, ids ...string) (map[string]Row, error) {
 	out := map[string]Row{}
 	for len(ids) > 0 {
 		n := min(len(ids), getBatch)
@@ -136,21 +136,21 @@
 	return out, nil
 }
 
-// One returns the record of one job.
-func (s *Store) One(ctx context.Context, id string) (api.JobRecord, error) {
-	rows, err := s.Get(ctx, ledger.CauseJob, id)
+// GetRecord returns the record of one job.
+func (s *Store) GetRecord(ctx context.Context, id string) (api.JobRecord, error) {
+	rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 	if err != nil {
 		return api.JobRecord{}, err
 	}
 	row, ok := rows[id]
 	if !ok {
-		return api.JobRecord{}, errors.Annotatef(ErrNoJob, "job %q", id)
+		return api.JobRecord{}, errors.Annotatef(ErrJobNotFound, "job %q", id)
 	}
 	return row.Record, nil
 }
 
-// List returns up to limit records with ids above after.
-func (s *Store) List(ctx context.Context, after string, limit int) ([]api.JobRecord, error) {
+// ListRecords returns up to limit records with ids above after.
+func (s *Store) ListRecords(ctx context.Context, after string, limit int) ([]api.JobRecord, error) {
 	from := ""
 	if after != "" {
 		from = jobPrefix + after
@@ -170,10 +170,10 @@
 	return out, nil
 }
 
-// Actives returns the marks of all jobs of the cell that are not final.
-func (s *Store) Actives(ctx context.Context, cause ledger.Cause) ([]Active, error) {
+// ListActive returns the marks of all jobs of the cell that are not final.
+func (s *Store) ListActive(ctx context.Context, cause ledger.Cause) ([]ActiveJob, error) {
 	prefix := activePrefix + s.cell + "/"
-	var out []Active
+	var out []ActiveJob
 	after := ""
 	for {
 		rows, err := s.ledger.Scan(ctx, cause, prefix, after, scanPage)
@@ -181,7 +181,7 @@
 			return nil, errors.Annotatef(err, "scanning active jobs of cell %q", s.cell)
 		}
 		for _, r := range rows {
-			out = append(out, Active{ID: r.Key[len(prefix):], Version: r.Version})
+			out = append(out, ActiveJob{ID: r.Key[len(prefix):], Version: r.Version})
 		}
 		if len(rows) < scanPage {
 			return out, nil
@@ -190,20 +190,20 @@
 	}
 }
 
-// AskCancel marks a job for its end. It returns the record as it stands; a
+// RequestCancel marks a job for its end. It returns the record as it stands; a
 // final one is returned unchanged with ErrFinal.
-func (s *Store) AskCancel(ctx context.Context, id string) (api.JobRecord, error) {
+func (s *Store) RequestCancel(ctx context.Context, id string) (api.JobRecord, error) {
 	for {
-		rows, err := s.Get(ctx, ledger.CauseJob, id)
+		rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 		if err != nil {
 			return api.JobRecord{}, err
 		}
 		row, ok := rows[id]
 		if !ok {
-			return api.JobRecord{}, errors.Annotatef(ErrNoJob, "job %q", id)
+			return api.JobRecord{}, errors.Annotatef(ErrJobNotFound, "job %q", id)
 		}
 		if row.Record.State == api.JobFinal {
-			return row.Record, errors.Annotatef(ErrFinal, "job %q", id)
+			return row.Record, errors.Annotatef(ErrJobFinal, "job %q", id)
 		}
 		if row.Record.CancelAsked {
 			return row.Record, nil
@@ -233,7 +233,7 @@
 func (s *Store) Save(ctx context.Context, epoch uint64, record api.JobRecord) (Row, error) {
 	id := record.Job.ID
 	for {
-		rows, err := s.Get(ctx, ledger.CauseJob, id)
+		rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 		if err != nil {
 			return Row{}, err
 		}
@@ -255,14 +255,14 @@
 	id := record.Job.ID
 	row, ok := rows[id]
 	if !ok {
-		return Row{}, errors.Annotatef(ErrNoJob, "job %q", id)
+		return Row{}, errors.Annotatef(ErrJobNotFound, "job %q", id)
 	}
 	record.CancelAsked = record.CancelAsked || row.Record.CancelAsked
 	switch {
 	case row.Epoch > epoch:
-		return row, errors.Annotatef(ErrEpoch, "job %q: epoch %d, own %d", id, row.Epoch, epoch)
+		return row, errors.Annotatef(ErrStaleEpoch, "job %q: epoch %d, own %d", id, row.Epoch, epoch)
 	case row.Record.State == api.JobFinal && !sameRecord(row.Record, record):
-		return row, errors.Annotatef(ErrFinal, "job %q", id)
+		return row, errors.Annotatef(ErrJobFinal, "job %q", id)
 	}
 	row.Record = record
 	row.Epoch = epoch
@@ -290,7 +290,7 @@
 func decodeRow(r ledger.Row) (Row, error) {
 	var row Row
 	if r.Version == 0 {
-		return row, errors.Trace(ErrNoJob)
+		return row, errors.Trace(ErrJobNotFound)
 	}
 	if err := json.Unmarshal(r.Data, &row); err != nil {
 		return row, errors.Annotatef(err, "row %q is damaged", r.Key)
--- a/internal/entry/jobs/waiters.go
+++ b/internal/entry/jobs/waiters.go
@@ -57,12 +57,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	rows, err := w.store.Get(ctx, ledger.CauseJob, ids...)
+	rows, err := w.store.GetRows(ctx, ledger.CauseJob, ids...)
 	if err != nil {
 		return
 	}
 	for _, row := range rows {
-		w.Final(row.Record)
+		w.NotifyFinal(row.Record)
 	}
 }
 
@@ -76,8 +76,8 @@
 	return out
 }
 
-// Final hands a final record to those who wait for it.
-func (w *Waiters) Final(record api.JobRecord) {
+// NotifyFinal hands a final record to those who wait for it.
+func (w *Waiters) NotifyFinal(record api.JobRecord) {
 	if record.State != api.JobFinal {
 		return
 	}
--- a/internal/entry/links/links.go
+++ b/internal/entry/links/links.go
@@ -49,8 +49,8 @@
 	GroupReport(a Agent, g *rpc.GroupReport)
 }
 
-// Beat is the part of a heartbeat that is the same for all agents of a zone.
-type Beat interface {
+// HeartbeatFiller is the part of a heartbeat that is the same for all agents of a zone.
+type HeartbeatFiller interface {
 	// Fill sets what the entry knows of its configuration, peers and owner.
 	Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool)
 }
@@ -71,7 +71,7 @@
 // Server is the Link service.
 type Server struct {
 	rpc.UnimplementedLinkServer
-	beat      Beat
+	beat      HeartbeatFiller
 	listeners []Listener
 	registry  metrics.Registry
 	log       zerolog.Logger
@@ -87,12 +87,12 @@
 }
 
 // New returns a server that answers heartbeats with what beat fills in.
-func New(beat Beat, registry metrics.Registry, log zerolog.Logger) *Server {
+func New(beat HeartbeatFiller, registry metrics.Registry, log zerolog.Logger) *Server {
 	return &Server{beat: beat, registry: registry, log: log, sessions: map[string]*session{}}
 }
 
-// Listen adds a listener; it must be called before the server serves.
-func (s *Server) Listen(l Listener) { s.listeners = append(s.listeners, l) }
+// AddListener adds a listener; it must be called before the server serves.
+func (s *Server) AddListener(l Listener) { s.listeners = append(s.listeners, l) }
 
 // Open serves one link until it is lost, silent or replaced.
 func (s *Server) Open(stream rpc.Link_OpenServer) error {
@@ -294,8 +294,8 @@
 	return true
 }
 
-// BeatAll sends a heartbeat to all agents at once, after a change.
-func (s *Server) BeatAll() {
+// SendHeartbeats sends a heartbeat to all agents at once, after a change.
+func (s *Server) SendHeartbeats() {
 	for _, x := range s.list() {
 		s.sendBeat(x)
 	}
@@ -312,18 +312,18 @@
 	return out
 }
 
-// Status is an agent with its last heartbeat, which may be nil.
-type Status struct {
+// AgentStatus is an agent with its last heartbeat, which may be nil.
+type AgentStatus struct {
 	Agent     Agent
 	Heartbeat *rpc.AgentHeartbeat
 }
 
 // Agents returns the linked agents in order of id.
-func (s *Server) Agents() []Status {
-	var out []Status
+func (s *Server) Agents() []AgentStatus {
+	var out []AgentStatus
 	for _, x := range s.list() {
 		x.mu.Lock()
-		out = append(out, Status{x.agent, x.last})
+		out = append(out, AgentStatus{x.agent, x.last})
 		x.mu.Unlock()
 	}
 	return out
--- a/internal/entry/links/links_test.go
+++ b/internal/entry/links/links_test.go
@@ -48,7 +48,7 @@
 
 func newTestServer() (*Server, *journal) {
 	s, j := New(noBeat{}, metrics.NewRegistry(), zerolog.Nop()), &journal{}
-	s.Listen(j)
+	s.AddListener(j)
 	return s, j
 }
 
--- a/internal/entry/node/beat.go
+++ b/internal/entry/node/beat.go
@@ -14,8 +14,8 @@
 	Entries() []*rpc.EntryAddress
 }
 
-// Beat fills in the entry's heartbeats.
-type Beat struct {
+// HeartbeatFiller fills in the entry's heartbeats.
+type HeartbeatFiller struct {
 	EntryID string
 	Config  confstate.Store
 	Members Members
@@ -23,7 +23,7 @@
 }
 
 // Fill sets what the entry knows of its configuration, peers and owner.
-func (b *Beat) Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool) {
+func (b *HeartbeatFiller) Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool) {
 	// The permit is judged before the version is read, so that a permit never
 	// comes with a version older than the one it was judged on.
 	hb.Permit = b.Config.Permit()
--- a/internal/entry/node/notifier.go
+++ b/internal/entry/node/notifier.go
@@ -20,7 +20,7 @@
 // lost costs only time: the owner scans the active jobs regularly.
 type Notifier struct {
 	owner    *owner.Service
-	local    JobNotices
+	local    JobNoticeHandler
 	registry metrics.Registry
 
 	queue chan string
@@ -32,7 +32,7 @@
 
 // NewNotifier returns a notifier; local takes the notices while this entry
 // owns the cell.
-func NewNotifier(o *owner.Service, local JobNotices, registry metrics.Registry) *Notifier {
+func NewNotifier(o *owner.Service, local JobNoticeHandler, registry metrics.Registry) *Notifier {
 	return &Notifier{owner: o, local: local, registry: registry, queue: make(chan string, noticeQueue)}
 }
 
--- a/internal/entry/node/rpcserver.go
+++ b/internal/entry/node/rpcserver.go
@@ -11,14 +11,14 @@
 	"google.golang.org/grpc"
 )
 
-// PeerService answers the other entries.
-type PeerService interface {
+// ExchangeHandler answers the other entries.
+type ExchangeHandler interface {
 	HandleExchange(*rpc.PeerState) *rpc.PeerState
 }
 
-// JobNotices takes in notices of changed job rows; false means that this entry
+// JobNoticeHandler takes in notices of changed job rows; false means that this entry
 // does not own the cell.
-type JobNotices interface {
+type JobNoticeHandler interface {
 	Notify(id string) bool
 }
 
@@ -29,8 +29,8 @@
 
 	address string
 	members Members
-	peers   PeerService
-	notices JobNotices
+	peers   ExchangeHandler
+	notices JobNoticeHandler
 	links   *links.Server
 
 	server *grpc.Server
@@ -38,7 +38,7 @@
 }
 
 // NewRPCServer returns a server that does not listen yet.
-func NewRPCServer(address string, members Members, peers PeerService, notices JobNotices, l *links.Server) *RPCServer {
+func NewRPCServer(address string, members Members, peers ExchangeHandler, notices JobNoticeHandler, l *links.Server) *RPCServer {
 	return &RPCServer{address: address, members: members, peers: peers, notices: notices, links: l}
 }
 
--- a/internal/entry/requests/requests.go
+++ b/internal/entry/requests/requests.go
@@ -110,7 +110,7 @@
 		waiters:  map[string]*waiter{},
 	}
 	s.claims = newClaims(s, l, objects)
-	srv.Listen(s)
+	srv.AddListener(s)
 	return s
 }
 
--- a/internal/entry/scheduler/save_test.go
+++ b/internal/entry/scheduler/save_test.go
@@ -54,7 +54,7 @@
 	if _, err := tm.write(record); err != nil {
 		t.Errorf("the save ends with %v, although the row was written", err)
 	}
-	if got, err := store.One(context.Background(), "j"); err != nil || got.Attempt != 1 {
+	if got, err := store.GetRecord(context.Background(), "j"); err != nil || got.Attempt != 1 {
 		t.Fatalf("row %+v, error %v", got, err)
 	}
 }
--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -29,22 +29,22 @@
 	maxReports = 256
 )
 
-// Ownership tells whether this entry owns the cell now.
-type Ownership interface {
+// OwnershipSource tells whether this entry owns the cell now.
+type OwnershipSource interface {
 	// Authority returns the present standing; see sched.Authority. StartAfter
 	// is the wait that the term begins with.
 	Authority() (sched.Ownership, time.Duration)
 }
 
-// Configuration is what the scheduler reads of the configuration.
-type Configuration interface {
+// ConfigSource is what the scheduler reads of the configuration.
+type ConfigSource interface {
 	Current() *api.Config
 }
 
 // Service is the scheduling side of an entry.
 type Service struct {
-	owner    Ownership
-	config   Configuration
+	owner    OwnershipSource
+	config   ConfigSource
 	store    *jobs.Store
 	waiters  *jobs.Waiters
 	links    *links.Server
@@ -69,7 +69,7 @@
 }
 
 // New returns the service; it listens to srv from now on.
-func New(owner Ownership, config Configuration, store *jobs.Store, waiters *jobs.Waiters, srv *links.Server, registry metrics.Registry, log zerolog.Logger) *Service {
+func New(owner OwnershipSource, config ConfigSource, store *jobs.Store, waiters *jobs.Waiters, srv *links.Server, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
 		owner:    owner,
 		config:   config,
@@ -82,7 +82,7 @@
 		workers:  map[string]*worker{},
 		poke:     make(chan string, 4096),
 	}
-	srv.Listen(s)
+	srv.AddListener(s)
 	return s
 }
 
@@ -180,7 +180,7 @@
 func (s *Service) readActive(ctx context.Context, t *term, cause ledger.Cause) ([]jobs.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
-	actives, err := s.store.Actives(ctx, cause)
+	actives, err := s.store.ListActive(ctx, cause)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 	if len(ids) == 0 {
 		return nil, nil
 	}
-	rows, err := s.store.Get(ctx, cause, ids...)
+	rows, err := s.store.GetRows(ctx, cause, ids...)
 	if err != nil {
 		return nil, err
 	}
@@ -301,7 +301,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
-	rows, err := s.store.Get(ctx, ledger.CauseJob, ids...)
+	rows, err := s.store.GetRows(ctx, ledger.CauseJob, ids...)
 	if err != nil {
 		return
 	}
@@ -312,8 +312,8 @@
 	s.take(t, list)
 }
 
-// Submitted takes in a job that this entry has just kept, without a read.
-func (s *Service) Submitted(record api.JobRecord) bool {
+// AddSubmitted takes in a job that this entry has just kept, without a read.
+func (s *Service) AddSubmitted(record api.JobRecord) bool {
 	t := s.loadedTerm()
 	if t == nil {
 		return false
@@ -355,5 +355,5 @@
 
 // isSettled reports whether an error of a save means that trying again cannot help.
 func isSettled(err error) bool {
-	return errors.Is(err, jobs.ErrEpoch) || errors.Is(err, jobs.ErrFinal) || errors.Is(err, jobs.ErrNoJob)
+	return errors.Is(err, jobs.ErrStaleEpoch) || errors.Is(err, jobs.ErrJobFinal) || errors.Is(err, jobs.ErrJobNotFound)
 }
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -76,7 +76,7 @@
 
 // changed returns the ids of active rows that have not been looked at in
 // their present version.
-func (t *term) changed(actives []jobs.Active) []string {
+func (t *term) changed(actives []jobs.ActiveJob) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
@@ -89,7 +89,7 @@
 }
 
 // seen notes the versions of all active rows and forgets those that are gone.
-func (t *term) seen(actives []jobs.Active) {
+func (t *term) seen(actives []jobs.ActiveJob) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.versions = make(map[string]uint64, len(actives))
@@ -101,7 +101,7 @@
 // submit passes a job's row to the core, which ignores one that it knows.
 func (t *term) submit(record api.JobRecord) {
 	if record.State == api.JobFinal {
-		t.service.waiters.Final(record)
+		t.service.waiters.NotifyFinal(record)
 		return
 	}
 	known, finished := t.note(record.Job)
@@ -333,7 +333,7 @@
 	}
 	metrics.GetOrRegisterCounter("jobs.outcomes."+string(record.Outcome), s.registry).Inc(1)
 	t.finish(id)
-	s.waiters.Final(record)
+	s.waiters.NotifyFinal(record)
 }
 
 // breakTerm ends the term, so that a new one reads the rows again.
