--- a/internal/entry/scheduler/guarantees.go
+++ b/internal/entry/scheduler/guarantees.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// settleTime is how long after its start an entry may not know all workers yet.
-const settleTime = 15 * time.Second
+// workerDiscoveryTime is how long after its start an entry may not know all workers yet.
+const workerDiscoveryTime = 15 * time.Second
 
 // ErrNotFeasible says that guaranteed shapes do not fit on the workers.
 const ErrNotFeasible = errors.ConstError("guarantees do not fit")
@@ -26,20 +26,20 @@
 	if len(workers) == 0 {
 		return "guarantees were not checked: no worker is linked", nil
 	}
-	var errorsFound, warnings []string
+	var problems, warnings []string
 	for _, f := range feasibility.Check(edited, workers) {
 		if f.Severity == feasibility.Error {
-			errorsFound = append(errorsFound, f.Detail)
+			problems = append(problems, f.Detail)
 			continue
 		}
 		warnings = append(warnings, f.Detail)
 	}
 	changed := !sameGuarantee(s.config.Current().Profiles[name].Guarantee, edited.Profiles[name].Guarantee)
-	settled := time.Since(s.created) >= settleTime
-	if len(errorsFound) > 0 && changed && settled {
-		return "", errors.Annotate(ErrNotFeasible, strings.Join(errorsFound, "; "))
+	discoveryDone := time.Since(s.created) >= workerDiscoveryTime
+	if len(problems) > 0 && changed && discoveryDone {
+		return "", errors.Annotate(ErrNotFeasible, strings.Join(problems, "; "))
 	}
-	return strings.Join(append(errorsFound, warnings...), "; "), nil
+	return strings.Join(append(problems, warnings...), "; "), nil
 }
 
 func sameGuarantee(a, b *api.Guarantee) bool {
--- a/internal/entry/scheduler/guarantees_test.go
+++ b/internal/entry/scheduler/guarantees_test.go
@@ -15,7 +15,7 @@
 
 func (f fixedConfig) Current() *api.Config { return f.config }
 
-func guaranteed(gangs int) api.Profile {
+func profileWithGuarantee(gangs int) api.Profile {
 	return api.Profile{Name: "p", ClientAccount: "a", Guarantee: &api.Guarantee{
 		Gangs: gangs,
 		Shape: api.Shape{Tasks: 1, PerTask: api.Resources{Accelerators: 8}, Adjacency: api.AdjacentWorker},
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestGuaranteeIsRefusedOnlyWhenItIsTheEditThatDoesNotFit(t *testing.T) {
+func TestCheckGuaranteesRefusesOnlyEditsThatDoNotFit(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		age     time.Duration
@@ -44,10 +44,10 @@
 		refused bool
 		warning string
 	}{
-		{"grown beyond the fleet", time.Hour, guaranteed(1), guaranteed(2), true, ""},
-		{"entry has just started", time.Second, guaranteed(1), guaranteed(2), false, "no room for 1 of"},
-		{"guarantee not touched", time.Hour, guaranteed(2), guaranteed(2), false, "no room for 1 of"},
-		{"fits with all zones in", time.Hour, guaranteed(2), guaranteed(1), false, "while zone"},
+		{"grown beyond the fleet", time.Hour, profileWithGuarantee(1), profileWithGuarantee(2), true, ""},
+		{"entry has just started", time.Second, profileWithGuarantee(1), profileWithGuarantee(2), false, "no room for 1 of"},
+		{"guarantee not touched", time.Hour, profileWithGuarantee(2), profileWithGuarantee(2), false, "no room for 1 of"},
+		{"fits with all zones in", time.Hour, profileWithGuarantee(2), profileWithGuarantee(1), false, "while zone"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := serviceWithOneWorker(tc.age, configWith(tc.current))
--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -25,8 +25,8 @@
 	scanInterval = 2 * time.Second
 	scanTimeout  = 10 * time.Second
 	drainTimeout = 5 * time.Second
-	// maxReports bounds the reports kept for each worker.
-	maxReports = 256
+	// maxReportsPerWorker bounds the reports kept for each worker.
+	maxReportsPerWorker = 256
 )
 
 // OwnershipSource tells whether this entry owns the cell now.
@@ -52,13 +52,13 @@
 	log      zerolog.Logger
 	created  time.Time
 
-	mu      sync.Mutex
-	term    *term // nil while another entry owns the cell
-	workers map[string]*worker
-	drained bool
+	mu       sync.Mutex
+	term     *term // nil while another entry owns the cell
+	workers  map[string]*worker
+	draining bool
 
-	poke  chan string
-	loops kernel.Loops
+	changedJobs chan string
+	loops       kernel.Loops
 }
 
 // worker is a linked worker agent with the newest report of each group.
@@ -71,16 +71,16 @@
 // New returns the service; it listens to srv from now on.
 func New(owner OwnershipSource, config ConfigSource, store *jobs.Store, waiters *jobs.Waiters, srv *links.Server, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
-		owner:    owner,
-		config:   config,
-		store:    store,
-		waiters:  waiters,
-		links:    srv,
-		registry: registry,
-		log:      log,
-		created:  time.Now(),
-		workers:  map[string]*worker{},
-		poke:     make(chan string, 4096),
+		owner:       owner,
+		config:      config,
+		store:       store,
+		waiters:     waiters,
+		links:       srv,
+		registry:    registry,
+		log:         log,
+		created:     time.Now(),
+		workers:     map[string]*worker{},
+		changedJobs: make(chan string, 4096),
 	}
 	srv.AddListener(s)
 	return s
@@ -90,8 +90,8 @@
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(sched.TickInterval, func(context.Context) { s.tick() })
-	s.loops.Every(scanInterval, s.scan)
-	s.loops.Go(s.pokeLoop)
+	s.loops.Every(scanInterval, s.scanActiveJobs)
+	s.loops.Go(s.changedJobsLoop)
 	return nil
 }
 
@@ -101,14 +101,14 @@
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	s.mu.Lock()
-	s.drained = true
+	s.draining = true
 	t := s.term
 	if t != nil {
 		t.step(sched.Drain{})
 	}
 	s.mu.Unlock()
 	if t != nil {
-		t.waitSaved(ctx)
+		t.waitForSaves(ctx)
 	}
 	s.loops.End()
 	s.mu.Lock()
@@ -122,10 +122,10 @@
 	authority, wait := s.owner.Authority()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.term != nil && (s.term.broken || authority.Epoch != s.term.epoch || !authority.Owner && !authority.StoreDown) {
+	if s.term != nil && (s.term.invalidated || authority.Epoch != s.term.epoch || !authority.Owner && !authority.StoreDown) {
 		s.endTerm("ownership lost")
 	}
-	if s.term == nil && authority.Owner && !s.drained {
+	if s.term == nil && authority.Owner && !s.draining {
 		s.beginTerm(authority, wait)
 	}
 	if s.term == nil || !s.term.loaded {
@@ -180,11 +180,11 @@
 func (s *Service) readActive(ctx context.Context, t *term, cause ledger.Cause) ([]jobs.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
-	actives, err := s.store.ListActive(ctx, cause)
+	active, err := s.store.ListActive(ctx, cause)
 	if err != nil {
 		return nil, err
 	}
-	ids := t.changed(actives)
+	ids := t.changedJobIDs(active)
 	if len(ids) == 0 {
 		return nil, nil
 	}
@@ -192,7 +192,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.seen(actives)
+	t.setActiveVersions(active)
 	var out []jobs.Row
 	for _, id := range ids {
 		if row, ok := rows[id]; ok {
@@ -234,7 +234,7 @@
 	return s.term
 }
 
-func (s *Service) scan(ctx context.Context) {
+func (s *Service) scanActiveJobs(ctx context.Context) {
 	t := s.loadedTerm()
 	if t == nil {
 		return
@@ -243,10 +243,10 @@
 	if err != nil {
 		return
 	}
-	s.take(t, rows)
+	s.submitRows(t, rows)
 }
 
-func (s *Service) take(t *term, rows []jobs.Row) {
+func (s *Service) submitRows(t *term, rows []jobs.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.term != t {
@@ -264,29 +264,29 @@
 		return false
 	}
 	select {
-	case s.poke <- id:
+	case s.changedJobs <- id:
 	default: // the next scan finds the job
 	}
 	return true
 }
 
-func (s *Service) pokeLoop(ctx context.Context) {
+func (s *Service) changedJobsLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-s.poke:
-			s.readNoticed(ctx, s.noticed(id))
+		case id := <-s.changedJobs:
+			s.readChangedJobs(ctx, s.collectChangedJobs(id))
 		}
 	}
 }
 
-// noticed returns id and all others that wait behind it.
-func (s *Service) noticed(id string) []string {
+// collectChangedJobs returns id and all others that wait behind it.
+func (s *Service) collectChangedJobs(id string) []string {
 	ids := []string{id}
 	for {
 		select {
-		case next := <-s.poke:
+		case next := <-s.changedJobs:
 			ids = append(ids, next)
 		default:
 			return ids
@@ -294,7 +294,7 @@
 	}
 }
 
-func (s *Service) readNoticed(ctx context.Context, ids []string) {
+func (s *Service) readChangedJobs(ctx context.Context, ids []string) {
 	t := s.loadedTerm()
 	if t == nil {
 		return
@@ -309,7 +309,7 @@
 	for _, id := range sortedKeys(rows) {
 		list = append(list, rows[id])
 	}
-	s.take(t, list)
+	s.submitRows(t, list)
 }
 
 // AddSubmitted takes in a job that this entry has just kept, without a read.
@@ -353,7 +353,7 @@
 	}{true, s.term.epoch, s.term.loaded, s.term.core.Dump()}
 }
 
-// isSettled reports whether an error of a save means that trying again cannot help.
-func isSettled(err error) bool {
+// isPermanent reports whether an error of a save means that trying again cannot help.
+func isPermanent(err error) bool {
 	return errors.Is(err, jobs.ErrStaleEpoch) || errors.Is(err, jobs.ErrJobFinal) || errors.Is(err, jobs.ErrJobNotFound)
 }
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -17,84 +17,84 @@
 )
 
 const (
-	saveTimeout = 5 * time.Second
-	saveRetry   = 200 * time.Millisecond
-	// maxSaves bounds the writes in progress; further ones wait in order.
-	maxSaves = 256
-	// finishedKeep is how long the id of a final job is remembered; it is
+	saveTimeout    = 5 * time.Second
+	saveRetryDelay = 200 * time.Millisecond
+	// maxConcurrentSaves bounds the writes in progress; further ones wait in order.
+	maxConcurrentSaves = 256
+	// finishedRetention is how long the id of a final job is remembered; it is
 	// dropped later, once there are maxFinished of them.
-	finishedKeep = 4 * scanTimeout
-	maxFinished  = 4096
+	finishedRetention = 4 * scanTimeout
+	maxFinishedIDs    = 4096
 )
 
 // term is one term of ownership. Its core is guarded by Service.mu.
 type term struct {
 	service    *Service
 	epoch      uint64
-	began      time.Time
+	started    time.Time
 	startAfter time.Duration
 	core       *sched.Core
 	loaded     bool
-	// broken is set when a later owner's write was seen: the term must end.
-	broken bool
-
-	ctx    context.Context
-	cancel context.CancelFunc
-	slots  chan struct{}
-
-	mu       sync.Mutex
-	versions map[string]uint64     // of the active rows that were looked at
-	payloads map[string]api.Job    // of the jobs that are not final
-	finished map[string]time.Time  // when jobs of this term became final
-	saves    map[string][]saveWork // by job, in order; the first is in progress
-	saving   sync.WaitGroup
+	// invalidated is set when a later owner's write was seen: the term must end.
+	invalidated bool
+
+	ctx       context.Context
+	cancel    context.CancelFunc
+	saveSlots chan struct{}
+
+	mu             sync.Mutex
+	activeVersions map[string]uint64        // of the active rows that were looked at
+	unfinishedJobs map[string]api.Job       // of the jobs that are not final
+	finishedAt     map[string]time.Time     // when jobs of this term became final
+	pendingSaves   map[string][]pendingSave // by job, in order; the first is in progress
+	saveLoops      sync.WaitGroup
 }
 
-type saveWork struct{ record api.JobRecord }
+type pendingSave struct{ record api.JobRecord }
 
 func newTerm(s *Service, epoch uint64, wait time.Duration) *term {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &term{
-		service:    s,
-		epoch:      epoch,
-		began:      time.Now(),
-		startAfter: wait,
-		core:       sched.New(sched.Config{TermStart: time.Now()}),
-		ctx:        ctx,
-		cancel:     cancel,
-		slots:      make(chan struct{}, maxSaves),
-		versions:   map[string]uint64{},
-		payloads:   map[string]api.Job{},
-		finished:   map[string]time.Time{},
-		saves:      map[string][]saveWork{},
+		service:        s,
+		epoch:          epoch,
+		started:        time.Now(),
+		startAfter:     wait,
+		core:           sched.New(sched.Config{TermStart: time.Now()}),
+		ctx:            ctx,
+		cancel:         cancel,
+		saveSlots:      make(chan struct{}, maxConcurrentSaves),
+		activeVersions: map[string]uint64{},
+		unfinishedJobs: map[string]api.Job{},
+		finishedAt:     map[string]time.Time{},
+		pendingSaves:   map[string][]pendingSave{},
 	}
 }
 
 func (t *term) end() { t.cancel() }
 
-func (t *term) now() time.Duration { return time.Since(t.began) }
+func (t *term) now() time.Duration { return time.Since(t.started) }
 
-// changed returns the ids of active rows that have not been looked at in
+// changedJobIDs returns the ids of active rows that have not been looked at in
 // their present version.
-func (t *term) changed(actives []jobs.ActiveJob) []string {
+func (t *term) changedJobIDs(active []jobs.ActiveJob) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
-	for _, a := range actives {
-		if t.versions[a.ID] != a.Version {
+	for _, a := range active {
+		if t.activeVersions[a.ID] != a.Version {
 			ids = append(ids, a.ID)
 		}
 	}
 	return ids
 }
 
-// seen notes the versions of all active rows and forgets those that are gone.
-func (t *term) seen(actives []jobs.ActiveJob) {
+// setActiveVersions notes the versions of all active rows and forgets those that are gone.
+func (t *term) setActiveVersions(active []jobs.ActiveJob) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.versions = make(map[string]uint64, len(actives))
-	for _, a := range actives {
-		t.versions[a.ID] = a.Version
+	t.activeVersions = make(map[string]uint64, len(active))
+	for _, a := range active {
+		t.activeVersions[a.ID] = a.Version
 	}
 }
 
@@ -104,7 +104,7 @@
 		t.service.waiters.NotifyFinal(record)
 		return
 	}
-	known, finished := t.note(record.Job)
+	known, finished := t.trackJob(record.Job)
 	if finished {
 		return
 	}
@@ -116,34 +116,34 @@
 	}
 }
 
-// note remembers a job and reports whether it was known or has become final.
+// trackJob remembers a job and reports whether it was known or has become final.
 //
 // Invariant: a job that became final in this term is never submitted again,
 // although a scan may have read its row before the final write.
-func (t *term) note(job api.Job) (known, finished bool) {
+func (t *term) trackJob(job api.Job) (known, finished bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, finished = t.finished[job.ID]; finished {
+	if _, finished = t.finishedAt[job.ID]; finished {
 		return false, true
 	}
-	_, known = t.payloads[job.ID]
-	t.payloads[job.ID] = job
+	_, known = t.unfinishedJobs[job.ID]
+	t.unfinishedJobs[job.ID] = job
 	return known, false
 }
 
-// finish forgets the job's payload. Its id is kept for longer than any scan lasts.
-func (t *term) finish(id string) {
+// markFinal forgets the job's payload. Its id is kept for longer than any scan lasts.
+func (t *term) markFinal(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.payloads, id)
+	delete(t.unfinishedJobs, id)
 	now := time.Now()
-	t.finished[id] = now
-	if len(t.finished) < maxFinished {
+	t.finishedAt[id] = now
+	if len(t.finishedAt) < maxFinishedIDs {
 		return
 	}
-	for other, at := range t.finished {
-		if now.Sub(at) > finishedKeep {
-			delete(t.finished, other)
+	for other, at := range t.finishedAt {
+		if now.Sub(at) > finishedRetention {
+			delete(t.finishedAt, other)
 		}
 	}
 }
@@ -160,23 +160,23 @@
 func (t *term) apply(act sched.Action) {
 	switch act := act.(type) {
 	case sched.Hold:
-		t.sendAsOwner(act.Worker, func(stamp int64) *rpc.EntryMessage { return t.holdMessage(act, stamp) })
+		t.sendIfOwner(act.Worker, func(stamp int64) *rpc.EntryMessage { return t.holdMessage(act, stamp) })
 	case sched.Start:
-		t.sendAsOwner(act.Worker, func(stamp int64) *rpc.EntryMessage { return t.startMessage(act, stamp) })
+		t.sendIfOwner(act.Worker, func(stamp int64) *rpc.EntryMessage { return t.startMessage(act, stamp) })
 	case sched.Stop:
 		t.send(act.Worker, func(int64) *rpc.EntryMessage { return t.stopMessage(act) })
 	case sched.Renew:
 		t.send(act.Worker, func(stamp int64) *rpc.EntryMessage { return t.renewMessage(act, stamp) })
 	case sched.Save:
-		t.save(act.Record)
+		t.enqueueSave(act.Record)
 	case sched.Notice:
-		t.notice(act)
+		t.recordNotice(act)
 	}
 }
 
-// sendAsOwner asks for the ownership at this very moment: the process may have
+// sendIfOwner asks for the ownership at this very moment: the process may have
 // been paused since the core last heard of it.
-func (t *term) sendAsOwner(worker string, build func(int64) *rpc.EntryMessage) {
+func (t *term) sendIfOwner(worker string, build func(int64) *rpc.EntryMessage) {
 	a, _ := t.service.owner.Authority()
 	if !a.Owner || a.Epoch != t.epoch {
 		metrics.GetOrRegisterCounter("scheduler.withheld", t.service.registry).Inc(1)
@@ -208,7 +208,7 @@
 
 func (t *term) startMessage(act sched.Start, stamp int64) *rpc.EntryMessage {
 	t.mu.Lock()
-	payload := t.payloads[act.JobID].Payload
+	payload := t.unfinishedJobs[act.JobID].Payload
 	t.mu.Unlock()
 	return &rpc.EntryMessage{Body: &rpc.EntryMessage_Start{Start: &rpc.Start{
 		Epoch:      t.epoch,
@@ -241,63 +241,63 @@
 	return &rpc.EntryMessage{Body: &rpc.EntryMessage_Renew{Renew: m}}
 }
 
-func (t *term) notice(act sched.Notice) {
+func (t *term) recordNotice(act sched.Notice) {
 	metrics.GetOrRegisterCounter("scheduler.reasons."+string(act.Reason), t.service.registry).Inc(1)
 	t.service.log.Info().Str("job", act.JobID).Str("worker", act.Worker).Str("reason", string(act.Reason)).Str("detail", act.Detail).Msg("decision")
 }
 
-// save queues a write; the writes of one job keep their order.
-func (t *term) save(record api.JobRecord) {
+// enqueueSave queues a write; the writes of one job keep their order.
+func (t *term) enqueueSave(record api.JobRecord) {
 	id := record.Job.ID
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.saves[id] = append(t.saves[id], saveWork{record})
-	if len(t.saves[id]) > 1 {
+	t.pendingSaves[id] = append(t.pendingSaves[id], pendingSave{record})
+	if len(t.pendingSaves[id]) > 1 {
 		return
 	}
-	t.saving.Add(1)
+	t.saveLoops.Add(1)
 	go t.saveLoop(id)
 }
 
 func (t *term) saveLoop(id string) {
-	defer t.saving.Done()
-	t.slots <- struct{}{}
-	defer func() { <-t.slots }()
+	defer t.saveLoops.Done()
+	t.saveSlots <- struct{}{}
+	defer func() { <-t.saveSlots }()
 	for {
 		t.mu.Lock()
-		work := t.saves[id]
+		work := t.pendingSaves[id]
 		if len(work) == 0 {
-			delete(t.saves, id)
+			delete(t.pendingSaves, id)
 			t.mu.Unlock()
 			return
 		}
 		record := work[0].record
 		t.mu.Unlock()
-		t.saveOne(record)
+		t.saveRecord(record)
 		t.mu.Lock()
-		t.saves[id] = t.saves[id][1:]
+		t.pendingSaves[id] = t.pendingSaves[id][1:]
 		t.mu.Unlock()
 	}
 }
 
-// saveOne writes a record and tells the core what came of it.
-func (t *term) saveOne(record api.JobRecord) {
-	written, err := t.write(record)
+// saveRecord writes a record and tells the core what came of it.
+func (t *term) saveRecord(record api.JobRecord) {
+	written, err := t.writeWithRetry(record)
 	switch {
 	case err == nil:
-		t.saved(written, false)
-	case isSettled(err):
-		t.breakTerm(err)
+		t.completeSave(written, false)
+	case isPermanent(err):
+		t.invalidate(err)
 	case nothingWritten(err):
-		t.saved(record, true)
+		t.completeSave(record, true)
 	}
 }
 
-// write tries until the write is known to have taken effect, to be impossible,
+// writeWithRetry tries until the writeWithRetry is known to have taken effect, to be impossible,
 // or the term is over. A record that is not final is given up when nothing was
 // written, unless an earlier try may still take effect.
-func (t *term) write(record api.JobRecord) (api.JobRecord, error) {
-	inDoubt := false
+func (t *term) writeWithRetry(record api.JobRecord) (api.JobRecord, error) {
+	outcomeUnknown := false
 	for t.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(t.ctx, saveTimeout)
 		row, err := t.service.store.Save(ctx, t.epoch, record)
@@ -306,11 +306,11 @@
 			return row.Record, nil
 		}
 		metrics.GetOrRegisterCounter("scheduler.save_failed", t.service.registry).Inc(1)
-		inDoubt = inDoubt || errors.Is(err, ledger.ErrOutcomeUnknown)
-		if isSettled(err) || nothingWritten(err) && !inDoubt && record.State != api.JobFinal {
+		outcomeUnknown = outcomeUnknown || errors.Is(err, ledger.ErrOutcomeUnknown)
+		if isPermanent(err) || nothingWritten(err) && !outcomeUnknown && record.State != api.JobFinal {
 			return record, err
 		}
-		kernel.Sleep(t.ctx, saveRetry)
+		kernel.Sleep(t.ctx, saveRetryDelay)
 	}
 	return record, t.ctx.Err()
 }
@@ -319,7 +319,7 @@
 	return errors.Is(err, ledger.ErrDown) || errors.Is(err, ledger.ErrOverloaded)
 }
 
-func (t *term) saved(record api.JobRecord, failed bool) {
+func (t *term) completeSave(record api.JobRecord, failed bool) {
 	s := t.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -332,23 +332,23 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("jobs.outcomes."+string(record.Outcome), s.registry).Inc(1)
-	t.finish(id)
+	t.markFinal(id)
 	s.waiters.NotifyFinal(record)
 }
 
-// breakTerm ends the term, so that a new one reads the rows again.
-func (t *term) breakTerm(err error) {
+// invalidate ends the term, so that a new one reads the rows again.
+func (t *term) invalidate(err error) {
 	t.service.log.Warn().Err(err).Uint64("epoch", t.epoch).Msg("row belongs to a later term")
 	t.service.mu.Lock()
 	defer t.service.mu.Unlock()
-	t.broken = true
+	t.invalidated = true
 }
 
-// waitSaved returns when no write is in progress or ctx has ended.
-func (t *term) waitSaved(ctx context.Context) {
+// waitForSaves returns when no write is in progress or ctx has ended.
+func (t *term) waitForSaves(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		t.saving.Wait()
+		t.saveLoops.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/entry/scheduler/workers.go
+++ b/internal/entry/scheduler/workers.go
@@ -22,7 +22,7 @@
 	rpc.GroupState_GROUP_STATE_ABSENT:       sched.GroupAbsent,
 }
 
-func reportOf(worker string, g *rpc.GroupReport) sched.GroupReport {
+func toGroupReport(worker string, g *rpc.GroupReport) sched.GroupReport {
 	return sched.GroupReport{
 		Worker:      worker,
 		JobID:       g.JobId,
@@ -44,7 +44,7 @@
 	}
 	w := &worker{agent: a, status: sched.WorkerStatus{Worker: a.ID, Healthy: true}, reports: map[sched.GroupRef]sched.GroupReport{}}
 	for _, g := range groups {
-		w.keep(reportOf(a.ID, g))
+		w.storeReport(toGroupReport(a.ID, g))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,36 +90,36 @@
 // GroupReport takes in a worker agent's report. Entries that do not own the
 // cell keep the newest one, for the case that they become the owner.
 func (s *Service) GroupReport(a links.Agent, g *rpc.GroupReport) {
-	report := reportOf(a.ID, g)
+	report := toGroupReport(a.ID, g)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.workers[a.ID]
 	if w == nil {
 		return
 	}
-	w.keep(report)
+	w.storeReport(report)
 	if s.term != nil && s.term.loaded {
 		s.term.step(report)
 	}
 }
 
-// keep notes the newest report of a group. Groups of which the agent holds
+// storeReport notes the newest report of a group. Groups of which the agent holds
 // nothing any more are dropped.
-func (w *worker) keep(r sched.GroupReport) {
+func (w *worker) storeReport(r sched.GroupReport) {
 	ref := sched.GroupRef{JobID: r.JobID, Attempt: r.Attempt}
 	switch r.State {
 	case sched.GroupAbsent, sched.GroupRefused, sched.GroupStopped:
 		delete(w.reports, ref)
 		return
 	}
-	if len(w.reports) >= maxReports {
-		w.dropFinal()
+	if len(w.reports) >= maxReportsPerWorker {
+		w.dropFinalReport()
 	}
 	w.reports[ref] = r
 }
 
-// dropFinal makes room; the agent repeats final reports on its next link.
-func (w *worker) dropFinal() {
+// dropFinalReport makes room; the agent repeats final reports on its next link.
+func (w *worker) dropFinalReport() {
 	for _, ref := range sortedRefs(w.reports) {
 		switch w.reports[ref].State {
 		case sched.GroupDone, sched.GroupFailed, sched.GroupCheckpointed:
