--- a/internal/entry/jobs/retention.go
+++ b/internal/entry/jobs/retention.go
@@ -8,9 +8,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/entry/retention"
 )
 
-// finalKeep is how long a final job, with its answer and its idempotency key,
+// finalJobRetention is how long a final job, with its answer and its idempotency key,
 // is remembered.
-const finalKeep = 7 * 24 * time.Hour
+const finalJobRetention = 7 * 24 * time.Hour
 
 // Retention removes final jobs after finalKeep.
 func Retention() retention.Rule {
@@ -22,7 +22,7 @@
 			if json.Unmarshal(data, &row) != nil || row.Record.State != api.JobFinal {
 				return false
 			}
-			return now.Sub(row.Record.Finished) > finalKeep
+			return now.Sub(row.Record.Finished) > finalJobRetention
 		},
 	}
 }
--- a/internal/entry/jobs/store.go
+++ b/internal/entry/jobs/store.go
@@ -22,8 +22,8 @@
 const (
 	jobPrefix    = "job/"
 	activePrefix = "active/"
-	scanPage     = 1000
-	getBatch     = 200
+	scanPageSize = 1000
+	getBatchSize = 200
 )
 
 // Errors of the store.
@@ -91,14 +91,14 @@
 	if !errors.Is(err, ledger.ErrConflict) {
 		return api.JobRecord{}, false, errors.Annotatef(err, "keeping job %q", job.ID)
 	}
-	old, err := decodeRow(rows[0])
+	existing, err := decodeRow(rows[0])
 	if err != nil {
 		return api.JobRecord{}, false, errors.Annotatef(err, "job %q", job.ID)
 	}
-	if old.Digest != row.Digest {
+	if existing.Digest != row.Digest {
 		return api.JobRecord{}, false, errors.Annotatef(ErrKeyReused, "job %q", job.ID)
 	}
-	return old.Record, false, nil
+	return existing.Record, false, nil
 }
 
 // jobDigest covers what the caller submitted, not when.
@@ -112,7 +112,7 @@
 func (s *Store) GetRows(ctx context.Context, cause ledger.Cause, ids ...string) (map[string]Row, error) {
 	out := map[string]Row{}
 	for len(ids) > 0 {
-		n := min(len(ids), getBatch)
+		n := min(len(ids), getBatchSize)
 		keys := make([]string, n)
 		for i, id := range ids[:n] {
 			keys[i] = jobPrefix + id
@@ -176,14 +176,14 @@
 	var out []ActiveJob
 	after := ""
 	for {
-		rows, err := s.ledger.Scan(ctx, cause, prefix, after, scanPage)
+		rows, err := s.ledger.Scan(ctx, cause, prefix, after, scanPageSize)
 		if err != nil {
 			return nil, errors.Annotatef(err, "scanning active jobs of cell %q", s.cell)
 		}
 		for _, r := range rows {
 			out = append(out, ActiveJob{ID: r.Key[len(prefix):], Version: r.Version})
 		}
-		if len(rows) < scanPage {
+		if len(rows) < scanPageSize {
 			return out, nil
 		}
 		after = rows[len(rows)-1].Key
@@ -244,7 +244,7 @@
 		if sameRecord(rows[id].Record, row.Record) && rows[id].Epoch == epoch {
 			return row, nil // an earlier try took effect
 		}
-		err = s.write(ctx, row)
+		err = s.writeRow(ctx, row)
 		if !errors.Is(err, ledger.ErrConflict) {
 			return row, errors.Annotatef(err, "saving job %q", id)
 		}
@@ -271,7 +271,7 @@
 
 func sameRecord(a, b api.JobRecord) bool { return string(ledger.Encode(a)) == string(ledger.Encode(b)) }
 
-func (s *Store) write(ctx context.Context, row Row) error {
+func (s *Store) writeRow(ctx context.Context, row Row) error {
 	id := row.Record.Job.ID
 	writes := []ledger.Write{{Key: jobPrefix + id, Version: row.version, Data: ledger.Encode(row)}}
 	if row.Record.State == api.JobFinal {
--- a/internal/entry/jobs/waiters.go
+++ b/internal/entry/jobs/waiters.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// watchInterval is the time between two reads of all jobs that callers
+	// pollInterval is the time between two reads of all jobs that callers
 	// wait for; one read serves all of them.
-	watchInterval = 300 * time.Millisecond
-	watchTimeout  = 2 * time.Second
-	maxWaiters    = 20000
+	pollInterval = 300 * time.Millisecond
+	pollTimeout  = 2 * time.Second
+	maxWaiters   = 20000
 )
 
 // ErrTooManyWaiters says that the entry holds as many waiting callers as it may.
@@ -40,7 +40,7 @@
 // Start begins to watch.
 func (w *Waiters) Start(context.Context) error {
 	w.loops.Begin()
-	w.loops.Every(watchInterval, w.look)
+	w.loops.Every(pollInterval, w.poll)
 	return nil
 }
 
@@ -50,12 +50,12 @@
 	return nil
 }
 
-func (w *Waiters) look(ctx context.Context) {
-	ids := w.ids()
+func (w *Waiters) poll(ctx context.Context) {
+	ids := w.waitedJobIDs()
 	if len(ids) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	rows, err := w.store.GetRows(ctx, ledger.CauseJob, ids...)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (w *Waiters) ids() []string {
+func (w *Waiters) waitedJobIDs() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make([]string, 0, len(w.waiting))
@@ -105,12 +105,12 @@
 	case record := <-ch:
 		return record, nil
 	case <-ctx.Done():
-		w.drop(id, ch)
+		w.removeWaiter(id, ch)
 		return api.JobRecord{}, ctx.Err()
 	}
 }
 
-func (w *Waiters) drop(id string, ch chan api.JobRecord) {
+func (w *Waiters) removeWaiter(id string, ch chan api.JobRecord) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := w.waiting[id]
--- a/internal/entry/links/links.go
+++ b/internal/entry/links/links.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// silenceLimit is how long a session may stay without a heartbeat before
+	// idleTimeout is how long a session may stay without a heartbeat before
 	// it is closed.
-	silenceLimit = 1500 * time.Millisecond
-	sessionQueue = 8192 // messages
-	maxSessions  = 20000
-	// entriesEvery is the number of heartbeats after which the list of entries
+	idleTimeout      = 1500 * time.Millisecond
+	sessionQueueSize = 8192 // messages
+	maxSessions      = 20000
+	// entryListPeriod is the number of heartbeats after which the list of entries
 	// is sent again; it is also sent with the first one.
-	entriesEvery = 10
+	entryListPeriod = 10
 )
 
 // Agent describes an announced agent.
@@ -57,29 +57,29 @@
 
 // session is one open stream with an agent.
 type session struct {
-	agent  Agent
-	out    chan *rpc.EntryMessage
-	cancel context.CancelFunc
-	serial sync.Mutex // held while listeners are called
-
-	mu      sync.Mutex
-	clockMS int64
-	beats   int
-	last    *rpc.AgentHeartbeat
+	agent      Agent
+	out        chan *rpc.EntryMessage
+	cancel     context.CancelFunc
+	dispatchMu sync.Mutex // held while listeners are called
+
+	mu             sync.Mutex
+	agentClockMS   int64
+	heartbeatsSent int
+	lastHeartbeat  *rpc.AgentHeartbeat
 }
 
 // Server is the Link service.
 type Server struct {
 	rpc.UnimplementedLinkServer
-	beat      HeartbeatFiller
-	listeners []Listener
-	registry  metrics.Registry
-	log       zerolog.Logger
+	heartbeats HeartbeatFiller
+	listeners  []Listener
+	registry   metrics.Registry
+	log        zerolog.Logger
 
-	// changes is held while a session comes or goes and the listeners hear of
+	// sessionChangeMu is held while a session comes or goes and the listeners hear of
 	// it, so that they hear of an agent's sessions in their order. It is taken
 	// before the locks of sessions.
-	changes sync.Mutex
+	sessionChangeMu sync.Mutex
 
 	mu       sync.Mutex
 	sessions map[string]*session
@@ -87,8 +87,8 @@
 }
 
 // New returns a server that answers heartbeats with what beat fills in.
-func New(beat HeartbeatFiller, registry metrics.Registry, log zerolog.Logger) *Server {
-	return &Server{beat: beat, registry: registry, log: log, sessions: map[string]*session{}}
+func New(heartbeats HeartbeatFiller, registry metrics.Registry, log zerolog.Logger) *Server {
+	return &Server{heartbeats: heartbeats, registry: registry, log: log, sessions: map[string]*session{}}
 }
 
 // AddListener adds a listener; it must be called before the server serves.
@@ -106,18 +106,18 @@
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	x := &session{agent: agentOf(hello), out: make(chan *rpc.EntryMessage, sessionQueue), cancel: cancel}
-	if err := s.add(x, hello.Groups); err != nil {
+	sess := &session{agent: agentFromHello(hello), out: make(chan *rpc.EntryMessage, sessionQueueSize), cancel: cancel}
+	if err := s.addSession(sess, hello.Groups); err != nil {
 		return err
 	}
-	defer s.remove(x)
-	go s.receive(ctx, stream, x)
-	go send(ctx, stream, x)
+	defer s.removeSession(sess)
+	go s.receiveLoop(ctx, stream, sess)
+	go sendLoop(ctx, stream, sess)
 	<-ctx.Done()
 	return status.Error(codes.Unavailable, "link closed")
 }
 
-func agentOf(h *rpc.Hello) Agent {
+func agentFromHello(h *rpc.Hello) Agent {
 	return Agent{
 		ID:          h.AgentId,
 		Incarnation: h.Incarnation,
@@ -130,15 +130,15 @@
 	}
 }
 
-// send writes queued messages until ctx ends. A write may wait for a peer that
+// sendLoop writes queued messages until ctx ends. A write may wait for a peer that
 // takes nothing any more; the return of Open ends it.
-func send(ctx context.Context, stream rpc.Link_OpenServer, x *session) {
-	defer x.cancel()
+func sendLoop(ctx context.Context, stream rpc.Link_OpenServer, sess *session) {
+	defer sess.cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-x.out:
+		case m := <-sess.out:
 			if err := stream.Send(m); err != nil {
 				return
 			}
@@ -146,135 +146,135 @@
 	}
 }
 
-func (s *Server) receive(ctx context.Context, stream rpc.Link_OpenServer, x *session) {
-	defer x.cancel()
-	watchdog := time.AfterFunc(silenceLimit, x.cancel)
+func (s *Server) receiveLoop(ctx context.Context, stream rpc.Link_OpenServer, sess *session) {
+	defer sess.cancel()
+	watchdog := time.AfterFunc(idleTimeout, sess.cancel)
 	defer watchdog.Stop()
 	for ctx.Err() == nil {
 		m, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		watchdog.Reset(silenceLimit)
-		if !s.dispatch(x, m) {
+		watchdog.Reset(idleTimeout)
+		if !s.dispatch(sess, m) {
 			return
 		}
 	}
 }
 
 // dispatch passes a message on; false means that the session was replaced.
-func (s *Server) dispatch(x *session, m *rpc.AgentMessage) bool {
-	x.serial.Lock()
-	defer x.serial.Unlock()
-	if !s.current(x) {
+func (s *Server) dispatch(sess *session, m *rpc.AgentMessage) bool {
+	sess.dispatchMu.Lock()
+	defer sess.dispatchMu.Unlock()
+	if !s.isCurrent(sess) {
 		return false
 	}
 	switch body := m.Body.(type) {
 	case *rpc.AgentMessage_Heartbeat:
-		s.onHeartbeat(x, body.Heartbeat)
+		s.handleHeartbeat(sess, body.Heartbeat)
 	case *rpc.AgentMessage_Result:
 		for _, l := range s.listeners {
-			l.RequestResult(x.agent, body.Result)
+			l.RequestResult(sess.agent, body.Result)
 		}
 	case *rpc.AgentMessage_Group:
 		for _, l := range s.listeners {
-			l.GroupReport(x.agent, body.Group)
+			l.GroupReport(sess.agent, body.Group)
 		}
 	}
 	return true
 }
 
-func (s *Server) onHeartbeat(x *session, hb *rpc.AgentHeartbeat) {
-	x.mu.Lock()
-	x.clockMS = hb.ClockMs
-	x.last = hb
-	x.mu.Unlock()
+func (s *Server) handleHeartbeat(sess *session, hb *rpc.AgentHeartbeat) {
+	sess.mu.Lock()
+	sess.agentClockMS = hb.ClockMs
+	sess.lastHeartbeat = hb
+	sess.mu.Unlock()
 	for _, l := range s.listeners {
-		l.AgentHeartbeat(x.agent, hb)
+		l.AgentHeartbeat(sess.agent, hb)
 	}
-	s.sendBeat(x)
+	s.sendHeartbeat(sess)
 }
 
-func (s *Server) sendBeat(x *session) {
-	x.mu.Lock()
-	hb := &rpc.EntryHeartbeat{EchoClockMs: x.clockMS}
-	withEntries := x.beats%entriesEvery == 0
-	x.beats++
-	x.mu.Unlock()
-	s.beat.Fill(hb, x.agent.Zone, withEntries)
-	x.send(&rpc.EntryMessage{Body: &rpc.EntryMessage_Heartbeat{Heartbeat: hb}})
+func (s *Server) sendHeartbeat(sess *session) {
+	sess.mu.Lock()
+	hb := &rpc.EntryHeartbeat{EchoClockMs: sess.agentClockMS}
+	withEntries := sess.heartbeatsSent%entryListPeriod == 0
+	sess.heartbeatsSent++
+	sess.mu.Unlock()
+	s.heartbeats.Fill(hb, sess.agent.Zone, withEntries)
+	sess.enqueue(&rpc.EntryMessage{Body: &rpc.EntryMessage_Heartbeat{Heartbeat: hb}})
 }
 
-// send queues a message; a session whose queue is full is closed.
-func (x *session) send(m *rpc.EntryMessage) {
+// enqueue queues a message; a session whose queue is full is closed.
+func (sess *session) enqueue(m *rpc.EntryMessage) {
 	select {
-	case x.out <- m:
+	case sess.out <- m:
 	default:
-		x.cancel()
+		sess.cancel()
 	}
 }
 
-func (s *Server) current(x *session) bool {
+func (s *Server) isCurrent(sess *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sessions[x.agent.ID] == x
+	return s.sessions[sess.agent.ID] == sess
 }
 
-func (s *Server) add(x *session, groups []*rpc.GroupReport) error {
-	s.changes.Lock()
-	defer s.changes.Unlock()
+func (s *Server) addSession(sess *session, groups []*rpc.GroupReport) error {
+	s.sessionChangeMu.Lock()
+	defer s.sessionChangeMu.Unlock()
 	s.mu.Lock()
 	if s.closed || len(s.sessions) >= maxSessions {
 		s.mu.Unlock()
 		return status.Error(codes.ResourceExhausted, "entry takes no more links")
 	}
-	old := s.sessions[x.agent.ID]
-	s.sessions[x.agent.ID] = x
-	s.gauge()
+	old := s.sessions[sess.agent.ID]
+	s.sessions[sess.agent.ID] = sess
+	s.updateGauge()
 	s.mu.Unlock()
-	x.serial.Lock()
-	defer x.serial.Unlock()
+	sess.dispatchMu.Lock()
+	defer sess.dispatchMu.Unlock()
 	if old != nil {
 		old.cancel()
-		old.serial.Lock() // a call of the listeners may be in progress
-		defer old.serial.Unlock()
+		old.dispatchMu.Lock() // a call of the listeners may be in progress
+		defer old.dispatchMu.Unlock()
 		s.notifyDown(old)
 	}
-	s.log.Info().Str("agent", x.agent.ID).Str("zone", x.agent.Zone).Str("incarnation", x.agent.Incarnation).Msg("agent up")
+	s.log.Info().Str("agent", sess.agent.ID).Str("zone", sess.agent.Zone).Str("incarnation", sess.agent.Incarnation).Msg("agent up")
 	for _, l := range s.listeners {
-		l.AgentUp(x.agent, groups)
+		l.AgentUp(sess.agent, groups)
 	}
 	return nil
 }
 
-func (s *Server) remove(x *session) {
-	s.changes.Lock()
-	defer s.changes.Unlock()
+func (s *Server) removeSession(sess *session) {
+	s.sessionChangeMu.Lock()
+	defer s.sessionChangeMu.Unlock()
 	s.mu.Lock()
-	current := s.sessions[x.agent.ID] == x
+	current := s.sessions[sess.agent.ID] == sess
 	if current {
-		delete(s.sessions, x.agent.ID)
-		s.gauge()
+		delete(s.sessions, sess.agent.ID)
+		s.updateGauge()
 	}
 	s.mu.Unlock()
 	if !current {
 		return
 	}
-	x.serial.Lock()
-	defer x.serial.Unlock()
-	s.notifyDown(x)
+	sess.dispatchMu.Lock()
+	defer sess.dispatchMu.Unlock()
+	s.notifyDown(sess)
 }
 
-func (s *Server) notifyDown(x *session) {
-	s.log.Info().Str("agent", x.agent.ID).Msg("agent down")
+func (s *Server) notifyDown(sess *session) {
+	s.log.Info().Str("agent", sess.agent.ID).Msg("agent down")
 	metrics.GetOrRegisterCounter("links.lost", s.registry).Inc(1)
 	for _, l := range s.listeners {
-		l.AgentDown(x.agent)
+		l.AgentDown(sess.agent)
 	}
 }
 
-// gauge is called with mu held.
-func (s *Server) gauge() {
+// updateGauge is called with mu held.
+func (s *Server) updateGauge() {
 	metrics.GetOrRegisterGauge("links.up", s.registry).Update(int64(len(s.sessions)))
 }
 
@@ -282,31 +282,31 @@
 // message is built with the agent's newest clock stamp.
 func (s *Server) Send(agent string, build func(stampMS int64) *rpc.EntryMessage) bool {
 	s.mu.Lock()
-	x := s.sessions[agent]
+	sess := s.sessions[agent]
 	s.mu.Unlock()
-	if x == nil {
+	if sess == nil {
 		return false
 	}
-	x.mu.Lock()
-	stamp := x.clockMS
-	x.mu.Unlock()
-	x.send(build(stamp))
+	sess.mu.Lock()
+	stamp := sess.agentClockMS
+	sess.mu.Unlock()
+	sess.enqueue(build(stamp))
 	return true
 }
 
 // SendHeartbeats sends a heartbeat to all agents at once, after a change.
 func (s *Server) SendHeartbeats() {
-	for _, x := range s.list() {
-		s.sendBeat(x)
+	for _, sess := range s.sortedSessions() {
+		s.sendHeartbeat(sess)
 	}
 }
 
-func (s *Server) list() []*session {
+func (s *Server) sortedSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]*session, 0, len(s.sessions))
-	for _, x := range s.sessions {
-		out = append(out, x)
+	for _, sess := range s.sessions {
+		out = append(out, sess)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].agent.ID < out[j].agent.ID })
 	return out
@@ -321,10 +321,10 @@
 // Agents returns the linked agents in order of id.
 func (s *Server) Agents() []AgentStatus {
 	var out []AgentStatus
-	for _, x := range s.list() {
-		x.mu.Lock()
-		out = append(out, AgentStatus{x.agent, x.last})
-		x.mu.Unlock()
+	for _, sess := range s.sortedSessions() {
+		sess.mu.Lock()
+		out = append(out, AgentStatus{sess.agent, sess.lastHeartbeat})
+		sess.mu.Unlock()
 	}
 	return out
 }
@@ -334,8 +334,8 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	for _, x := range s.list() {
-		x.cancel()
+	for _, sess := range s.sortedSessions() {
+		sess.cancel()
 	}
 }
 
--- a/internal/entry/links/links_test.go
+++ b/internal/entry/links/links_test.go
@@ -17,37 +17,37 @@
 
 const testTimeout = 20 * time.Second
 
-type noBeat struct{}
+type emptyHeartbeats struct{}
 
-func (noBeat) Fill(*rpc.EntryHeartbeat, string, bool) {}
+func (emptyHeartbeats) Fill(*rpc.EntryHeartbeat, string, bool) {}
 
-// journal notes which incarnations came and went.
-type journal struct {
+// eventLog notes which incarnations came and went.
+type eventLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (j *journal) add(line string) {
+func (j *eventLog) add(line string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.lines = append(j.lines, line)
 }
 
-func (j *journal) list() []string {
+func (j *eventLog) list() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Clone(j.lines)
 }
 
-func (j *journal) AgentUp(a Agent, _ []*rpc.GroupReport)     { j.add("up " + a.Incarnation) }
-func (j *journal) AgentDown(a Agent)                         { j.add("down " + a.Incarnation) }
-func (j *journal) AgentHeartbeat(Agent, *rpc.AgentHeartbeat) {}
-func (j *journal) RequestResult(Agent, *rpc.RequestResult)   {}
-func (j *journal) GroupReport(Agent, *rpc.GroupReport)       {}
-func (j *journal) has(line string) bool                      { return slices.Contains(j.list(), line) }
+func (j *eventLog) AgentUp(a Agent, _ []*rpc.GroupReport)     { j.add("up " + a.Incarnation) }
+func (j *eventLog) AgentDown(a Agent)                         { j.add("down " + a.Incarnation) }
+func (j *eventLog) AgentHeartbeat(Agent, *rpc.AgentHeartbeat) {}
+func (j *eventLog) RequestResult(Agent, *rpc.RequestResult)   {}
+func (j *eventLog) GroupReport(Agent, *rpc.GroupReport)       {}
+func (j *eventLog) has(line string) bool                      { return slices.Contains(j.list(), line) }
 
-func newTestServer() (*Server, *journal) {
-	s, j := New(noBeat{}, metrics.NewRegistry(), zerolog.Nop()), &journal{}
+func newTestServer() (*Server, *eventLog) {
+	s, j := New(emptyHeartbeats{}, metrics.NewRegistry(), zerolog.Nop()), &eventLog{}
 	s.AddListener(j)
 	return s, j
 }
@@ -55,7 +55,7 @@
 func newTestSession(incarnation string) *session {
 	return &session{
 		agent:  Agent{ID: "a", Incarnation: incarnation},
-		out:    make(chan *rpc.EntryMessage, sessionQueue),
+		out:    make(chan *rpc.EntryMessage, sessionQueueSize),
 		cancel: func() {},
 	}
 }
@@ -71,20 +71,20 @@
 
 // The end of a lost session is still being passed on when the agent's next
 // session opens.
-func TestAgentIsUpAfterItsNextSessionOpened(t *testing.T) {
+func TestAgentStaysUpWhenNewSessionReplacesLostOne(t *testing.T) {
 	s, j := newTestServer()
 	old, next := newTestSession("1"), newTestSession("2")
-	if err := s.add(old, nil); err != nil {
+	if err := s.addSession(old, nil); err != nil {
 		t.Fatal(err)
 	}
-	old.serial.Lock() // a call of a listener is in progress
+	old.dispatchMu.Lock() // a call of a listener is in progress
 	var both sync.WaitGroup
-	both.Go(func() { s.remove(old) })
-	eventually(t, "the lost session is removed", func() bool { return !s.current(old) })
+	both.Go(func() { s.removeSession(old) })
+	eventually(t, "the lost session is removed", func() bool { return !s.isCurrent(old) })
 	added := make(chan struct{})
 	both.Go(func() {
 		defer close(added)
-		if err := s.add(next, nil); err != nil {
+		if err := s.addSession(next, nil); err != nil {
 			t.Error(err)
 		}
 	})
@@ -92,7 +92,7 @@
 	case <-added:
 	case <-time.After(100 * time.Millisecond):
 	}
-	old.serial.Unlock()
+	old.dispatchMu.Unlock()
 	both.Wait()
 	if got, want := j.list(), []string{"up 1", "down 1", "up 2"}; !slices.Equal(got, want) {
 		t.Fatalf("listeners heard %q, want %q", got, want)
@@ -101,7 +101,7 @@
 
 // An agent that sends and takes nothing any more, on a connection that stays
 // open, while more is queued for it than the transport takes.
-func TestSilentAgentIsDownAlthoughASendIsBlocked(t *testing.T) {
+func TestSilentAgentGoesDownWhileSendIsBlocked(t *testing.T) {
 	s, j := newTestServer()
 	address := serveLinks(t, s)
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
--- a/internal/entry/node/beat.go
+++ b/internal/entry/node/heartbeat.go
@@ -23,17 +23,17 @@
 }
 
 // Fill sets what the entry knows of its configuration, peers and owner.
-func (b *HeartbeatFiller) Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool) {
+func (f *HeartbeatFiller) Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool) {
 	// The permit is judged before the version is read, so that a permit never
 	// comes with a version older than the one it was judged on.
-	hb.Permit = b.Config.Permit()
-	config := b.Config.Current()
-	hb.EntryId = b.EntryID
+	hb.Permit = f.Config.Permit()
+	config := f.Config.Current()
+	hb.EntryId = f.EntryID
 	hb.ConfigVersion = config.Version
 	hb.ZoneOut = config.ZoneOut(zone)
-	hb.StoreDownEverywhere = b.Config.StoreDownEverywhere()
-	hb.OwnerEpoch = b.Owner.Current().Epoch
+	hb.StoreDownEverywhere = f.Config.StoreDownEverywhere()
+	hb.OwnerEpoch = f.Owner.Current().Epoch
 	if withEntries {
-		hb.Entries = b.Members.Entries()
+		hb.Entries = f.Members.Entries()
 	}
 }
--- a/internal/entry/node/notifier.go
+++ b/internal/entry/node/notifier.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	noticeTimeout = time.Second
-	noticeQueue   = 4096
+	noticeTimeout   = time.Second
+	noticeQueueSize = 4096
 )
 
 // Notifier tells the owner of the cell of changed job rows. A notice that gets
@@ -33,13 +33,13 @@
 // NewNotifier returns a notifier; local takes the notices while this entry
 // owns the cell.
 func NewNotifier(o *owner.Service, local JobNoticeHandler, registry metrics.Registry) *Notifier {
-	return &Notifier{owner: o, local: local, registry: registry, queue: make(chan string, noticeQueue)}
+	return &Notifier{owner: o, local: local, registry: registry, queue: make(chan string, noticeQueueSize)}
 }
 
 // Start begins to send.
 func (n *Notifier) Start(context.Context) error {
 	n.loops.Begin()
-	n.loops.Go(n.loop)
+	n.loops.Go(n.sendLoop)
 	return nil
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-func (n *Notifier) loop(ctx context.Context) {
+func (n *Notifier) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/entry/node/readiness.go
+++ b/internal/entry/node/readiness.go
@@ -10,8 +10,8 @@
 const (
 	// firstAgentGrace is how long a starting entry waits for the first agent.
 	firstAgentGrace = 1500 * time.Millisecond
-	// agentsGrace is how long it waits for as many agents as its peers have.
-	agentsGrace = 5 * time.Second
+	// peerAgentsGrace is how long it waits for as many agents as its peers have.
+	peerAgentsGrace = 5 * time.Second
 )
 
 // Readiness tells whether an entry can serve callers. One that has just
@@ -22,24 +22,24 @@
 	Status *Status
 	Clock  func() time.Duration
 
-	mu     sync.Mutex
-	since  time.Duration // of the first check
-	linked bool
+	mu           sync.Mutex
+	firstCheck   time.Duration // of the first check
+	agentsLinked bool
 }
 
 // Check returns nil when the entry is ready, or the reason why it is not.
 func (r *Readiness) Check() error {
-	if err := r.configured(); err != nil {
+	if err := r.checkConfig(); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.since == 0 {
-		r.since = r.Clock()
+	if r.firstCheck == 0 {
+		r.firstCheck = r.Clock()
 	}
 	have, want := len(r.Status.Links.Agents()), r.peerAgents()
-	r.linked = r.linked || enoughAgents(r.Clock()-r.since, have, want)
-	if !r.linked {
+	r.agentsLinked = r.agentsLinked || enoughAgents(r.Clock()-r.firstCheck, have, want)
+	if !r.agentsLinked {
 		return errors.Errorf("%d agents are linked; other entries have %d", have, want)
 	}
 	return nil
@@ -49,7 +49,7 @@
 // given time of waiting, when the peers have want.
 func enoughAgents(waited time.Duration, have, want int) bool {
 	switch {
-	case waited >= agentsGrace:
+	case waited >= peerAgentsGrace:
 		return true
 	case have == 0 && want == 0:
 		return waited >= firstAgentGrace
@@ -57,7 +57,7 @@
 	return have >= want
 }
 
-func (r *Readiness) configured() error {
+func (r *Readiness) checkConfig() error {
 	config := r.Status.Config
 	current, _, known := config.Snapshot()
 	switch {
--- a/internal/entry/node/rpcserver.go
+++ b/internal/entry/node/rpcserver.go
@@ -33,8 +33,8 @@
 	notices JobNoticeHandler
 	links   *links.Server
 
-	server *grpc.Server
-	served sync.WaitGroup
+	server  *grpc.Server
+	serving sync.WaitGroup
 }
 
 // NewRPCServer returns a server that does not listen yet.
@@ -54,9 +54,9 @@
 	rpc.RegisterAnnounceServer(s.server, s)
 	rpc.RegisterPeerServer(s.server, s)
 	rpc.RegisterLinkServer(s.server, s.links)
-	s.served.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer s.served.Done()
+		defer s.serving.Done()
 		// Serve returns an error only when the listener is closed.
 		_ = s.server.Serve(listener)
 	}()
@@ -68,7 +68,7 @@
 func (s *RPCServer) Stop(context.Context) error {
 	s.links.Close()
 	s.server.Stop()
-	s.served.Wait()
+	s.serving.Wait()
 	return nil
 }
 
--- a/internal/entry/node/status.go
+++ b/internal/entry/node/status.go
@@ -27,7 +27,7 @@
 		Process: s.EntryID, Role: "entry", Zone: s.Zone, Version: config.Version, AgeMS: age.Milliseconds(),
 	})
 	for _, r := range s.Members.Reports() {
-		out.Processes = append(out.Processes, peerLine(r))
+		out.Processes = append(out.Processes, peerProcessConfig(r))
 		out.Version = max(out.Version, r.State.GetConfigVersion())
 	}
 	for _, a := range s.Links.Agents() {
@@ -46,7 +46,7 @@
 	return out
 }
 
-func peerLine(r membership.PeerReport) api.ProcessConfig {
+func peerProcessConfig(r membership.PeerReport) api.ProcessConfig {
 	return api.ProcessConfig{
 		Process: r.State.GetEntryId(),
 		Role:    "entry",
