--- a/internal/entry/scheduler/guarantees.go
+++ b/internal/entry/scheduler/guarantees.go
@@ -9,18 +9,21 @@
 	"github.com/juju/errors"
 )
 
-// workerDiscoveryTime is how long after its start an entry may not know all workers yet.
+// workerDiscoveryTime bounds the time after an entry's start in which some
+// workers may not have linked yet.
 const workerDiscoveryTime = 15 * time.Second
 
-// ErrNotFeasible says that guaranteed shapes do not fit on the workers.
+// ErrNotFeasible means that the guaranteed shapes do not fit on the linked workers.
 const ErrNotFeasible = errors.ConstError("guarantees do not fit")
 
-// CheckGuarantees judges a configuration with an edited profile against the
-// workers that are linked. An error names the guaranteed shapes that do not
-// fit; a warning tells that they fit only while all zones are in. An edit that
-// leaves the profile's guarantee as it was is never refused, so that profiles
-// stay editable while workers are missing, nor is one refused by an entry that
-// has just started and may not know all workers.
+// CheckGuarantees checks whether the guarantees of an edited configuration fit
+// on the linked workers. The error names the guaranteed shapes that do not
+// fit; a warning says that they fit only while all zones are in service.
+//
+// Two kinds of edits get the problems as a warning instead of an error: those
+// that do not change the guarantee of the named profile, so that profiles stay
+// editable while workers are missing, and those checked within
+// workerDiscoveryTime of the entry's start.
 func (s *Service) CheckGuarantees(edited *api.Config, name string) (warning string, err error) {
 	workers := s.linkedWorkers()
 	if len(workers) == 0 {
--- a/internal/entry/scheduler/guarantees_test.go
+++ b/internal/entry/scheduler/guarantees_test.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// fixedConfig is a configuration that does not change.
+// fixedConfig is a ConfigSource whose configuration does not change.
 type fixedConfig struct{ config *api.Config }
 
 func (f fixedConfig) Current() *api.Config { return f.config }
--- a/internal/entry/scheduler/save_test.go
+++ b/internal/entry/scheduler/save_test.go
@@ -13,8 +13,9 @@
 	"github.com/rs/zerolog"
 )
 
-// lossyLedger applies the first commit after arm but loses its answer, and
-// is down for the given number of reads after that.
+// lossyLedger applies the next commit after loseNextReply is set but reports an
+// unknown outcome. Unless a reply is still to be lost, the next failingReads
+// reads fail.
 type lossyLedger struct {
 	ledger.Ledger
 	loseNextReply bool
@@ -38,6 +39,8 @@
 	return l.Ledger.Get(ctx, cause, keys...)
 }
 
+// The table applies a commit but the reply is lost, and the following reads
+// fail. The save must not be reported as not written, since the row exists.
 func TestSaveWithUnknownOutcomeIsRetriedUntilRead(t *testing.T) {
 	table := &lossyLedger{Ledger: ledger.New(standin.NewTable(), ledger.Config{})}
 	store := jobs.NewStore(table, "cell")
@@ -52,7 +55,7 @@
 	defer tm.end()
 	record.State, record.Attempt = api.JobRunning, 1
 	if _, err := tm.writeWithRetry(record); err != nil {
-		t.Errorf("the save ends with %v, although the row was written", err)
+		t.Errorf("save returned %v although the row was written", err)
 	}
 	if got, err := store.GetRecord(context.Background(), "j"); err != nil || got.Attempt != 1 {
 		t.Fatalf("row %+v, error %v", got, err)
@@ -65,6 +68,6 @@
 	tm := newTerm(s, 1, 0)
 	defer tm.end()
 	if _, err := tm.writeWithRetry(api.JobRecord{Job: api.Job{ID: "j"}, State: api.JobRunning}); !nothingWritten(err) {
-		t.Errorf("error %v of a save that was refused", err)
+		t.Errorf("error %v from a save of which nothing was written", err)
 	}
 }
--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler runs the scheduling core in the entry that owns the cell.
-// Each term of ownership has a core of its own, rebuilt from the table's rows
-// and the agents' reports.
+// Each term of ownership has its own core, which is rebuilt from the job rows
+// in the table and the reports of the worker agents.
 package scheduler
 
 import (
@@ -20,28 +20,29 @@
 )
 
 const (
-	// scanInterval is the time between two looks for active jobs that no
-	// notice has told of.
+	// scanInterval is the time between two scans for active jobs whose change
+	// notice was lost.
 	scanInterval = 2 * time.Second
 	scanTimeout  = 10 * time.Second
 	drainTimeout = 5 * time.Second
-	// maxReportsPerWorker bounds the reports kept for each worker.
+	// maxReportsPerWorker bounds the group reports stored for each worker.
 	maxReportsPerWorker = 256
 )
 
-// OwnershipSource tells whether this entry owns the cell now.
+// OwnershipSource reports whether this entry owns the cell.
 type OwnershipSource interface {
-	// Authority returns the present standing; see sched.Authority. StartAfter
-	// is the wait that the term begins with.
+	// Authority returns the current ownership, without StartAfter, and how long
+	// a term that starts now must wait before it starts jobs.
 	Authority() (sched.Ownership, time.Duration)
 }
 
-// ConfigSource is what the scheduler reads of the configuration.
+// ConfigSource returns the current configuration.
 type ConfigSource interface {
 	Current() *api.Config
 }
 
-// Service is the scheduling side of an entry.
+// Service runs the scheduler of an entry: a term while the entry owns the cell,
+// and the latest reports of the linked workers at all times.
 type Service struct {
 	owner    OwnershipSource
 	config   ConfigSource
@@ -53,7 +54,7 @@
 	created  time.Time
 
 	mu       sync.Mutex
-	term     *term // nil while another entry owns the cell
+	term     *term // nil while this entry does not own the cell
 	workers  map[string]*worker
 	draining bool
 
@@ -61,14 +62,14 @@
 	loops       kernel.Loops
 }
 
-// worker is a linked worker agent with the newest report of each group.
+// worker is a linked worker agent with the latest report of each group.
 type worker struct {
 	agent   links.Agent
 	status  sched.WorkerStatus
 	reports map[sched.GroupRef]sched.GroupReport
 }
 
-// New returns the service; it listens to srv from now on.
+// New returns a service and registers it as a listener of srv.
 func New(owner OwnershipSource, config ConfigSource, store *jobs.Store, waiters *jobs.Waiters, srv *links.Server, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
 		owner:       owner,
@@ -86,7 +87,7 @@
 	return s
 }
 
-// Start begins to watch the ownership of the cell.
+// Start starts the loops that follow the ownership of the cell and scan for jobs.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(sched.TickInterval, func(context.Context) { s.tick() })
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// Stop starts no more attempts and waits for the writes in progress. Running
-// gangs go on under the next owner.
+// Stop stops starting attempts, waits up to drainTimeout for pending saves and
+// ends the term. Running gangs continue under the next owner.
 func (s *Service) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// tick begins and ends terms and lets time pass in the core.
+// tick begins or ends a term as ownership changes and advances the core's time.
 func (s *Service) tick() {
 	authority, wait := s.owner.Authority()
 	s.mu.Lock()
@@ -135,7 +136,8 @@
 	s.term.step(authority, sched.ConfigUpdate{Config: s.config.Current()}, sched.Tick{})
 }
 
-// beginTerm is called with mu held; the rows are read without it.
+// beginTerm is called with mu held. The job rows are read in the background,
+// without mu.
 func (s *Service) beginTerm(a sched.Ownership, wait time.Duration) {
 	t := newTerm(s, a.Epoch, wait)
 	s.term = t
@@ -153,8 +155,8 @@
 	s.term = nil
 }
 
-// loadTerm reads the active jobs, then replays them and the workers' newest
-// reports into the core.
+// loadTerm reads the active jobs, then replays them and the workers' latest
+// reports into the core. It retries failed reads until the term ends.
 func (s *Service) loadTerm(ctx context.Context, t *term) {
 	for ctx.Err() == nil {
 		rows, err := s.readActive(ctx, t, ledger.CauseRecovery)
@@ -171,12 +173,13 @@
 			return
 		}
 		s.mu.Unlock()
-		s.log.Warn().Err(err).Msg("recovery reads failed")
+		s.log.Warn().Err(err).Msg("could not read the active jobs for recovery; retrying")
 		kernel.Sleep(ctx, scanInterval/4)
 	}
 }
 
-// readActive returns the rows of active jobs that are new or have changed.
+// readActive returns the rows of the active jobs that are new or have changed
+// since the previous call for this term.
 func (s *Service) readActive(ctx context.Context, t *term, cause ledger.Cause) ([]jobs.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
@@ -202,9 +205,9 @@
 	return out, nil
 }
 
-// replay is called with mu held. The standing comes first, since it decides
-// what becomes of the attempts that are found. Jobs come before the workers'
-// reports, so that no report names a job that the core does not know.
+// replay is called with mu held. Ownership is passed to the core first, since it
+// decides how the attempts found in the rows are handled. Jobs precede the
+// workers' reports, so that no report names a job unknown to the core.
 func (s *Service) replay(t *term, authority sched.Ownership, rows []jobs.Row) {
 	t.step(authority, sched.ConfigUpdate{Config: s.config.Current()})
 	for _, row := range rows {
@@ -257,15 +260,15 @@
 	}
 }
 
-// Notify tells the service that a job's row has changed. It returns false
-// when this entry does not own the cell.
+// Notify tells the service that a job's row has changed. It returns false if
+// this entry does not own the cell or has not recovered its term yet.
 func (s *Service) Notify(id string) bool {
 	if s.loadedTerm() == nil {
 		return false
 	}
 	select {
 	case s.changedJobs <- id:
-	default: // the next scan finds the job
+	default: // queue full; the next scan finds the job
 	}
 	return true
 }
@@ -281,7 +284,8 @@
 	}
 }
 
-// collectChangedJobs returns id and all others that wait behind it.
+// collectChangedJobs returns id and all ids queued behind it, so that one read
+// serves all of them.
 func (s *Service) collectChangedJobs(id string) []string {
 	ids := []string{id}
 	for {
@@ -312,7 +316,9 @@
 	s.submitRows(t, list)
 }
 
-// AddSubmitted takes in a job that this entry has just kept, without a read.
+// AddSubmitted passes a job that this entry has just stored to the core without
+// reading its row again. It returns false if this entry does not own the cell
+// or has not recovered its term yet.
 func (s *Service) AddSubmitted(record api.JobRecord) bool {
 	t := s.loadedTerm()
 	if t == nil {
@@ -327,8 +333,9 @@
 	return true
 }
 
-// NeverFits returns the reason why no worker could ever hold the job. An
-// entry that does not own the cell does not know and returns false.
+// NeverFits reports whether no known worker, rack or zone could ever hold the
+// job, and the reason. It returns false on an entry that does not own the cell,
+// since only the owner knows.
 func (s *Service) NeverFits(job api.Job) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -338,7 +345,7 @@
 	return s.term.core.NeverFits(job)
 }
 
-// DumpState returns the core's state while this entry owns the cell.
+// DumpState returns the state of the core if this entry owns the cell.
 func (s *Service) DumpState() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,7 +360,7 @@
 	}{true, s.term.epoch, s.term.loaded, s.term.core.Dump()}
 }
 
-// isPermanent reports whether an error of a save means that trying again cannot help.
+// isPermanent reports whether a save failed with an error that a retry cannot fix.
 func isPermanent(err error) bool {
 	return errors.Is(err, jobs.ErrStaleEpoch) || errors.Is(err, jobs.ErrJobFinal) || errors.Is(err, jobs.ErrJobNotFound)
 }
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -19,10 +19,11 @@
 const (
 	saveTimeout    = 5 * time.Second
 	saveRetryDelay = 200 * time.Millisecond
-	// maxConcurrentSaves bounds the writes in progress; further ones wait in order.
+	// maxConcurrentSaves bounds the jobs whose rows are written at one time;
+	// others wait.
 	maxConcurrentSaves = 256
-	// finishedRetention is how long the id of a final job is remembered; it is
-	// dropped later, once there are maxFinished of them.
+	// finishedRetention is the minimum time for which the id of a final job is
+	// remembered. Older ids are dropped once there are maxFinishedIDs.
 	finishedRetention = 4 * scanTimeout
 	maxFinishedIDs    = 4096
 )
@@ -35,7 +36,8 @@
 	startAfter time.Duration
 	core       *sched.Core
 	loaded     bool
-	// invalidated is set when a later owner's write was seen: the term must end.
+	// invalidated is set when a save found the row written by a later owner,
+	// already final or missing. The term must end.
 	invalidated bool
 
 	ctx       context.Context
@@ -43,10 +45,10 @@
 	saveSlots chan struct{}
 
 	mu             sync.Mutex
-	activeVersions map[string]uint64        // of the active rows that were looked at
-	unfinishedJobs map[string]api.Job       // of the jobs that are not final
-	finishedAt     map[string]time.Time     // when jobs of this term became final
-	pendingSaves   map[string][]pendingSave // by job, in order; the first is in progress
+	activeVersions map[string]uint64        // of the active rows at the last scan, by job
+	unfinishedJobs map[string]api.Job       // jobs of this term that are not final, by id
+	finishedAt     map[string]time.Time     // when jobs of this term became final, by id
+	pendingSaves   map[string][]pendingSave // by job id, in order; the first is in progress
 	saveLoops      sync.WaitGroup
 }
 
@@ -74,8 +76,8 @@
 
 func (t *term) now() time.Duration { return time.Since(t.started) }
 
-// changedJobIDs returns the ids of active rows that have not been looked at in
-// their present version.
+// changedJobIDs returns the ids of active rows whose version differs from the
+// last scan.
 func (t *term) changedJobIDs(active []jobs.ActiveJob) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +90,7 @@
 	return ids
 }
 
-// setActiveVersions notes the versions of all active rows and forgets those that are gone.
+// setActiveVersions replaces the recorded versions by those of the given rows.
 func (t *term) setActiveVersions(active []jobs.ActiveJob) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +100,9 @@
 	}
 }
 
-// submit passes a job's row to the core, which ignores one that it knows.
+// submit passes a job's row to the core if the job is new to this term, and its
+// cancellation if one is requested. Callers waiting for a final job are
+// notified.
 func (t *term) submit(record api.JobRecord) {
 	if record.State == api.JobFinal {
 		t.service.waiters.NotifyFinal(record)
@@ -116,10 +120,11 @@
 	}
 }
 
-// trackJob remembers a job and reports whether it was known or has become final.
+// trackJob records a job as unfinished. It reports whether the job was known
+// already, or finished in this term, in which case it is not recorded.
 //
 // Invariant: a job that became final in this term is never submitted again,
-// although a scan may have read its row before the final write.
+// even if a scan read its row before the final write.
 func (t *term) trackJob(job api.Job) (known, finished bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +136,7 @@
 	return known, false
 }
 
-// markFinal forgets the job's payload. Its id is kept for longer than any scan lasts.
+// markFinal drops the job and remembers its id for longer than any scan can take.
 func (t *term) markFinal(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +153,8 @@
 	}
 }
 
-// step is called with Service.mu held.
+// step passes events to the core and carries out the resulting actions. It is
+// called with Service.mu held.
 func (t *term) step(events ...sched.Event) {
 	for _, ev := range events {
 		for _, act := range t.core.Step(t.now(), ev) {
@@ -174,8 +180,8 @@
 	}
 }
 
-// sendIfOwner asks for the ownership at this very moment: the process may have
-// been paused since the core last heard of it.
+// sendIfOwner checks ownership again immediately before sending: the process
+// may have been paused since the core last received the ownership.
 func (t *term) sendIfOwner(worker string, build func(int64) *rpc.EntryMessage) {
 	a, _ := t.service.owner.Authority()
 	if !a.Owner || a.Epoch != t.epoch {
@@ -185,8 +191,8 @@
 	t.send(worker, build)
 }
 
-// send drops messages for workers that are not linked; the core's timeouts
-// and the workers' reports settle what becomes of them.
+// send drops messages to workers that are not linked. The core recovers through
+// its timeouts and the workers' reports.
 func (t *term) send(worker string, build func(int64) *rpc.EntryMessage) {
 	if !t.service.links.Send(worker, build) {
 		metrics.GetOrRegisterCounter("scheduler.unsent", t.service.registry).Inc(1)
@@ -246,7 +252,8 @@
 	t.service.log.Info().Str("job", act.JobID).Str("worker", act.Worker).Str("reason", string(act.Reason)).Str("detail", act.Detail).Msg("decision")
 }
 
-// enqueueSave queues a write; the writes of one job keep their order.
+// enqueueSave queues a write of a job's row. The writes of one job are done in
+// order.
 func (t *term) enqueueSave(record api.JobRecord) {
 	id := record.Job.ID
 	t.mu.Lock()
@@ -280,7 +287,8 @@
 	}
 }
 
-// saveRecord writes a record and tells the core what came of it.
+// saveRecord writes a record and passes the result to the core, or invalidates
+// the term if the row cannot be written by this owner any more.
 func (t *term) saveRecord(record api.JobRecord) {
 	written, err := t.writeWithRetry(record)
 	switch {
@@ -293,9 +301,10 @@
 	}
 }
 
-// writeWithRetry tries until the writeWithRetry is known to have taken effect, to be impossible,
-// or the term is over. A record that is not final is given up when nothing was
-// written, unless an earlier try may still take effect.
+// writeWithRetry retries until the write is known to have taken effect, fails
+// permanently, or the term ends. For a record that is not final it returns an
+// error as soon as nothing was written, unless the outcome of an earlier try is
+// unknown: that one may still take effect.
 func (t *term) writeWithRetry(record api.JobRecord) (api.JobRecord, error) {
 	outcomeUnknown := false
 	for t.ctx.Err() == nil {
@@ -315,6 +324,7 @@
 	return record, t.ctx.Err()
 }
 
+// nothingWritten reports whether an error guarantees that the write had no effect.
 func nothingWritten(err error) bool {
 	return errors.Is(err, ledger.ErrDown) || errors.Is(err, ledger.ErrOverloaded)
 }
@@ -336,15 +346,16 @@
 	s.waiters.NotifyFinal(record)
 }
 
-// invalidate ends the term, so that a new one reads the rows again.
+// invalidate makes the next tick end the term, so that a new term reads the rows
+// again.
 func (t *term) invalidate(err error) {
-	t.service.log.Warn().Err(err).Uint64("epoch", t.epoch).Msg("row belongs to a later term")
+	t.service.log.Warn().Err(err).Uint64("epoch", t.epoch).Msg("job row was changed by another owner; ending the term")
 	t.service.mu.Lock()
 	defer t.service.mu.Unlock()
 	t.invalidated = true
 }
 
-// waitForSaves returns when no write is in progress or ctx has ended.
+// waitForSaves returns when no save is pending or ctx has ended.
 func (t *term) waitForSaves(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/internal/entry/scheduler/workers.go
+++ b/internal/entry/scheduler/workers.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// AgentUp takes in a linked worker agent and what it runs.
+// AgentUp adds a linked worker agent with the groups that it reports.
 func (s *Service) AgentUp(a links.Agent, groups []*rpc.GroupReport) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_WORKER {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// AgentDown takes in the loss of a link.
+// AgentDown removes a worker agent whose link is lost.
 func (s *Service) AgentDown(a links.Agent) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_WORKER {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// AgentHeartbeat takes in a worker agent's state.
+// AgentHeartbeat updates a worker agent's status.
 func (s *Service) AgentHeartbeat(a links.Agent, hb *rpc.AgentHeartbeat) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_WORKER {
 		return
@@ -84,11 +84,12 @@
 	}
 }
 
-// RequestResult is not for the scheduler.
+// RequestResult ignores the results of requests, which the scheduler does not use.
 func (s *Service) RequestResult(links.Agent, *rpc.RequestResult) {}
 
-// GroupReport takes in a worker agent's report. Entries that do not own the
-// cell keep the newest one, for the case that they become the owner.
+// GroupReport stores a worker agent's report and passes it to the core. Entries
+// that do not own the cell store the latest one too, since they may become the
+// owner.
 func (s *Service) GroupReport(a links.Agent, g *rpc.GroupReport) {
 	report := toGroupReport(a.ID, g)
 	s.mu.Lock()
@@ -103,8 +104,8 @@
 	}
 }
 
-// storeReport notes the newest report of a group. Groups of which the agent holds
-// nothing any more are dropped.
+// storeReport stores the latest report of a group. It drops groups for which the
+// agent no longer holds anything.
 func (w *worker) storeReport(r sched.GroupReport) {
 	ref := sched.GroupRef{JobID: r.JobID, Attempt: r.Attempt}
 	switch r.State {
@@ -118,7 +119,8 @@
 	w.reports[ref] = r
 }
 
-// dropFinalReport makes room; the agent repeats final reports on its next link.
+// dropFinalReport drops one report of a group that has ended, to make room. The
+// agent repeats such reports on its next link.
 func (w *worker) dropFinalReport() {
 	for _, ref := range sortedRefs(w.reports) {
 		switch w.reports[ref].State {
