--- a/internal/entry/jobs/retention.go
+++ b/internal/entry/jobs/retention.go
@@ -8,11 +8,11 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/entry/retention"
 )
 
-// finalJobRetention is how long a final job, with its answer and its idempotency key,
-// is remembered.
+// finalJobRetention is how long a final job is kept, with its result and its
+// idempotency key.
 const finalJobRetention = 7 * 24 * time.Hour
 
-// Retention removes final jobs after finalKeep.
+// Retention returns the rule that deletes final jobs after finalJobRetention.
 func Retention() retention.Rule {
 	return retention.Rule{
 		Name:   "jobs",
--- a/internal/entry/jobs/store.go
+++ b/internal/entry/jobs/store.go
@@ -1,9 +1,9 @@
-// Package jobs keeps job rows in the platform's table and answers callers that
-// wait for them.
+// Package jobs stores job rows in the platform's table and notifies callers that
+// wait for jobs to become final.
 //
-// Each job has a row job/<id> with its record and, until it is final, a row
-// active/<cell>/<id> in the same transactions, so that a new owner of the cell
-// finds all jobs that it is responsible for with one scan.
+// Each job has a row job/<id> with its record. Until it is final it also has a
+// row active/<cell>/<id>, created and deleted in the same transactions, so that
+// a new owner of the cell finds all of its jobs with one scan.
 package jobs
 
 import (
@@ -31,12 +31,12 @@
 	ErrJobNotFound = errors.ConstError("job does not exist")
 	ErrKeyReused   = errors.ConstError("idempotency key belongs to a different job")
 	ErrJobFinal    = errors.ConstError("job is final")
-	// ErrStaleEpoch says that an owner with a higher epoch has written the row.
+	// ErrStaleEpoch means that an owner with a higher epoch has written the row.
 	ErrStaleEpoch = errors.ConstError("row was written by a later owner")
 )
 
-// Row is the table's row of a job. Epoch is that of the owner who wrote it
-// last; 0 before the first owner did.
+// Row is a job's row in the table. Epoch is the epoch of the owner that wrote
+// the row last, or 0 if none has.
 type Row struct {
 	Cell   string        `json:"cell"`
 	Epoch  uint64        `json:"epoch"`
@@ -46,8 +46,8 @@
 	version uint64
 }
 
-// ActiveJob is the row that marks a job as not final. Each write of it tells the
-// owner to look at the job again.
+// ActiveJob identifies the row that marks a job as not final. A new version of
+// the row tells the owner to read the job again.
 type ActiveJob struct {
 	ID      string
 	Version uint64
@@ -59,11 +59,10 @@
 	cell   string
 }
 
-// NewStore returns a store for the jobs of a cell.
 func NewStore(l ledger.Ledger, cell string) *Store { return &Store{ledger: l, cell: cell} }
 
-// JobID returns the id of a job. The same key of the same client account
-// always gives the same id, through any entry.
+// JobID returns the id of a new job. The same idempotency key of the same client
+// account gives the same id on every entry; without a key the id is random.
 func JobID(account, key string) string {
 	if key == "" {
 		return "j-" + uuid.NewString()
@@ -74,8 +73,9 @@
 
 func (s *Store) activeKey(id string) string { return activePrefix + s.cell + "/" + id }
 
-// Create keeps a new job. With an id that exists already the existing record
-// is returned, or ErrKeyReused when the job differs.
+// Create stores a new job and returns its record and true. If the id exists
+// already, it returns the existing record and false, or ErrKeyReused if that job
+// differs.
 func (s *Store) Create(ctx context.Context, job api.Job) (api.JobRecord, bool, error) {
 	row := Row{
 		Cell:   s.cell,
@@ -101,14 +101,16 @@
 	return existing.Record, false, nil
 }
 
-// jobDigest covers what the caller submitted, not when.
+// jobDigest returns a digest of a job without its submission time, so that a
+// repeated submission gives the same digest.
 func jobDigest(job api.Job) string {
 	job.Submitted = time.Time{}
 	sum := sha256.Sum256(ledger.Encode(job))
 	return hex.EncodeToString(sum[:8])
 }
 
-// GetRows returns the rows of the jobs that exist, by id.
+// GetRows returns the rows of the given jobs by id; jobs that do not exist are
+// left out.
 func (s *Store) GetRows(ctx context.Context, cause ledger.Cause, ids ...string) (map[string]Row, error) {
 	out := map[string]Row{}
 	for len(ids) > 0 {
@@ -136,7 +138,7 @@
 	return out, nil
 }
 
-// GetRecord returns the record of one job.
+// GetRecord returns the record of a job, or ErrJobNotFound.
 func (s *Store) GetRecord(ctx context.Context, id string) (api.JobRecord, error) {
 	rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 	if err != nil {
@@ -149,7 +151,8 @@
 	return row.Record, nil
 }
 
-// ListRecords returns up to limit records with ids above after.
+// ListRecords returns up to limit records with ids greater than after, in order
+// of id.
 func (s *Store) ListRecords(ctx context.Context, after string, limit int) ([]api.JobRecord, error) {
 	from := ""
 	if after != "" {
@@ -170,7 +173,7 @@
 	return out, nil
 }
 
-// ListActive returns the marks of all jobs of the cell that are not final.
+// ListActive returns all jobs of the cell that are not final.
 func (s *Store) ListActive(ctx context.Context, cause ledger.Cause) ([]ActiveJob, error) {
 	prefix := activePrefix + s.cell + "/"
 	var out []ActiveJob
@@ -190,8 +193,8 @@
 	}
 }
 
-// RequestCancel marks a job for its end. It returns the record as it stands; a
-// final one is returned unchanged with ErrFinal.
+// RequestCancel records the request to cancel a job and returns the job's
+// record. A final record is returned unchanged with ErrJobFinal.
 func (s *Store) RequestCancel(ctx context.Context, id string) (api.JobRecord, error) {
 	for {
 		rows, err := s.GetRows(ctx, ledger.CauseJob, id)
@@ -228,8 +231,8 @@
 }
 
 // Save writes a record for the owner with the given epoch. A cancellation
-// that came in between is kept. ErrEpoch and ErrFinal mean that another owner
-// has gone on with the job; nothing was written then.
+// requested in the meantime is kept. ErrStaleEpoch and ErrJobFinal mean that
+// another owner has taken over the job; nothing was written in that case.
 func (s *Store) Save(ctx context.Context, epoch uint64, record api.JobRecord) (Row, error) {
 	id := record.Job.ID
 	for {
--- a/internal/entry/jobs/waiters.go
+++ b/internal/entry/jobs/waiters.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// pollInterval is the time between two reads of all jobs that callers
-	// wait for; one read serves all of them.
+	// pollInterval is the time between two reads of the jobs that callers wait
+	// for. One read covers all of them.
 	pollInterval = 300 * time.Millisecond
 	pollTimeout  = 2 * time.Second
 	maxWaiters   = 20000
 )
 
-// ErrTooManyWaiters says that the entry holds as many waiting callers as it may.
+// ErrTooManyWaiters means that the entry has reached its limit of waiting callers.
 const ErrTooManyWaiters = errors.ConstError("too many callers wait for jobs")
 
-// Waiters lets callers wait for the end of jobs.
+// Waiters lets callers wait until jobs are final.
 type Waiters struct {
 	store *Store
 
@@ -32,19 +32,18 @@
 	loops   kernel.Loops
 }
 
-// NewWaiters returns a service over the store.
 func NewWaiters(s *Store) *Waiters {
 	return &Waiters{store: s, waiting: map[string][]chan api.JobRecord{}}
 }
 
-// Start begins to watch.
+// Start starts polling the store for the jobs that callers wait for.
 func (w *Waiters) Start(context.Context) error {
 	w.loops.Begin()
 	w.loops.Every(pollInterval, w.poll)
 	return nil
 }
 
-// Stop ends the watch; callers still waiting run into their own timeouts.
+// Stop stops polling. Callers that still wait run into their own timeouts.
 func (w *Waiters) Stop(context.Context) error {
 	w.loops.End()
 	return nil
@@ -76,7 +75,8 @@
 	return out
 }
 
-// NotifyFinal hands a final record to those who wait for it.
+// NotifyFinal passes a record to the callers that wait for its job. It ignores
+// records that are not final.
 func (w *Waiters) NotifyFinal(record api.JobRecord) {
 	if record.State != api.JobFinal {
 		return
@@ -90,7 +90,8 @@
 	delete(w.waiting, record.Job.ID)
 }
 
-// Wait returns the job's record once it is final or ctx has ended.
+// Wait returns the job's record once it is final, or the error of ctx once that
+// has ended.
 func (w *Waiters) Wait(ctx context.Context, id string) (api.JobRecord, error) {
 	ch := make(chan api.JobRecord, 1)
 	w.mu.Lock()
--- a/internal/entry/links/links.go
+++ b/internal/entry/links/links.go
@@ -1,5 +1,5 @@
-// Package links serves the entry's side of the links with agents. It keeps
-// the newest session of each agent and passes what agents say to listeners.
+// Package links serves the entry's side of the links with agents. It holds the
+// latest session of each agent and passes the agents' messages to listeners.
 package links
 
 import (
@@ -17,17 +17,17 @@
 )
 
 const (
-	// idleTimeout is how long a session may stay without a heartbeat before
-	// it is closed.
+	// idleTimeout is how long a session may go without a message from its agent
+	// before it is closed. Agents send at least their heartbeats.
 	idleTimeout      = 1500 * time.Millisecond
 	sessionQueueSize = 8192 // messages
 	maxSessions      = 20000
-	// entryListPeriod is the number of heartbeats after which the list of entries
-	// is sent again; it is also sent with the first one.
+	// entryListPeriod is the number of heartbeats per sending of the list of
+	// entries, which starts with the first heartbeat of a session.
 	entryListPeriod = 10
 )
 
-// Agent describes an announced agent.
+// Agent describes an agent as announced in its hello message.
 type Agent struct {
 	ID          string
 	Incarnation string
@@ -39,8 +39,8 @@
 	Capacity    api.Resources
 }
 
-// Listener takes in what agents say. Calls for one agent come one at a time,
-// and none comes from a session that has been replaced.
+// Listener receives the messages of agents. Calls for one agent are serialized,
+// and none is made for a session that has been replaced.
 type Listener interface {
 	AgentUp(a Agent, groups []*rpc.GroupReport)
 	AgentDown(a Agent)
@@ -49,9 +49,11 @@
 	GroupReport(a Agent, g *rpc.GroupReport)
 }
 
-// HeartbeatFiller is the part of a heartbeat that is the same for all agents of a zone.
+// HeartbeatFiller fills in the part of a heartbeat that is the same for all
+// agents of a zone.
 type HeartbeatFiller interface {
-	// Fill sets what the entry knows of its configuration, peers and owner.
+	// Fill sets the fields on the entry's configuration, its peers and the
+	// owner of the cell. The list of entries is set only if withEntries is true.
 	Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool)
 }
 
@@ -68,7 +70,7 @@
 	lastHeartbeat  *rpc.AgentHeartbeat
 }
 
-// Server is the Link service.
+// Server implements the Link gRPC service.
 type Server struct {
 	rpc.UnimplementedLinkServer
 	heartbeats HeartbeatFiller
@@ -76,9 +78,9 @@
 	registry   metrics.Registry
 	log        zerolog.Logger
 
-	// sessionChangeMu is held while a session comes or goes and the listeners hear of
-	// it, so that they hear of an agent's sessions in their order. It is taken
-	// before the locks of sessions.
+	// sessionChangeMu is held while a session is added or removed and the
+	// listeners are notified, so that they are notified of an agent's sessions
+	// in order. It is locked before any dispatchMu.
 	sessionChangeMu sync.Mutex
 
 	mu       sync.Mutex
@@ -86,15 +88,16 @@
 	closed   bool
 }
 
-// New returns a server that answers heartbeats with what beat fills in.
+// New returns a server that replies to heartbeats with those that heartbeats
+// fills in.
 func New(heartbeats HeartbeatFiller, registry metrics.Registry, log zerolog.Logger) *Server {
 	return &Server{heartbeats: heartbeats, registry: registry, log: log, sessions: map[string]*session{}}
 }
 
-// AddListener adds a listener; it must be called before the server serves.
+// AddListener adds a listener. It must be called before the server serves.
 func (s *Server) AddListener(l Listener) { s.listeners = append(s.listeners, l) }
 
-// Open serves one link until it is lost, silent or replaced.
+// Open serves one link until it is lost, idle for idleTimeout, or replaced.
 func (s *Server) Open(stream rpc.Link_OpenServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -130,8 +133,8 @@
 	}
 }
 
-// sendLoop writes queued messages until ctx ends. A write may wait for a peer that
-// takes nothing any more; the return of Open ends it.
+// sendLoop writes queued messages until ctx ends. A write may block on a peer
+// that has stopped reading; it is unblocked when Open returns.
 func sendLoop(ctx context.Context, stream rpc.Link_OpenServer, sess *session) {
 	defer sess.cancel()
 	for {
@@ -162,7 +165,8 @@
 	}
 }
 
-// dispatch passes a message on; false means that the session was replaced.
+// dispatch passes a message to the listeners. It returns false if the session
+// has been replaced.
 func (s *Server) dispatch(sess *session, m *rpc.AgentMessage) bool {
 	sess.dispatchMu.Lock()
 	defer sess.dispatchMu.Unlock()
@@ -205,7 +209,7 @@
 	sess.enqueue(&rpc.EntryMessage{Body: &rpc.EntryMessage_Heartbeat{Heartbeat: hb}})
 }
 
-// enqueue queues a message; a session whose queue is full is closed.
+// enqueue queues a message. If the queue is full, it closes the session.
 func (sess *session) enqueue(m *rpc.EntryMessage) {
 	select {
 	case sess.out <- m:
@@ -273,13 +277,13 @@
 	}
 }
 
-// updateGauge is called with mu held.
+// updateGauge sets the gauge of linked agents. It is called with mu held.
 func (s *Server) updateGauge() {
 	metrics.GetOrRegisterGauge("links.up", s.registry).Update(int64(len(s.sessions)))
 }
 
-// Send queues a message for an agent and reports whether it is linked. The
-// message is built with the agent's newest clock stamp.
+// Send queues a message for an agent and reports whether the agent is linked.
+// build receives the clock value of the agent's latest heartbeat, in ms.
 func (s *Server) Send(agent string, build func(stampMS int64) *rpc.EntryMessage) bool {
 	s.mu.Lock()
 	sess := s.sessions[agent]
@@ -294,13 +298,15 @@
 	return true
 }
 
-// SendHeartbeats sends a heartbeat to all agents at once, after a change.
+// SendHeartbeats sends a heartbeat to all agents without waiting for theirs, so
+// that a change reaches them at once.
 func (s *Server) SendHeartbeats() {
 	for _, sess := range s.sortedSessions() {
 		s.sendHeartbeat(sess)
 	}
 }
 
+// sortedSessions returns the sessions in order of agent id.
 func (s *Server) sortedSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -312,7 +318,8 @@
 	return out
 }
 
-// AgentStatus is an agent with its last heartbeat, which may be nil.
+// AgentStatus is an agent with its latest heartbeat, which is nil before the
+// first one.
 type AgentStatus struct {
 	Agent     Agent
 	Heartbeat *rpc.AgentHeartbeat
@@ -329,7 +336,7 @@
 	return out
 }
 
-// Close ends all links and refuses new ones.
+// Close closes all links and refuses new ones.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/entry/links/links_test.go
+++ b/internal/entry/links/links_test.go
@@ -21,7 +21,7 @@
 
 func (emptyHeartbeats) Fill(*rpc.EntryHeartbeat, string, bool) {}
 
-// eventLog notes which incarnations came and went.
+// eventLog is a listener that records the incarnations that go up and down.
 type eventLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -69,8 +69,9 @@
 	}
 }
 
-// The end of a lost session is still being passed on when the agent's next
-// session opens.
+// The agent opens its next session while the listeners are still being notified
+// of the loss of the previous one. If the notifications were reordered, the
+// agent would be down although it is linked.
 func TestAgentStaysUpWhenNewSessionReplacesLostOne(t *testing.T) {
 	s, j := newTestServer()
 	old, next := newTestSession("1"), newTestSession("2")
@@ -95,12 +96,13 @@
 	old.dispatchMu.Unlock()
 	both.Wait()
 	if got, want := j.list(), []string{"up 1", "down 1", "up 2"}; !slices.Equal(got, want) {
-		t.Fatalf("listeners heard %q, want %q", got, want)
+		t.Fatalf("listeners were notified of %q, want %q", got, want)
 	}
 }
 
-// An agent that sends and takes nothing any more, on a connection that stays
-// open, while more is queued for it than the transport takes.
+// An agent stops sending and reading on a connection that stays open, while more
+// is queued for it than the transport buffers. The blocked send must not keep the
+// session open.
 func TestSilentAgentGoesDownWhileSendIsBlocked(t *testing.T) {
 	s, j := newTestServer()
 	address := serveLinks(t, s)
--- a/internal/entry/node/heartbeat.go
+++ b/internal/entry/node/heartbeat.go
@@ -1,6 +1,6 @@
-// Package node joins the services of an entry: what its heartbeats say, the
-// gRPC services that agents and other entries call, and the status over all
-// processes.
+// Package node connects the services of an entry: the content of its heartbeats,
+// the gRPC services that agents and other entries call, its readiness, and the
+// configuration status of all processes.
 package node
 
 import (
@@ -9,12 +9,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// Members is what an entry knows of all entries, itself included.
+// Members lists the live entries, this one included.
 type Members interface {
 	Entries() []*rpc.EntryAddress
 }
 
-// HeartbeatFiller fills in the entry's heartbeats.
+// HeartbeatFiller fills in the heartbeats that the entry sends to agents.
 type HeartbeatFiller struct {
 	EntryID string
 	Config  confstate.Store
@@ -22,10 +22,10 @@
 	Owner   *owner.Service
 }
 
-// Fill sets what the entry knows of its configuration, peers and owner.
+// Fill implements links.HeartbeatFiller.
 func (f *HeartbeatFiller) Fill(hb *rpc.EntryHeartbeat, zone string, withEntries bool) {
-	// The permit is judged before the version is read, so that a permit never
-	// comes with a version older than the one it was judged on.
+	// The permit is computed before the configuration is read, so that it is
+	// never sent with a version older than the one it was computed from.
 	hb.Permit = f.Config.Permit()
 	config := f.Config.Current()
 	hb.EntryId = f.EntryID
--- a/internal/entry/node/notifier.go
+++ b/internal/entry/node/notifier.go
@@ -16,8 +16,8 @@
 	noticeQueueSize = 4096
 )
 
-// Notifier tells the owner of the cell of changed job rows. A notice that gets
-// lost costs only time: the owner scans the active jobs regularly.
+// Notifier notifies the owner of the cell of changed job rows. A lost notice only
+// delays the job, since the owner scans the active jobs periodically.
 type Notifier struct {
 	owner    *owner.Service
 	local    JobNoticeHandler
@@ -30,27 +30,28 @@
 	conn    *grpc.ClientConn
 }
 
-// NewNotifier returns a notifier; local takes the notices while this entry
-// owns the cell.
+// NewNotifier returns a notifier. local handles the notices while this entry owns
+// the cell.
 func NewNotifier(o *owner.Service, local JobNoticeHandler, registry metrics.Registry) *Notifier {
 	return &Notifier{owner: o, local: local, registry: registry, queue: make(chan string, noticeQueueSize)}
 }
 
-// Start begins to send.
+// Start starts sending queued notices.
 func (n *Notifier) Start(context.Context) error {
 	n.loops.Begin()
 	n.loops.Go(n.sendLoop)
 	return nil
 }
 
-// Stop ends the sending.
+// Stop stops sending and closes the connection to the owner.
 func (n *Notifier) Stop(context.Context) error {
 	n.loops.End()
 	n.disconnect()
 	return nil
 }
 
-// JobChanged queues a notice. It never blocks.
+// JobChanged passes a notice to the local handler or queues it for the owner. It
+// never blocks: if the queue is full, the notice is dropped.
 func (n *Notifier) JobChanged(id string) {
 	if n.local.Notify(id) {
 		return
--- a/internal/entry/node/ownership.go
+++ b/internal/entry/node/ownership.go
@@ -7,7 +7,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched"
 )
 
-// Ownership gives the scheduler its standing as owner of the cell.
+// Ownership reports whether this entry owns the cell, for the scheduler and for
+// the removal of expired rows.
 type Ownership struct {
 	Owner *owner.Service
 	Clock func() time.Duration
@@ -19,8 +20,8 @@
 	return a.Owner && !a.StoreDown
 }
 
-// Authority returns the present standing and how long from now the earlier
-// owner's permissions may still be in use.
+// Authority returns the current ownership, without StartAfter, and for how long
+// from now the previous owner's permissions may still be in use.
 func (o Ownership) Authority() (sched.Ownership, time.Duration) {
 	a := o.Owner.Current()
 	wait := max(0, a.StartAfter-o.Clock())
--- a/internal/entry/node/readiness.go
+++ b/internal/entry/node/readiness.go
@@ -8,26 +8,28 @@
 )
 
 const (
-	// firstAgentGrace is how long a starting entry waits for the first agent.
+	// firstAgentGrace is how long a starting entry waits for a first agent when
+	// no other entry has agents either.
 	firstAgentGrace = 1500 * time.Millisecond
-	// peerAgentsGrace is how long it waits for as many agents as its peers have.
+	// peerAgentsGrace is how long a starting entry waits for as many agents as
+	// the other entry with the most agents has.
 	peerAgentsGrace = 5 * time.Second
 )
 
-// Readiness tells whether an entry can serve callers. One that has just
-// started is not ready before agents are linked: it would refuse requests that
-// other entries can serve. Once ready, an entry stays so as far as agents are
-// concerned, so that their failures don't take all entries out.
+// Readiness reports whether an entry can serve callers. An entry that has just
+// started is not ready until agents are linked, since it would refuse requests
+// that other entries can serve. Once enough agents have been linked, their number
+// no longer matters, so that failures of agents cannot make all entries unready.
 type Readiness struct {
 	Status *Status
 	Clock  func() time.Duration
 
 	mu           sync.Mutex
-	firstCheck   time.Duration // of the first check
+	firstCheck   time.Duration // time on Clock; 0 before the first check
 	agentsLinked bool
 }
 
-// Check returns nil when the entry is ready, or the reason why it is not.
+// Check returns nil if the entry is ready, or the reason why it is not.
 func (r *Readiness) Check() error {
 	if err := r.checkConfig(); err != nil {
 		return err
@@ -45,8 +47,8 @@
 	return nil
 }
 
-// enoughAgents reports whether the number of linked agents will do after the
-// given time of waiting, when the peers have want.
+// enoughAgents reports whether have linked agents are enough after the given
+// waiting time, when the other entries have up to want.
 func enoughAgents(waited time.Duration, have, want int) bool {
 	switch {
 	case waited >= peerAgentsGrace:
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// peerAgents returns the most agents that any other entry has linked.
+// peerAgents returns the largest number of agents linked to any other entry.
 func (r *Readiness) peerAgents() int {
 	most := 0
 	for _, report := range r.Status.Members.Reports() {
--- a/internal/entry/node/rpcserver.go
+++ b/internal/entry/node/rpcserver.go
@@ -11,13 +11,13 @@
 	"google.golang.org/grpc"
 )
 
-// ExchangeHandler answers the other entries.
+// ExchangeHandler handles the state of another entry and returns this entry's.
 type ExchangeHandler interface {
 	HandleExchange(*rpc.PeerState) *rpc.PeerState
 }
 
-// JobNoticeHandler takes in notices of changed job rows; false means that this entry
-// does not own the cell.
+// JobNoticeHandler handles notices of changed job rows. Notify returns false if
+// this entry does not own the cell.
 type JobNoticeHandler interface {
 	Notify(id string) bool
 }
@@ -37,12 +37,12 @@
 	serving sync.WaitGroup
 }
 
-// NewRPCServer returns a server that does not listen yet.
+// NewRPCServer returns a server that listens once it is started.
 func NewRPCServer(address string, members Members, peers ExchangeHandler, notices JobNoticeHandler, l *links.Server) *RPCServer {
 	return &RPCServer{address: address, members: members, peers: peers, notices: notices, links: l}
 }
 
-// Start listens and serves.
+// Start opens the listener and serves it in the background.
 func (s *RPCServer) Start(context.Context) error {
 	listener, err := net.Listen("tcp", s.address)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Stop closes the links and the listener. It comes after the services that
-// need links have finished their work.
+// Stop closes the links and the listener. It must be called after the services
+// that use the links have stopped.
 func (s *RPCServer) Stop(context.Context) error {
 	s.links.Close()
 	s.server.Stop()
@@ -72,17 +72,17 @@
 	return nil
 }
 
-// Entries lists the live entries for an agent that came through the balancer.
+// Entries lists the live entries for an agent that connected through the balancer.
 func (s *RPCServer) Entries(context.Context, *rpc.EntriesRequest) (*rpc.EntriesReply, error) {
 	return &rpc.EntriesReply{Entries: s.members.Entries()}, nil
 }
 
-// Exchange swaps states with another entry.
+// Exchange takes the state of another entry and returns this entry's.
 func (s *RPCServer) Exchange(_ context.Context, state *rpc.PeerState) (*rpc.PeerState, error) {
 	return s.peers.HandleExchange(state), nil
 }
 
-// Notify takes in the notice of a changed job row.
+// Notify handles another entry's notice of a changed job row.
 func (s *RPCServer) Notify(_ context.Context, n *rpc.JobNotice) (*rpc.JobNoticeReply, error) {
 	return &rpc.JobNoticeReply{Accepted: s.notices.Notify(n.JobId)}, nil
 }
--- a/internal/entry/node/status.go
+++ b/internal/entry/node/status.go
@@ -9,8 +9,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/membership"
 )
 
-// Status tells which process has which configuration in force. Each agent is
-// linked to every entry, so one entry knows all processes.
+// Status reports the configuration version of each process. Each agent is linked
+// to every entry, so one entry knows all processes.
 type Status struct {
 	EntryID string
 	Zone    string
@@ -19,7 +19,8 @@
 	Links   *links.Server
 }
 
-// ConfigStatus returns the status of all processes that this entry hears.
+// ConfigStatus returns the status of this entry, its live peers and the agents
+// linked to it.
 func (s *Status) ConfigStatus() api.ConfigStatus {
 	config, age, _ := s.Config.Snapshot()
 	out := api.ConfigStatus{Version: config.Version}
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -349,7 +349,7 @@
 // invalidate makes the next tick end the term, so that a new term reads the rows
 // again.
 func (t *term) invalidate(err error) {
-	t.service.log.Warn().Err(err).Uint64("epoch", t.epoch).Msg("job row was changed by another owner; ending the term")
+	t.service.log.Warn().Err(err).Uint64("epoch", t.epoch).Msg("job row can no longer be written in this term; ending the term")
 	t.service.mu.Lock()
 	defer t.service.mu.Unlock()
 	t.invalidated = true
