--- a/internal/entry/links/links.go
+++ b/internal/entry/links/links.go
@@ -22,8 +22,8 @@
 	idleTimeout      = 1500 * time.Millisecond
 	sessionQueueSize = 8192 // messages
 	maxSessions      = 20000
-	// entryListPeriod is the number of heartbeats per sending of the list of
-	// entries, which starts with the first heartbeat of a session.
+	// entryListPeriod is the number of heartbeats from one that carries the list
+	// of entries to the next. The first heartbeat of a session carries it.
 	entryListPeriod = 10
 )
 
@@ -88,8 +88,7 @@
 	closed   bool
 }
 
-// New returns a server that replies to heartbeats with those that heartbeats
-// fills in.
+// New returns a server. heartbeats fills in its replies to heartbeats.
 func New(heartbeats HeartbeatFiller, registry metrics.Registry, log zerolog.Logger) *Server {
 	return &Server{heartbeats: heartbeats, registry: registry, log: log, sessions: map[string]*session{}}
 }
