--- a/internal/route/admit.go
+++ b/internal/route/admit.go
@@ -7,46 +7,46 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-const claimsFailing = "the key cannot be looked up: the table has not answered the last claims"
+const claimsRefusedDetail = "the key cannot be looked up: the table has not answered the last claims"
 
 // admit returns the refusal of a new request, or nil.
-func (c *Core) admit(q *Request, s *service, f *flow) *Answer {
+func (c *Core) admit(req *Request, s *service, f *flow) *Answer {
 	queued := f.items.Len()
-	wait := c.wait(s, f, queued)
-	limit := q.MaxQueue
+	wait := c.estimateWait(s, f, queued)
+	limit := req.MaxQueue
 	if limit <= 0 {
 		limit = c.cfg.MaxQueue
 	}
-	switch reason := c.unservable(s); {
+	switch reason := c.unservableReason(s); {
 	case c.draining:
-		return refuse(q, ReasonDraining, "the entry is stopping", minRetryAfter)
-	case q.Deadline <= c.now:
-		return refuse(q, ReasonDeadlinePassed, "the deadline has passed", 0)
+		return refusalAnswer(req, ReasonDraining, "the entry is stopping", minRetryAfter)
+	case req.Deadline <= c.now:
+		return refusalAnswer(req, ReasonDeadlinePassed, "the deadline has passed", 0)
 	case reason != "":
-		return refuse(q, reason, unservableDetail(reason, s.name), refusalPatience)
-	case q.claims() && c.breaker.open(c.now):
-		return refuse(q, ReasonStoreUnavailable, claimsFailing, breakerPause)
+		return refusalAnswer(req, reason, unservableDetail(reason, s.name), unservableTimeout)
+	case req.needsClaim() && c.breaker.open(c.now):
+		return refusalAnswer(req, ReasonStoreUnavailable, claimsRefusedDetail, breakerPause)
 	case queued >= limit:
-		return refuse(q, ReasonQueueFull, fmt.Sprintf("the queue of profile %q is full", q.Profile), wait)
+		return refusalAnswer(req, ReasonQueueFull, fmt.Sprintf("the queue of profile %q is full", req.Profile), wait)
 	case len(c.requests) >= c.cfg.MaxOpen:
-		return refuse(q, ReasonQueueFull, "the entry has too many open requests", wait)
+		return refusalAnswer(req, ReasonQueueFull, "the entry has too many open requests", wait)
 	}
-	t := times(f, s)
-	end := c.now + wait + t.upper()
-	if wait > 0 && end > q.Deadline {
-		detail := fmt.Sprintf("the queue of profile %q implies a wait of %v", q.Profile, wait.Round(time.Millisecond))
-		return refuse(q, ReasonDeadlineCannotBeMet, detail, end-q.Deadline)
+	learned := learnedTimes(f, s)
+	end := c.now + wait + learned.upperBound()
+	if wait > 0 && end > req.Deadline {
+		detail := fmt.Sprintf("the queue of profile %q implies a wait of %v", req.Profile, wait.Round(time.Millisecond))
+		return refusalAnswer(req, ReasonDeadlineCannotBeMet, detail, end-req.Deadline)
 	}
 	return nil
 }
 
-func refuse(q *Request, reason Reason, detail string, retryAfter time.Duration) *Answer {
+func refusalAnswer(req *Request, reason Reason, detail string, retryAfter time.Duration) *Answer {
 	return &Answer{
-		ID:         q.ID,
+		ID:         req.ID,
 		Outcome:    api.OutcomeNotRun,
 		Reason:     reason,
 		Detail:     detail,
-		RetryAfter: clampRetry(retryAfter),
+		RetryAfter: clampRetryAfter(retryAfter),
 	}
 }
 
@@ -57,22 +57,22 @@
 	return fmt.Sprintf("service %q has no endpoint that takes work", service)
 }
 
-func clampRetry(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// wait estimates how long a request with the given number of requests before
+// estimateWait estimates how long a request with the given number of requests before
 // it in its flow waits for a slot, under the shares of the waiting flows.
-func (c *Core) wait(s *service, f *flow, before int) time.Duration {
+func (c *Core) estimateWait(s *service, f *flow, before int) time.Duration {
 	if s.queue.length == 0 && s.busy < s.capacity || s.capacity == 0 {
 		return 0
 	}
-	own := float64(before + 1)
-	ahead := own * float64(times(f, s).mean)
-	for _, o := range s.queue.active {
-		if o == f {
+	ownTurns := float64(before + 1)
+	slotTime := ownTurns * float64(learnedTimes(f, s).mean)
+	for _, other := range s.queue.active {
+		if other == f {
 			continue
 		}
-		turns := min(float64(o.items.Len()), own*o.weight/f.weight)
-		ahead += turns * float64(times(o, s).mean)
+		turns := min(float64(other.items.Len()), ownTurns*other.weight/f.weight)
+		slotTime += turns * float64(learnedTimes(other, s).mean)
 	}
-	return time.Duration(ahead / float64(s.capacity))
+	return time.Duration(slotTime / float64(s.capacity))
 }
--- a/internal/route/agent.go
+++ b/internal/route/agent.go
@@ -14,63 +14,63 @@
 	zone        string
 	slots       int
 
-	up       bool
-	changed  time.Duration // time of the last AgentUp or AgentDown
-	statusAt time.Duration
-	clockMS  int64
-	hasClock bool
-	healthy  bool
-	leaving  bool
-	suspect  bool
-	others   int // slots in use by other entries
-
-	open         map[ref]*attempt // attempts that may hold a slot
-	held         int              // number of open
+	linked        bool
+	linkChangedAt time.Duration // time of the last AgentUp or AgentDown
+	statusAt      time.Duration
+	clockMS       int64
+	hasClock      bool
+	healthy       bool
+	leaving       bool
+	suspect       bool
+	othersInUse   int // slots in use by other entries
+
+	open         map[attemptRef]*attempt // attempts that may hold a slot
+	slotsHeld    int                     // number of open
 	wasUsable    bool
-	usableAt     time.Duration // when the agent was last usable
-	rampFrom     time.Duration // start of the slow start
+	lastUsableAt time.Duration // when the agent was last usable
+	slowStartAt  time.Duration // start of the slow start
 	successes    int           // since rampFrom
 	refusals     int
-	blockedUntil time.Duration
+	backoffUntil time.Duration
 }
 
 // usable reports whether the agent may be sent new work at all.
 func (c *Core) usable(a *agent) bool {
-	return a.up && a.hasClock && a.healthy && !a.leaving &&
-		c.now-a.statusAt <= stampMaxAge && !c.zonesOut[a.zone]
+	return a.linked && a.hasClock && a.healthy && !a.leaving &&
+		c.now-a.statusAt <= heartbeatMaxAge && !c.zonesOut[a.zone]
 }
 
-// free reports whether the agent takes one more attempt now.
-func (c *Core) free(a *agent) bool {
-	return a.held < a.slots && c.now >= a.blockedUntil && a.held < c.limit(a) && c.usable(a)
+// canAccept reports whether the agent takes one more attempt now.
+func (c *Core) canAccept(a *agent) bool {
+	return a.slotsHeld < a.slots && c.now >= a.backoffUntil && a.slotsHeld < c.attemptLimit(a) && c.usable(a)
 }
 
-// share is the part of the agent's slots that this entry may use: what the
-// others leave, and at least an equal share.
-func (c *Core) share(a *agent) int {
+// slotShare is the part of the agent's slots that this entry may use: what the
+// others leave, and at least an equal slotShare.
+func (c *Core) slotShare(a *agent) int {
 	equal := (a.slots + c.entries - 1) / c.entries
-	return min(a.slots, max(a.slots-a.others, equal))
+	return min(a.slots, max(a.slots-a.othersInUse, equal))
 }
 
-// limit is the share, held back during the slow start.
-func (c *Core) limit(a *agent) int {
-	ramp := rampStart + a.successes + int((c.now-a.rampFrom)/rampInterval)
-	return min(c.share(a), ramp)
+// attemptLimit is the share, held back during the slow start.
+func (c *Core) attemptLimit(a *agent) int {
+	slowStart := slowStartLimit + a.successes + int((c.now-a.slowStartAt)/slowStartInterval)
+	return min(c.slotShare(a), slowStart)
 }
 
-// refused makes a pause after the agent's refusal of an attempt.
-func (c *Core) refused(a *agent) {
+// backOff makes a pause after the agent's refusal of an attempt.
+func (c *Core) backOff(a *agent) {
 	pause := maxRefusalBackoff
 	if a.refusals < 6 {
 		pause = min(pause, refusalBackoff<<a.refusals)
 	}
 	a.refusals++
-	a.blockedUntil = c.now + pause
+	a.backoffUntil = c.now + pause
 }
 
-// attempts returns the open attempts in the order of their making.
-func (a *agent) attempts() []*attempt {
-	out := make([]*attempt, 0, a.held)
+// openAttempts returns the open openAttempts in the order of their making.
+func (a *agent) openAttempts() []*attempt {
+	out := make([]*attempt, 0, a.slotsHeld)
 	for _, at := range a.open {
 		out = append(out, at)
 	}
@@ -78,56 +78,56 @@
 	return out
 }
 
-func (c *Core) agentUp(e AgentUp) {
+func (c *Core) handleAgentUp(e AgentUp) {
 	a := c.agents[e.Agent]
 	if a == nil {
 		if len(c.agents) >= c.cfg.MaxAgents {
 			return
 		}
-		a = &agent{name: e.Agent, open: map[ref]*attempt{}}
+		a = &agent{name: e.Agent, open: map[attemptRef]*attempt{}}
 		c.agents[e.Agent] = a
 	}
-	fresh := a.incarnation != e.Incarnation
-	c.moveAgent(a, c.service(e.Service))
+	newIncarnation := a.incarnation != e.Incarnation
+	c.moveAgent(a, c.ensureService(e.Service))
 	a.incarnation = e.Incarnation
 	a.zone = e.Zone
 	a.slots = max(1, e.Slots)
-	a.up = true
-	a.changed = c.now
+	a.linked = true
+	a.linkChangedAt = c.now
 	a.suspect = false
 	a.hasClock = false
-	if fresh {
+	if newIncarnation {
 		a.resetLoad(c.now)
-		c.loseIncarnation(a)
+		c.failOldIncarnation(a)
 	} else {
-		c.askOutcomes(a)
+		c.probeAttempts(a)
 	}
-	c.resumeFollowers(a)
-	a.service.stale = true
+	c.rescheduleFollowers(a)
+	a.service.needsRefresh = true
 }
 
 func (a *agent) resetLoad(now time.Duration) {
-	a.startRamp(now)
+	a.beginSlowStart(now)
 	a.refusals = 0
-	a.blockedUntil = 0
-	a.others = 0
+	a.backoffUntil = 0
+	a.othersInUse = 0
 }
 
-func (a *agent) startRamp(now time.Duration) {
-	a.rampFrom = now
+func (a *agent) beginSlowStart(now time.Duration) {
+	a.slowStartAt = now
 	a.successes = 0
 }
 
-// noteUsable reports whether the agent is usable. One that was not for some
+// updateUsable reports whether the agent is usable. One that was not for some
 // time, such as after its zone was out, starts slowly again.
-func (c *Core) noteUsable(a *agent) bool {
+func (c *Core) updateUsable(a *agent) bool {
 	usable := c.usable(a)
-	if usable && !a.wasUsable && c.now-a.usableAt > rampAfter {
-		a.startRamp(c.now)
+	if usable && !a.wasUsable && c.now-a.lastUsableAt > slowStartAfter {
+		a.beginSlowStart(c.now)
 	}
 	a.wasUsable = usable
 	if usable {
-		a.usableAt = c.now
+		a.lastUsableAt = c.now
 	}
 	return usable
 }
@@ -143,32 +143,32 @@
 	s.addAgent(a)
 }
 
-func (c *Core) agentDown(e AgentDown) {
+func (c *Core) handleAgentDown(e AgentDown) {
 	a := c.agents[e.Agent]
-	if a == nil || !a.up {
+	if a == nil || !a.linked {
 		return
 	}
-	a.up = false
-	a.changed = c.now
-	a.service.stale = true
+	a.linked = false
+	a.linkChangedAt = c.now
+	a.service.needsRefresh = true
 }
 
-func (c *Core) agentStatus(e AgentStatus) {
+func (c *Core) handleAgentStatus(e AgentStatus) {
 	a := c.agents[e.Agent]
-	if a == nil || !a.up {
+	if a == nil || !a.linked {
 		return
 	}
-	before := c.usable(a)
+	wasUsable := c.usable(a)
 	a.statusAt = c.now
 	a.clockMS = e.ClockMS
 	a.hasClock = true
 	a.healthy = e.Healthy
 	a.leaving = e.Leaving
 	a.suspect = false
-	a.others = max(0, e.InUse-a.held)
-	a.service.full = false
-	if c.usable(a) != before {
-		a.service.stale = true
+	a.othersInUse = max(0, e.InUse-a.slotsHeld)
+	a.service.noFreeAgent = false
+	if c.usable(a) != wasUsable {
+		a.service.needsRefresh = true
 	}
 }
 
@@ -178,27 +178,27 @@
 		for _, a := range slices.Clone(s.agents) {
 			c.checkAgent(a)
 		}
-		s.stale = true
+		s.needsRefresh = true
 	}
 }
 
 func (c *Core) checkAgent(a *agent) {
-	if !a.up && a.held == 0 && c.now-a.changed > agentKeep {
+	if !a.linked && a.slotsHeld == 0 && c.now-a.linkChangedAt > agentRetention {
 		a.service.removeAgent(a)
 		delete(c.agents, a.name)
 		return
 	}
-	if !a.suspect && c.silent(a) {
+	if !a.suspect && c.isSilent(a) {
 		a.suspect = true
-		c.loseIdempotent(a)
+		c.retryIdempotent(a)
 	}
 }
 
-// silent reports whether the agent has been silent, or without a link, for too
+// isSilent reports whether the agent has been isSilent, or without a link, for too
 // long.
-func (c *Core) silent(a *agent) bool {
-	if !a.up {
-		return c.now-a.changed > downGrace
+func (c *Core) isSilent(a *agent) bool {
+	if !a.linked {
+		return c.now-a.linkChangedAt > relinkGrace
 	}
-	return c.now-max(a.statusAt, a.changed, c.resumed) > suspicionTime
+	return c.now-max(a.statusAt, a.linkChangedAt, c.resumedAt) > suspicionTimeout
 }
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -6,8 +6,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// ref names one attempt.
-type ref struct {
+// attemptRef names one attempt.
+type attemptRef struct {
 	id      string
 	attempt uint32
 }
@@ -29,29 +29,29 @@
 	attemptEnded attemptState = "ended"
 )
 
-func (s attemptState) doubtful() bool {
+func (s attemptState) mayHaveRun() bool {
 	return s == attemptSent || s == attemptLost || s == attemptUnknown
 }
 
 // attempt is one try to run a request at an agent.
 type attempt struct {
-	ref         ref
-	seq         uint64
-	req         *request // nil once the request is answered
-	key         string
-	agent       *agent
-	incarnation string
-	stampMS     int64
-	state       attemptState
-	idempotent  bool
-	sent        time.Duration
-	expires     time.Duration
-	probe       time.Duration // next question for the outcome
-	interval    time.Duration
-	timer       *timer
+	ref           attemptRef
+	seq           uint64
+	req           *request // nil once the request is answered
+	key           string
+	agent         *agent
+	incarnation   string
+	stampMS       int64
+	state         attemptState
+	idempotent    bool
+	sentAt        time.Duration
+	expiresAt     time.Duration
+	nextProbe     time.Duration // next question for the outcome
+	probeInterval time.Duration
+	timer         *timer
 }
 
-func (at *attempt) holder() ClaimHolder {
+func (at *attempt) claimHolder() ClaimHolder {
 	return ClaimHolder{
 		Agent:       at.agent.name,
 		Incarnation: at.incarnation,
@@ -63,14 +63,14 @@
 
 // reachable reports whether the agent is linked under the attempt's incarnation.
 func (at *attempt) reachable() bool {
-	return at.agent.up && at.agent.incarnation == at.incarnation
+	return at.agent.linked && at.agent.incarnation == at.incarnation
 }
 
-// start makes an attempt at an agent: a claim where one is needed, else the
+// startAttempt makes an attempt at an agent: a claim where one is needed, else the
 // execution.
-func (c *Core) start(r *request, a *agent) {
+func (c *Core) startAttempt(r *request, a *agent) {
 	at := &attempt{
-		ref:         ref{r.ID, uint32(len(r.attempts) + 1)},
+		ref:         attemptRef{r.ID, uint32(len(r.attempts) + 1)},
 		seq:         c.nextSeq(),
 		req:         r,
 		key:         r.Key,
@@ -78,49 +78,49 @@
 		incarnation: a.incarnation,
 		stampMS:     a.clockMS,
 		idempotent:  r.Idempotent,
-		expires:     r.Deadline + attemptGrace,
+		expiresAt:   r.Deadline + attemptGrace,
 	}
 	at.timer = newTimer(func() { c.checkAttempt(at) })
 	r.attempts = append(r.attempts, at)
 	c.attempts[at.ref] = at
-	c.hold(at)
-	if r.claims() {
-		c.claim(r, at)
+	c.occupySlot(at)
+	if r.needsClaim() {
+		c.beginClaim(r, at)
 		return
 	}
-	c.send(r, at)
+	c.sendExecute(r, at)
 }
 
-func (c *Core) hold(at *attempt) {
+func (c *Core) occupySlot(at *attempt) {
 	at.agent.open[at.ref] = at
-	at.agent.held++
+	at.agent.slotsHeld++
 	at.agent.service.busy++
 }
 
-// release frees the attempt's slot.
-func (c *Core) release(at *attempt) {
+// releaseSlot frees the attempt's slot.
+func (c *Core) releaseSlot(at *attempt) {
 	if at.agent.open[at.ref] != at {
 		return
 	}
 	delete(at.agent.open, at.ref)
-	at.agent.held--
+	at.agent.slotsHeld--
 	at.agent.service.busy--
-	at.agent.service.full = false
+	at.agent.service.noFreeAgent = false
 }
 
-// drop forgets an attempt; a later word on it is acknowledged only.
-func (c *Core) drop(at *attempt) {
-	c.release(at)
+// dropAttempt forgets an attempt; a later word on it is acknowledged only.
+func (c *Core) dropAttempt(at *attempt) {
+	c.releaseSlot(at)
 	c.timers.stop(at.timer)
 	delete(c.attempts, at.ref)
 }
 
-func (c *Core) send(r *request, at *attempt) {
+func (c *Core) sendExecute(r *request, at *attempt) {
 	at.state = attemptSent
-	at.sent = c.now
-	at.interval = probeDelay
-	at.probe = c.now + probeDelay
-	c.timers.set(at.timer, min(at.probe, at.expires))
+	at.sentAt = c.now
+	at.probeInterval = probeDelay
+	at.nextProbe = c.now + probeDelay
+	c.timers.set(at.timer, min(at.nextProbe, at.expiresAt))
 	c.emit(Execute{
 		Agent:       at.agent.name,
 		Incarnation: at.incarnation,
@@ -137,24 +137,24 @@
 // checkAttempt asks for the outcome of an attempt without word, again and
 // again, and forgets the attempt when it is too old.
 func (c *Core) checkAttempt(at *attempt) {
-	if c.now >= at.expires {
-		c.drop(at)
+	if c.now >= at.expiresAt {
+		c.dropAttempt(at)
 		return
 	}
-	if c.now >= at.probe {
-		c.ask(at)
-		at.interval = min(2*at.interval, maxProbeInterval)
-		at.probe = c.now + at.interval
+	if c.now >= at.nextProbe {
+		c.probe(at)
+		at.probeInterval = min(2*at.probeInterval, maxProbeInterval)
+		at.nextProbe = c.now + at.probeInterval
 	}
-	c.timers.set(at.timer, min(at.probe, at.expires))
+	c.timers.set(at.timer, min(at.nextProbe, at.expiresAt))
 }
 
-// ask sends a Void, when the agent can be reached and someone waits.
-func (c *Core) ask(at *attempt) {
-	if at.req == nil || !at.reachable() || !at.state.doubtful() {
+// probe sends a Void, when the agent can be reached and someone waits.
+func (c *Core) probe(at *attempt) {
+	if at.req == nil || !at.reachable() || !at.state.mayHaveRun() {
 		return
 	}
-	c.emitVoid(at.holder())
+	c.emitVoid(at.claimHolder())
 }
 
 func (c *Core) emitVoid(h ClaimHolder) {
@@ -167,19 +167,19 @@
 	})
 }
 
-// askOutcomes asks an agent, whose link is open again, for every attempt.
+// probeAttempts asks an agent, whose link is open again, for every attempt.
 // Retries of them that have not started yet are called off.
-func (c *Core) askOutcomes(a *agent) {
-	for _, at := range a.attempts() {
-		c.ask(at)
+func (c *Core) probeAttempts(a *agent) {
+	for _, at := range a.openAttempts() {
+		c.probe(at)
 		if at.state == attemptLost {
-			c.recover(at)
+			c.reinstate(at)
 		}
 	}
 }
 
-// recover makes a lost attempt count again.
-func (c *Core) recover(at *attempt) {
+// reinstate makes a lost attempt count again.
+func (c *Core) reinstate(at *attempt) {
 	at.state = attemptSent
 	r := at.req
 	if r == nil || r.phase != phaseQueued && r.phase != phaseLost {
@@ -192,9 +192,9 @@
 	c.setPhase(r, phaseSent)
 }
 
-// loseIdempotent retries the idempotent requests of an agent gone silent.
-func (c *Core) loseIdempotent(a *agent) {
-	for _, at := range a.attempts() {
+// retryIdempotent retries the idempotent requests of an agent gone silent.
+func (c *Core) retryIdempotent(a *agent) {
+	for _, at := range a.openAttempts() {
 		if at.state != attemptSent || !at.idempotent {
 			continue
 		}
@@ -205,10 +205,10 @@
 	}
 }
 
-// loseIncarnation settles the attempts at earlier incarnations of an agent.
-func (c *Core) loseIncarnation(a *agent) {
-	for _, at := range a.attempts() {
-		c.release(at)
+// failOldIncarnation settles the attempts at earlier incarnations of an agent.
+func (c *Core) failOldIncarnation(a *agent) {
+	for _, at := range a.openAttempts() {
+		c.releaseSlot(at)
 		if at.state != attemptSent {
 			continue
 		}
@@ -219,35 +219,35 @@
 		case at.idempotent:
 			c.retry(r)
 		default:
-			c.finishUnknown(r, at.holder(), "the agent has restarted")
+			c.finishUnknown(r, at.claimHolder(), "the agent has restarted")
 		}
 	}
 }
 
 // finishUnknown ends a non-idempotent request whose execution may have run.
 func (c *Core) finishUnknown(r *request, h ClaimHolder, detail string) {
-	c.record(r, h, api.OutcomeUnknown)
+	c.recordOutcome(r, h, api.OutcomeUnknown)
 	c.finish(r, Answer{ID: r.ID, Outcome: api.OutcomeUnknown, Reason: ReasonAgentLost, Detail: detail})
 }
 
-// record stores the final outcome of a claimed key.
-func (c *Core) record(r *request, h ClaimHolder, outcome api.Outcome) {
-	if r.claims() {
+// recordOutcome stores the final outcome of a claimed key.
+func (c *Core) recordOutcome(r *request, h ClaimHolder, outcome api.Outcome) {
+	if r.needsClaim() {
 		c.emit(Record{ID: r.ID, Key: r.Key, Holder: h, Outcome: outcome})
 	}
 }
 
 // retry makes another attempt at an idempotent request, within the budget.
 func (c *Core) retry(r *request) {
-	if r.phase != phaseSent || r.active() {
+	if r.phase != phaseSent || r.hasActiveAttempt() {
 		return
 	}
 	c.setPhase(r, phaseLost)
 	c.retryLost(r)
 }
 
-// active reports whether some attempt is at an agent that is not known to be silent.
-func (r *request) active() bool {
+// hasActiveAttempt reports whether some attempt is at an agent that is not known to be silent.
+func (r *request) hasActiveAttempt() bool {
 	for _, at := range r.attempts {
 		if at.state == attemptSent {
 			return true
@@ -256,8 +256,8 @@
 	return false
 }
 
-// lost reports whether word of some attempt may still come.
-func (r *request) lost() bool {
+// hasLostAttempt reports whether word of some attempt may still come.
+func (r *request) hasLostAttempt() bool {
 	for _, at := range r.attempts {
 		if at.state == attemptLost {
 			return true
@@ -269,10 +269,10 @@
 // retryLost reports whether it has changed the phase of a lost request.
 func (c *Core) retryLost(r *request) bool {
 	switch {
-	case !r.gone && len(r.attempts) < c.cfg.MaxAttempts && c.budget.take():
+	case !r.callerGone && len(r.attempts) < c.cfg.MaxAttempts && c.budget.take():
 		c.requeue(r)
 		return true
-	case !r.lost() || c.now >= r.since+lostPatience:
+	case !r.hasLostAttempt() || c.now >= r.phaseSince+lostAttemptTimeout:
 		c.giveUp(r, ReasonRetryBudgetSpent, "the agent has gone silent and no retry is left", 0)
 		return true
 	default:
@@ -280,55 +280,55 @@
 	}
 }
 
-// result matches an agent's word by the attempt, whatever link it came over
+// handleResult matches an agent's word by the attempt, whatever link it came over
 // and however late it is, and always acknowledges it.
-func (c *Core) result(e Result) {
-	k := ref{e.ID, e.Attempt}
-	at := c.attempts[k]
+func (c *Core) handleResult(e Result) {
+	ref := attemptRef{e.ID, e.Attempt}
+	at := c.attempts[ref]
 	if at != nil && at.agent.name == e.Agent {
-		c.attemptResult(at, e)
+		c.applyResult(at, e)
 	}
-	for _, r := range c.followersOf(k, e.Agent) {
-		c.followResult(r, e)
+	for _, r := range c.followersOf(ref, e.Agent) {
+		c.applyFollowedResult(r, e)
 	}
 	c.emit(Ack{Agent: e.Agent, ID: e.ID, Attempt: e.Attempt})
 }
 
-func (c *Core) attemptResult(at *attempt, e Result) {
+func (c *Core) applyResult(at *attempt, e Result) {
 	if at.state == attemptClaiming {
 		return
 	}
-	c.drop(at)
+	c.dropAttempt(at)
 	r := at.req
 	switch e.Outcome {
 	case api.OutcomeNotRun:
 		at.state = attemptNotRun
-		c.refused(at.agent)
+		c.backOff(at.agent)
 		if r != nil {
-			c.notRun(r, at)
+			c.handleNotRun(r, at)
 		}
 	case api.OutcomeDone, api.OutcomeFailed:
 		at.state = attemptEnded
-		c.learnFrom(at)
+		c.noteSuccess(at)
 		if r != nil {
-			c.deliver(r, at.holder(), e)
+			c.answerWithResult(r, at.claimHolder(), e)
 		}
 	default:
 		at.state = attemptUnknown
 		if r != nil {
-			c.unknown(r, at, e)
+			c.handleUnknown(r, at, e)
 		}
 	}
 }
 
-func (c *Core) learnFrom(at *attempt) {
+func (c *Core) noteSuccess(at *attempt) {
 	at.agent.successes++
 	at.agent.refusals = 0
 	r := at.req
 	if r == nil {
 		return
 	}
-	took := c.now - at.sent
+	took := c.now - at.sentAt
 	r.flow.times.learn(took)
 	r.service.times.learn(took)
 	if at.ref.attempt == 1 {
@@ -336,9 +336,9 @@
 	}
 }
 
-// deliver answers a request with the result of an execution.
-func (c *Core) deliver(r *request, h ClaimHolder, e Result) {
-	c.record(r, h, e.Outcome)
+// answerWithResult answers a request with the result of an execution.
+func (c *Core) answerWithResult(r *request, h ClaimHolder, e Result) {
+	c.recordOutcome(r, h, e.Outcome)
 	c.finish(r, Answer{
 		ID:            r.ID,
 		Outcome:       e.Outcome,
@@ -350,31 +350,31 @@
 	})
 }
 
-// notRun goes on with a request after an attempt that is certain not to have run.
-func (c *Core) notRun(r *request, at *attempt) {
-	r.avoid = at.agent
-	if r.claims() {
-		h := at.holder()
-		r.from = &h
+// handleNotRun goes on with a request after an attempt that is certain not to have run.
+func (c *Core) handleNotRun(r *request, at *attempt) {
+	r.lastRefusedBy = at.agent
+	if r.needsClaim() {
+		h := at.claimHolder()
+		r.replaces = &h
 	}
 	switch r.phase {
 	case phaseSent:
-		if !r.active() {
+		if !r.hasActiveAttempt() {
 			c.requeue(r)
 		}
 	case phaseLost:
-		if !r.lost() {
+		if !r.hasLostAttempt() {
 			c.requeue(r)
 		}
 	}
 }
 
-// unknown goes on after the agent's word that an attempt may have run.
-func (c *Core) unknown(r *request, at *attempt, e Result) {
+// handleUnknown goes on after the agent's word that an attempt may have run.
+func (c *Core) handleUnknown(r *request, at *attempt, e Result) {
 	if r.Idempotent {
 		c.retry(r)
 		return
 	}
-	c.record(r, at.holder(), api.OutcomeUnknown)
+	c.recordOutcome(r, at.claimHolder(), api.OutcomeUnknown)
 	c.finish(r, Answer{ID: r.ID, Outcome: api.OutcomeUnknown, Reason: ReasonResult, Detail: e.Detail})
 }
--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -9,49 +9,49 @@
 
 // follow is the wait of a request for the execution that holds its key.
 type follow struct {
-	holder   ClaimHolder
-	since    time.Duration
-	next     time.Duration
-	interval time.Duration
+	holder        ClaimHolder
+	since         time.Duration
+	nextProbe     time.Duration
+	probeInterval time.Duration
 }
 
-func (h ClaimHolder) ref() ref { return ref{h.RequestID, h.Attempt} }
+func (h ClaimHolder) ref() attemptRef { return attemptRef{h.RequestID, h.Attempt} }
 
-// claim asks the table for the key. The attempt's stamp is taken here and not
-// when the claim is won: whoever reads the claim and asks the agent for the
+// beginClaim asks the table for the key. The attempt's stamp is taken here and not
+// when the beginClaim is won: whoever reads the beginClaim and asks the agent for the
 // execution does so after the stamp.
-func (c *Core) claim(r *request, at *attempt) {
+func (c *Core) beginClaim(r *request, at *attempt) {
 	at.state = attemptClaiming
-	r.claiming = at
-	c.emit(Claim{ID: r.ID, Key: r.Key, Holder: at.holder(), Replaces: r.from})
+	r.claimingAttempt = at
+	c.emit(Claim{ID: r.ID, Key: r.Key, Holder: at.claimHolder(), Replaces: r.replaces})
 	c.setPhase(r, phaseClaiming)
 }
 
 // cancelClaim gives up an attempt that was never sent.
 func (c *Core) cancelClaim(r *request) {
-	at := r.claiming
+	at := r.claimingAttempt
 	if at == nil {
 		return
 	}
-	r.claiming = nil
+	r.claimingAttempt = nil
 	at.state = attemptNotRun
-	c.drop(at)
+	c.dropAttempt(at)
 }
 
-func (c *Core) claimReply(e ClaimReply) {
+func (c *Core) handleClaimReply(e ClaimReply) {
 	r := c.requests[e.ID]
-	if r == nil || r.claiming == nil {
+	if r == nil || r.claimingAttempt == nil {
 		return
 	}
 	switch {
 	case !e.Failed:
-		c.breaker.answered()
-	case !r.gone:
-		c.breaker.failed(c.now)
+		c.breaker.recordSuccess()
+	case !r.callerGone:
+		c.breaker.recordFailure(c.now)
 	}
 	switch {
 	case e.Failed:
-		c.giveUp(r, ReasonStoreUnavailable, "the key cannot be looked up: the table does not answer", refusalPatience)
+		c.giveUp(r, ReasonStoreUnavailable, "the key cannot be looked up: the table does not answer", unservableTimeout)
 	case e.Won:
 		c.claimWon(r)
 	default:
@@ -60,12 +60,12 @@
 }
 
 func (c *Core) claimWon(r *request) {
-	at := r.claiming
-	h := at.holder()
-	r.from = &h
-	if !r.gone && c.fresh() && at.reachable() && c.usable(at.agent) && c.now < r.since+claimTimeout {
-		r.claiming = nil
-		c.send(r, at)
+	at := r.claimingAttempt
+	h := at.claimHolder()
+	r.replaces = &h
+	if !r.callerGone && c.configFresh() && at.reachable() && c.usable(at.agent) && c.now < r.phaseSince+claimTimeout {
+		r.claimingAttempt = nil
+		c.sendExecute(r, at)
 		return
 	}
 	c.cancelClaim(r)
@@ -79,29 +79,29 @@
 	case e.Final != "":
 		c.finish(r, Answer{ID: r.ID, Outcome: e.Final, Reason: ReasonResult, Detail: "the recorded outcome of the idempotency key"})
 	case holder.RequestID == r.ID:
-		r.from = &holder
+		r.replaces = &holder
 		c.requeue(r)
 	default:
-		c.startFollow(r, holder)
+		c.startFollowing(r, holder)
 	}
 }
 
 func (c *Core) holderLinked(h ClaimHolder) bool {
 	a := c.agents[h.Agent]
-	return a != nil && a.up && a.incarnation == h.Incarnation
+	return a != nil && a.linked && a.incarnation == h.Incarnation
 }
 
-// startFollow waits for the result of another execution. The agent is asked
+// startFollowing waits for the result of another execution. The agent is asked
 // once the permission of that execution has lapsed, since the question ends an
 // execution that has not started.
-func (c *Core) startFollow(r *request, h ClaimHolder) {
-	r.follow = &follow{holder: h, since: c.now, next: c.now + c.permitLeft(h), interval: probeDelay}
+func (c *Core) startFollowing(r *request, h ClaimHolder) {
+	r.follow = &follow{holder: h, since: c.now, nextProbe: c.now + c.permitRemaining(h), probeInterval: probeDelay}
 	c.followers[h.ref()] = append(c.followers[h.ref()], r)
 	c.setPhase(r, phaseFollowing)
 }
 
-// permitLeft estimates how long the permission of an execution lasts.
-func (c *Core) permitLeft(h ClaimHolder) time.Duration {
+// permitRemaining estimates how long the permission of an execution lasts.
+func (c *Core) permitRemaining(h ClaimHolder) time.Duration {
 	a := c.agents[h.Agent]
 	if h.StampMS == 0 || a == nil || !a.hasClock || a.incarnation != h.Incarnation {
 		return PermitTTL
@@ -110,24 +110,24 @@
 	return min(max(0, PermitTTL-age), PermitTTL)
 }
 
-func (c *Core) unfollow(r *request) {
+func (c *Core) stopFollowing(r *request) {
 	if r.follow == nil {
 		return
 	}
-	k := r.follow.holder.ref()
+	ref := r.follow.holder.ref()
 	r.follow = nil
-	rest := slices.DeleteFunc(c.followers[k], func(x *request) bool { return x == r })
-	if len(rest) == 0 {
-		delete(c.followers, k)
+	remaining := slices.DeleteFunc(c.followers[ref], func(x *request) bool { return x == r })
+	if len(remaining) == 0 {
+		delete(c.followers, ref)
 		return
 	}
-	c.followers[k] = rest
+	c.followers[ref] = remaining
 }
 
 // followersOf returns the requests that follow an execution at the agent.
-func (c *Core) followersOf(k ref, agent string) []*request {
+func (c *Core) followersOf(ref attemptRef, agent string) []*request {
 	var out []*request
-	for _, r := range c.followers[k] {
+	for _, r := range c.followers[ref] {
 		if r.follow.holder.Agent == agent {
 			out = append(out, r)
 		}
@@ -135,8 +135,8 @@
 	return out
 }
 
-// resumeFollowers looks for holders again after a link has opened.
-func (c *Core) resumeFollowers(a *agent) {
+// rescheduleFollowers looks for holders again after a link has opened.
+func (c *Core) rescheduleFollowers(a *agent) {
 	var waiting []*request
 	for _, rs := range c.followers {
 		for _, r := range rs {
@@ -147,26 +147,26 @@
 	}
 	slices.SortFunc(waiting, func(x, y *request) int { return int(int64(x.seq) - int64(y.seq)) })
 	for _, r := range waiting {
-		r.follow.next = max(c.now, min(r.follow.next, c.now+PermitTTL))
-		c.arm(r)
+		r.follow.nextProbe = max(c.now, min(r.follow.nextProbe, c.now+PermitTTL))
+		c.scheduleWake(r)
 	}
 }
 
-// lookForHolder asks for the result of a followed execution. It reports
+// probeHolder asks for the result of a followed execution. It reports
 // whether it has ended the request.
-func (c *Core) lookForHolder(r *request) bool {
+func (c *Core) probeHolder(r *request) bool {
 	f := r.follow
-	if c.now < f.next {
+	if c.now < f.nextProbe {
 		return false
 	}
 	if c.holderLinked(f.holder) {
 		c.emitVoid(f.holder)
-		f.next = c.now + f.interval
-		f.interval = min(2*f.interval, maxProbeInterval)
+		f.nextProbe = c.now + f.probeInterval
+		f.probeInterval = min(2*f.probeInterval, maxProbeInterval)
 		return false
 	}
 	a := c.agents[f.holder.Agent]
-	if a != nil && a.up && c.now >= f.since+newIncarnationPatience && a.statusAt > f.since {
+	if a != nil && a.linked && c.now >= f.since+newIncarnationGrace && a.statusAt > f.since {
 		c.finish(r, Answer{
 			ID:      r.ID,
 			Outcome: api.OutcomeUnknown,
@@ -175,11 +175,11 @@
 		})
 		return true
 	}
-	f.next = c.now + refusalPatience
+	f.nextProbe = c.now + unservableTimeout
 	return false
 }
 
-func (c *Core) followResult(r *request, e Result) {
+func (c *Core) applyFollowedResult(r *request, e Result) {
 	f := r.follow
 	if f == nil {
 		return
@@ -187,13 +187,13 @@
 	h := f.holder
 	switch {
 	case e.Outcome == api.OutcomeDone || e.Outcome == api.OutcomeFailed:
-		c.deliver(r, h, e)
+		c.answerWithResult(r, h, e)
 	case e.Outcome == api.OutcomeNotRun:
-		c.unfollow(r)
-		r.from = &h
+		c.stopFollowing(r)
+		r.replaces = &h
 		c.requeue(r)
 	default:
-		c.record(r, h, api.OutcomeUnknown)
+		c.recordOutcome(r, h, api.OutcomeUnknown)
 		c.finish(r, Answer{ID: r.ID, Outcome: api.OutcomeUnknown, Reason: ReasonResult, Detail: e.Detail})
 	}
 }
--- a/internal/route/config.go
+++ b/internal/route/config.go
@@ -39,47 +39,47 @@
 )
 
 const (
-	// stampMaxAge is the age of an agent's last heartbeat beyond which nothing
+	// heartbeatMaxAge is the age of an agent's last heartbeat beyond which nothing
 	// new is sent to it.
-	stampMaxAge = 900 * time.Millisecond
-	// suspicionTime is the silence of an agent after which its idempotent
+	heartbeatMaxAge = 900 * time.Millisecond
+	// suspicionTimeout is the silence of an agent after which its idempotent
 	// requests are retried elsewhere.
-	suspicionTime = 1500 * time.Millisecond
-	// refusalPatience is how long requests wait in a queue that cannot be
+	suspicionTimeout = 1500 * time.Millisecond
+	// unservableTimeout is how long requests wait in a queue that cannot be
 	// served, for want of a fresh configuration or of endpoints.
-	refusalPatience = time.Second
-	// startPatience is refusalPatience for an entry that has just started.
-	startPatience = 2 * time.Second
-	// downGrace is the time for an agent to open a lost link again, before its
+	unservableTimeout = time.Second
+	// startupGrace is refusalPatience for an entry that has just started.
+	startupGrace = 2 * time.Second
+	// relinkGrace is the time for an agent to open a lost link again, before its
 	// idempotent requests are retried elsewhere.
-	downGrace = 300 * time.Millisecond
-	// pauseGap is a time between two Steps that shows a pause of the entry.
-	pauseGap = 500 * time.Millisecond
+	relinkGrace = 300 * time.Millisecond
+	// pauseThreshold is a time between two Steps that shows a pause of the entry.
+	pauseThreshold = 500 * time.Millisecond
 	// claimTimeout is how long a claim may take; one that is won later carries
 	// a stamp that has lapsed.
 	claimTimeout = PermitTTL
-	// breakerFailures is the number of failed claims in a row after which keys
+	// breakerThreshold is the number of failed claims in a row after which keys
 	// are refused, but for one claim each breakerPause.
-	breakerFailures = 3
-	breakerPause    = time.Second
+	breakerThreshold = 3
+	breakerPause     = time.Second
 	// probeDelay is the time after an Execute at which the agent is asked for
 	// the outcome; the permission to start has lapsed by then.
 	probeDelay = PermitTTL + 500*time.Millisecond
 	// maxProbeInterval bounds the time between two probes, which doubles.
 	maxProbeInterval = 8 * time.Second
-	// lostPatience is how long an idempotent request without a retry left
+	// lostAttemptTimeout is how long an idempotent request without a retry left
 	// waits for word from its lost attempt.
-	lostPatience = 2 * time.Second
+	lostAttemptTimeout = 2 * time.Second
 	// attemptGrace is how long after its deadline an attempt may hold a slot.
 	attemptGrace = 2 * time.Second
-	// agentKeep is how long an agent without a link is remembered.
-	agentKeep = 10 * time.Minute
-	// rampInterval is the time in which a starting agent's limit grows by one.
-	rampInterval = 250 * time.Millisecond
-	// rampAfter is the time without new work after which an agent starts slowly.
-	rampAfter = 2 * time.Second
-	// rampStart is the limit of an agent that starts.
-	rampStart = 2
+	// agentRetention is how long an agent without a link is remembered.
+	agentRetention = 10 * time.Minute
+	// slowStartInterval is the time in which a starting agent's limit grows by one.
+	slowStartInterval = 250 * time.Millisecond
+	// slowStartAfter is the time without new work after which an agent starts slowly.
+	slowStartAfter = 2 * time.Second
+	// slowStartLimit is the limit of an agent that starts.
+	slowStartLimit = 2
 	// refusalBackoff is the pause after an agent's first refusal; it doubles
 	// with each further one up to maxRefusalBackoff.
 	refusalBackoff    = TickInterval
@@ -87,15 +87,15 @@
 	// minRetryAfter and maxRetryAfter bound the advice to callers.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// newIncarnationPatience is how long the holder of a key may be absent
+	// newIncarnationGrace is how long the holder of a key may be absent
 	// while its agent is linked under another incarnation.
-	newIncarnationPatience = 2 * time.Second
-	// unknownServiceTime is the cost of a request before any time is learned.
-	unknownServiceTime = 10 * time.Millisecond
+	newIncarnationGrace = 2 * time.Second
+	// defaultServiceTime is the cost of a request before any time is learned.
+	defaultServiceTime = 10 * time.Millisecond
 	// learnRate is the weight of the newest service time in the averages.
 	learnRate = 0.1
-	// deviations is how far above the mean a request is expected to end at most.
-	deviations = 2
+	// maxDeviations is how far above the mean a request is expected to end at most.
+	maxDeviations = 2
 )
 
 func (c Config) withDefaults() Config {
@@ -110,8 +110,8 @@
 	return c
 }
 
-func setDefault[T int | float64](v *T, d T) {
-	if *v <= 0 {
-		*v = d
+func setDefault[T int | float64](value *T, defaultValue T) {
+	if *value <= 0 {
+		*value = defaultValue
 	}
 }
--- a/internal/route/core.go
+++ b/internal/route/core.go
@@ -12,26 +12,26 @@
 // timers go with their deadline, agents some time after their last link, and a
 // result that nobody waits for any more is acknowledged and not remembered.
 type Core struct {
-	cfg       Config
-	now       time.Duration
-	out       []Action
-	entries   int
-	resumed   time.Duration // end of the entry's last pause
-	draining  bool
-	permitted bool          // the last Permit said fresh
-	permitAt  time.Duration // time of the last Permit
-	freshAt   time.Duration // when the configuration was last fresh
-	zonesOut  map[string]bool
+	cfg         Config
+	now         time.Duration
+	actions     []Action
+	entries     int
+	resumedAt   time.Duration // end of the entry's last pause
+	draining    bool
+	permitFresh bool          // the last Permit said fresh
+	permitAt    time.Duration // time of the last Permit
+	freshAt     time.Duration // when the configuration was last fresh
+	zonesOut    map[string]bool
 
 	requests    map[string]*request
-	attempts    map[ref]*attempt
-	followers   map[ref][]*request
+	attempts    map[attemptRef]*attempt
+	followers   map[attemptRef][]*request
 	agents      map[string]*agent
 	services    map[string]*service
 	serviceList []*service // by name
 	timers      timers
 	budget      retryBudget
-	breaker     breaker
+	breaker     circuitBreaker
 	seq         uint64
 }
 
@@ -42,10 +42,10 @@
 	return &Core{
 		cfg:       cfg,
 		entries:   cfg.Entries,
-		freshAt:   startPatience - refusalPatience,
+		freshAt:   startupGrace - unservableTimeout,
 		requests:  map[string]*request{},
-		attempts:  map[ref]*attempt{},
-		followers: map[ref][]*request{},
+		attempts:  map[attemptRef]*attempt{},
+		followers: map[attemptRef][]*request{},
 		agents:    map[string]*agent{},
 		services:  map[string]*service{},
 		budget:    newRetryBudget(cfg.RetryFraction, cfg.RetryBurst),
@@ -55,25 +55,25 @@
 // Step handles one event at the given time since the entry's start and returns
 // the actions to carry out, in order.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
-	c.notePause(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
-	c.out = nil
+	c.actions = nil
 	c.handle(ev)
-	for t := c.timers.next(c.now); t != nil; t = c.timers.next(c.now) {
+	for t := c.timers.popDue(c.now); t != nil; t = c.timers.popDue(c.now) {
 		t.run()
 	}
 	for _, s := range c.serviceList {
-		c.refresh(s)
+		c.refreshCapacity(s)
 		c.dispatch(s)
 	}
-	return c.out
+	return c.actions
 }
 
-// notePause finds that the entry itself has been paused, so that the agents
+// detectPause finds that the entry itself has been paused, so that the agents
 // are not taken for silent before their heartbeats are read.
-func (c *Core) notePause(now time.Duration) {
-	if now-c.now > pauseGap {
-		c.resumed = now
+func (c *Core) detectPause(now time.Duration) {
+	if now-c.now > pauseThreshold {
+		c.resumedAt = now
 	}
 }
 
@@ -85,57 +85,57 @@
 	case Submit:
 		c.submit(e.Request)
 	case CallerGone:
-		c.gone(e)
+		c.handleCallerGone(e)
 	case AgentUp:
-		c.agentUp(e)
+		c.handleAgentUp(e)
 	case AgentDown:
-		c.agentDown(e)
+		c.handleAgentDown(e)
 	case AgentStatus:
-		c.agentStatus(e)
+		c.handleAgentStatus(e)
 	case Result:
-		c.result(e)
+		c.handleResult(e)
 	case ClaimReply:
-		c.claimReply(e)
+		c.handleClaimReply(e)
 	case Permit:
-		c.permit(e)
+		c.handlePermit(e)
 	case Peers:
 		c.entries = max(1, e.Entries)
-		c.changed()
+		c.markServicesStale()
 	case Tick:
-		c.tick()
+		c.handleTick()
 	case Drain:
 		c.draining = true
 	}
 }
 
-func (c *Core) permit(e Permit) {
-	same := maps.Equal(c.zonesOut, e.ZonesOut)
-	c.permitted = e.Fresh
+func (c *Core) handlePermit(e Permit) {
+	zonesUnchanged := maps.Equal(c.zonesOut, e.ZonesOut)
+	c.permitFresh = e.Fresh
 	c.permitAt = c.now
 	c.zonesOut = e.ZonesOut
 	if e.Fresh {
 		c.freshAt = c.now
 	}
-	if !same {
-		c.changed()
+	if !zonesUnchanged {
+		c.markServicesStale()
 	}
 }
 
-// changed notes a change that concerns the agents of all services.
-func (c *Core) changed() {
+// markServicesStale notes a change that concerns the agents of all services.
+func (c *Core) markServicesStale() {
 	for _, s := range c.serviceList {
-		s.stale = true
+		s.needsRefresh = true
 	}
 }
 
-// fresh reports whether the configuration is fresh enough to start work. After
+// configFresh reports whether the configuration is configFresh enough to start work. After
 // a pause of the process it is not, until the next Permit.
-func (c *Core) fresh() bool { return c.permitted && c.now-c.permitAt <= PermitMaxAge }
+func (c *Core) configFresh() bool { return c.permitFresh && c.now-c.permitAt <= PermitMaxAge }
 
-func (c *Core) tick() {
+func (c *Core) handleTick() {
 	c.checkAgents()
 	for _, s := range c.serviceList {
-		c.refresh(s)
+		c.refreshCapacity(s)
 		c.refuseUnservable(s)
 	}
 	c.dropEmptyServices()
@@ -144,7 +144,7 @@
 // dropEmptyServices forgets services without agents and open requests.
 func (c *Core) dropEmptyServices() {
 	c.serviceList = slices.DeleteFunc(c.serviceList, func(s *service) bool {
-		empty := len(s.agents) == 0 && s.open == 0
+		empty := len(s.agents) == 0 && s.openRequests == 0
 		if empty {
 			delete(c.services, s.name)
 		}
@@ -155,30 +155,30 @@
 // refuseUnservable ends the waiting requests of a service that has not been
 // able to start anything for some time.
 func (c *Core) refuseUnservable(s *service) {
-	reason := c.unservable(s)
+	reason := c.unservableReason(s)
 	if reason == "" || s.queue.length == 0 {
 		return
 	}
-	for _, r := range c.waiting(s) {
-		if !r.doubtful() {
-			c.giveUp(r, reason, unservableDetail(reason, s.name), refusalPatience)
+	for _, r := range c.queuedRequests(s) {
+		if !r.mayHaveRun() {
+			c.giveUp(r, reason, unservableDetail(reason, s.name), unservableTimeout)
 		}
 	}
 }
 
-// unservable returns why nothing of the service can start, or "".
-func (c *Core) unservable(s *service) Reason {
+// unservableReason returns why nothing of the service can start, or "".
+func (c *Core) unservableReason(s *service) Reason {
 	switch {
-	case !c.fresh() && c.now-c.freshAt > refusalPatience:
+	case !c.configFresh() && c.now-c.freshAt > unservableTimeout:
 		return ReasonConfigNotFresh
-	case c.now-s.usableAt > refusalPatience:
+	case c.now-s.lastUsableAt > unservableTimeout:
 		return ReasonNoEndpoint
 	default:
 		return ""
 	}
 }
 
-func (c *Core) waiting(s *service) []*request {
+func (c *Core) queuedRequests(s *service) []*request {
 	var out []*request
 	for _, f := range s.queue.active {
 		for e := f.items.Front(); e != nil; e = e.Next() {
@@ -189,7 +189,7 @@
 	return out
 }
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
 func (c *Core) nextSeq() uint64 {
 	c.seq++
--- a/internal/route/dump.go
+++ b/internal/route/dump.go
@@ -75,7 +75,7 @@
 // Dump returns the state of the core.
 func (c *Core) Dump() any {
 	d := Dump{
-		Fresh:         c.fresh(),
+		Fresh:         c.configFresh(),
 		Draining:      c.draining,
 		Entries:       c.entries,
 		OpenRequests:  len(c.requests),
@@ -122,14 +122,14 @@
 		Incarnation:  a.incarnation,
 		Zone:         a.zone,
 		Usable:       c.usable(a),
-		Up:           a.up,
+		Up:           a.linked,
 		Healthy:      a.healthy,
 		Leaving:      a.leaving,
-		Silence:      api.Duration(c.now - max(a.statusAt, a.changed)),
+		Silence:      api.Duration(c.now - max(a.statusAt, a.linkChangedAt)),
 		Slots:        a.slots,
-		Limit:        c.limit(a),
-		OpenAttempts: a.held,
-		OthersInUse:  a.others,
+		Limit:        c.attemptLimit(a),
+		OpenAttempts: a.slotsHeld,
+		OthersInUse:  a.othersInUse,
 	}
 }
 
@@ -152,7 +152,7 @@
 		Service:   r.Service,
 		Profile:   r.Profile,
 		Phase:     string(r.phase),
-		InPhase:   api.Duration((c.now - r.since).Round(time.Millisecond)),
+		InPhase:   api.Duration((c.now - r.phaseSince).Round(time.Millisecond)),
 		Remaining: api.Duration((r.Deadline - c.now).Round(time.Millisecond)),
 	}
 	for _, at := range r.attempts {
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -26,108 +26,108 @@
 // request is one open request.
 type request struct {
 	Request
-	seq     uint64
-	hash    uint64
-	phase   phase
-	since   time.Duration // start of the phase
-	service *service
-	flow    *flow
-	element *list.Element // position in the flow, while queued
-	charged bool
-	gone    bool
-	avoid   *agent
-	timer   *timer
-
-	attempts []*attempt
-	claiming *attempt
-	// from is the holder that the next claim replaces.
-	from   *ClaimHolder
-	follow *follow
+	seq           uint64
+	hash          uint64
+	phase         phase
+	phaseSince    time.Duration // start of the phase
+	service       *service
+	flow          *flow
+	queueElement  *list.Element // position in the flow, while queued
+	charged       bool
+	callerGone    bool
+	lastRefusedBy *agent
+	timer         *timer
+
+	attempts        []*attempt
+	claimingAttempt *attempt
+	// replaces is the holder that the next claim replaces.
+	replaces *ClaimHolder
+	follow   *follow
 }
 
-// claims reports whether an execution has to be claimed in the table first.
-func (r *Request) claims() bool { return r.Key != "" && !r.Idempotent }
+// needsClaim reports whether an execution has to be claimed in the table first.
+func (r *Request) needsClaim() bool { return r.Key != "" && !r.Idempotent }
 
-// doubtful reports whether some attempt may have run or may run yet.
-func (r *request) doubtful() bool {
+// mayHaveRun reports whether some attempt may have run or may run yet.
+func (r *request) mayHaveRun() bool {
 	if r.follow != nil {
 		return true
 	}
-	return slices.ContainsFunc(r.attempts, func(at *attempt) bool { return at.state.doubtful() })
+	return slices.ContainsFunc(r.attempts, func(at *attempt) bool { return at.state.mayHaveRun() })
 }
 
-func (c *Core) submit(q Request) {
-	if c.requests[q.ID] != nil {
+func (c *Core) submit(req Request) {
+	if c.requests[req.ID] != nil {
 		return
 	}
-	if c.services[q.Service] == nil && c.now > startPatience {
-		c.emit(*refuse(&q, ReasonNoEndpoint, unservableDetail(ReasonNoEndpoint, q.Service), refusalPatience))
+	if c.services[req.Service] == nil && c.now > startupGrace {
+		c.emit(*refusalAnswer(&req, ReasonNoEndpoint, unservableDetail(ReasonNoEndpoint, req.Service), unservableTimeout))
 		return
 	}
-	s := c.service(q.Service)
-	c.refresh(s)
-	f := s.queue.flow(&q, c.now, c.cfg.MaxFlows)
-	if refusal := c.admit(&q, s, f); refusal != nil {
+	s := c.ensureService(req.Service)
+	c.refreshCapacity(s)
+	f := s.queue.flowFor(&req, c.now, c.cfg.MaxFlows)
+	if refusal := c.admit(&req, s, f); refusal != nil {
 		c.emit(*refusal)
 		return
 	}
-	r := &request{Request: q, seq: c.nextSeq(), hash: hashString(q.ID), service: s, flow: f}
+	r := &request{Request: req, seq: c.nextSeq(), hash: hashString(req.ID), service: s, flow: f}
 	r.timer = newTimer(func() { c.wake(r) })
-	c.requests[q.ID] = r
+	c.requests[req.ID] = r
 	r.phase = phaseQueued
-	r.since = c.now
-	s.open++
-	f.open++
+	r.phaseSince = c.now
+	s.openRequests++
+	f.openRequests++
 	s.queue.push(r)
-	c.arm(r)
+	c.scheduleWake(r)
 }
 
 func (c *Core) setPhase(r *request, p phase) {
 	r.phase = p
-	r.since = c.now
-	c.arm(r)
+	r.phaseSince = c.now
+	c.scheduleWake(r)
 }
 
 // requeue puts a request back at the head of its queue.
 func (c *Core) requeue(r *request) {
 	switch {
-	case r.element != nil:
+	case r.queueElement != nil:
 		return
-	case r.gone:
+	case r.callerGone:
 		c.giveUp(r, ReasonResult, "the caller has gone away", 0)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
-		c.giveUp(r, ReasonNoEndpoint, "no endpoint has taken the request", refusalPatience)
+		c.giveUp(r, ReasonNoEndpoint, "no endpoint has taken the request", unservableTimeout)
 	default:
 		r.service.queue.pushFront(r)
 		c.setPhase(r, phaseQueued)
 	}
 }
 
-func (c *Core) gone(e CallerGone) {
+func (c *Core) handleCallerGone(e CallerGone) {
 	r := c.requests[e.ID]
 	if r == nil {
 		return
 	}
-	r.gone = true
-	if r.phase == phaseQueued && !r.doubtful() {
+	r.callerGone = true
+	if r.phase == phaseQueued && !r.mayHaveRun() {
 		c.giveUp(r, ReasonResult, "the caller has gone away", 0)
 	}
 }
 
-// arm sets the time at which the request is looked at next.
-func (c *Core) arm(r *request) { c.timers.set(r.timer, min(r.Deadline, c.nextLook(r))) }
+// scheduleWake sets the time at which the request is looked at next.
+func (c *Core) scheduleWake(r *request) { c.timers.set(r.timer, min(r.Deadline, c.nextWake(r))) }
 
-func (c *Core) nextLook(r *request) time.Duration {
+func (c *Core) nextWake(r *request) time.Duration {
 	switch r.phase {
 	case phaseQueued:
-		if r.doubtful() {
+		if r.mayHaveRun() {
 			return r.Deadline
 		}
 		return max(latestStart(r), c.now+TickInterval)
 	case phaseClaiming:
-		return r.since + claimTimeout
+		return r.phaseSince + claimTimeout
 	case phaseFollowing:
-		return r.follow.next
+		return r.follow.nextProbe
 	case phaseLost:
 		return c.now + TickInterval
 	default:
@@ -137,8 +137,8 @@
 
 // latestStart is when a waiting request has to start to meet its deadline.
 func latestStart(r *request) time.Duration {
-	t := times(r.flow, r.service)
-	return r.Deadline - t.upper()
+	learned := learnedTimes(r.flow, r.service)
+	return r.Deadline - learned.upperBound()
 }
 
 func (c *Core) wake(r *request) {
@@ -148,18 +148,18 @@
 	}
 	switch r.phase {
 	case phaseQueued:
-		if !r.doubtful() && c.now >= latestStart(r) {
+		if !r.mayHaveRun() && c.now >= latestStart(r) {
 			c.giveUp(r, ReasonDeadlineCannotBeMet, "the request cannot end before its deadline any more", c.retryAfter(r))
 			return
 		}
 	case phaseClaiming:
-		if c.now >= r.since+claimTimeout {
-			c.breaker.failed(c.now)
-			c.giveUp(r, ReasonStoreUnavailable, "the key cannot be looked up: the table has not answered the claim", refusalPatience)
+		if c.now >= r.phaseSince+claimTimeout {
+			c.breaker.recordFailure(c.now)
+			c.giveUp(r, ReasonStoreUnavailable, "the key cannot be looked up: the table has not answered the claim", unservableTimeout)
 			return
 		}
 	case phaseFollowing:
-		if c.lookForHolder(r) {
+		if c.probeHolder(r) {
 			return
 		}
 	case phaseLost:
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	c.arm(r)
+	c.scheduleWake(r)
 }
 
 func (c *Core) expire(r *request) {
@@ -179,7 +179,7 @@
 }
 
 func (c *Core) retryAfter(r *request) time.Duration {
-	return clampRetry(c.wait(r.service, r.flow, r.flow.items.Len()))
+	return clampRetryAfter(c.estimateWait(r.service, r.flow, r.flow.items.Len()))
 }
 
 // giveUp ends a request without a result: with OutcomeNotRun when every
@@ -187,7 +187,7 @@
 func (c *Core) giveUp(r *request, reason Reason, detail string, retryAfter time.Duration) {
 	c.cancelClaim(r)
 	a := Answer{ID: r.ID, Outcome: api.OutcomeNotRun, Reason: reason, Detail: detail, RetryAfter: retryAfter}
-	if r.doubtful() {
+	if r.mayHaveRun() {
 		a.Outcome = api.OutcomeUnknown
 		a.RetryAfter = 0
 	}
@@ -200,11 +200,11 @@
 	c.cancelClaim(r)
 	c.emit(a)
 	delete(c.requests, r.ID)
-	r.service.open--
-	r.flow.open--
+	r.service.openRequests--
+	r.flow.openRequests--
 	c.timers.stop(r.timer)
 	r.service.queue.remove(r)
-	c.unfollow(r)
+	c.stopFollowing(r)
 	for _, at := range r.attempts {
 		at.req = nil
 	}
--- a/internal/route/scenario_test.go
+++ b/internal/route/scenario_test.go
@@ -202,7 +202,7 @@
 	var out strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(s.core.agents)) {
 		a := s.core.agents[name]
-		fmt.Fprintf(&out, "%s usable=%t limit=%d open=%d others=%d\n", name, s.core.usable(a), s.core.limit(a), a.held, a.others)
+		fmt.Fprintf(&out, "%s usable=%t limit=%d open=%d others=%d\n", name, s.core.usable(a), s.core.attemptLimit(a), a.slotsHeld, a.othersInUse)
 	}
 	return out.String()
 }
--- a/internal/route/timer.go
+++ b/internal/route/timer.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// next removes and returns the first timer that is due, or nil.
-func (t *timers) next(now time.Duration) *timer {
+// popDue removes and returns the first timer that is due, or nil.
+func (t *timers) popDue(now time.Duration) *timer {
 	if len(t.items) == 0 || t.items[0].at > now {
 		return nil
 	}
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -16,16 +16,16 @@
 		t.deviation = sample / 2
 		return
 	}
-	off := sample - t.mean
-	t.mean += time.Duration(learnRate * float64(off))
-	t.deviation += time.Duration(learnRate * float64(off.Abs()-t.deviation))
+	diff := sample - t.mean
+	t.mean += time.Duration(learnRate * float64(diff))
+	t.deviation += time.Duration(learnRate * float64(diff.Abs()-t.deviation))
 }
 
-// upper is a time in which most requests end.
-func (t *serviceTimes) upper() time.Duration { return t.mean + deviations*t.deviation }
+// upperBound is a time in which most requests end.
+func (t *serviceTimes) upperBound() time.Duration { return t.mean + maxDeviations*t.deviation }
 
-// times returns what is learned of a flow, or else of its service.
-func times(f *flow, s *service) serviceTimes {
+// learnedTimes returns what is learned of a flow, or else of its service.
+func learnedTimes(f *flow, s *service) serviceTimes {
 	if f.times.mean > 0 {
 		return f.times
 	}
@@ -34,9 +34,9 @@
 
 // cost is the slot time that a request is charged for.
 func cost(f *flow, s *service) time.Duration {
-	t := times(f, s)
+	t := learnedTimes(f, s)
 	if t.mean == 0 {
-		return unknownServiceTime
+		return defaultServiceTime
 	}
 	return t.mean
 }
