--- a/internal/route/admit.go
+++ b/internal/route/admit.go
@@ -9,7 +9,8 @@
 
 const claimsRefusedDetail = "the key cannot be looked up: the table has not answered the last claims"
 
-// admit returns the refusal of a new request, or nil.
+// admit returns the refusal of a new request, or nil if the request may be
+// queued.
 func (c *Core) admit(req *Request, s *service, f *flow) *Answer {
 	queued := f.items.Len()
 	wait := c.estimateWait(s, f, queued)
@@ -40,6 +41,8 @@
 	return nil
 }
 
+// refusalAnswer returns the answer to a request that is refused before it is
+// queued.
 func refusalAnswer(req *Request, reason Reason, detail string, retryAfter time.Duration) *Answer {
 	return &Answer{
 		ID:         req.ID,
@@ -59,8 +62,10 @@
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// estimateWait estimates how long a request with the given number of requests before
-// it in its flow waits for a slot, under the shares of the waiting flows.
+// estimateWait estimates how long a request waits for a slot when the given
+// number of requests are before it in its flow. It is 0 while slots are free or
+// no slot is usable. Until the request's turn, each other flow is served at
+// most in proportion to its weight.
 func (c *Core) estimateWait(s *service, f *flow, before int) time.Duration {
 	if s.queue.length == 0 && s.busy < s.capacity || s.capacity == 0 {
 		return 0
--- a/internal/route/agent.go
+++ b/internal/route/agent.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// agent is what the entry knows of one agent and its endpoint.
+// agent is the entry's view of one agent and its endpoint.
 type agent struct {
 	name        string
 	incarnation string
@@ -24,41 +24,44 @@
 	suspect       bool
 	othersInUse   int // slots in use by other entries
 
-	open         map[attemptRef]*attempt // attempts that may hold a slot
-	slotsHeld    int                     // number of open
+	open         map[attemptRef]*attempt // attempts that may occupy a slot
+	slotsHeld    int                     // len(open)
 	wasUsable    bool
-	lastUsableAt time.Duration // when the agent was last usable
-	slowStartAt  time.Duration // start of the slow start
+	lastUsableAt time.Duration // last time at which the agent was usable
+	slowStartAt  time.Duration // beginning of the slow start
 	successes    int           // since rampFrom
 	refusals     int
 	backoffUntil time.Duration
 }
 
-// usable reports whether the agent may be sent new work at all.
+// usable reports whether the agent is eligible for new work. Free slots and
+// backoff are left to canAccept.
 func (c *Core) usable(a *agent) bool {
 	return a.linked && a.hasClock && a.healthy && !a.leaving &&
 		c.now-a.statusAt <= heartbeatMaxAge && !c.zonesOut[a.zone]
 }
 
-// canAccept reports whether the agent takes one more attempt now.
+// canAccept reports whether one more attempt may be sent to the agent now.
 func (c *Core) canAccept(a *agent) bool {
 	return a.slotsHeld < a.slots && c.now >= a.backoffUntil && a.slotsHeld < c.attemptLimit(a) && c.usable(a)
 }
 
-// slotShare is the part of the agent's slots that this entry may use: what the
-// others leave, and at least an equal slotShare.
+// slotShare returns the number of the agent's slots that this entry may use:
+// those that the other entries leave free, but at least an equal share.
 func (c *Core) slotShare(a *agent) int {
 	equal := (a.slots + c.entries - 1) / c.entries
 	return min(a.slots, max(a.slots-a.othersInUse, equal))
 }
 
-// attemptLimit is the share, held back during the slow start.
+// attemptLimit returns the number of attempts that this entry may have open at
+// the agent: its share of the slots, reduced during the slow start.
 func (c *Core) attemptLimit(a *agent) int {
 	slowStart := slowStartLimit + a.successes + int((c.now-a.slowStartAt)/slowStartInterval)
 	return min(c.slotShare(a), slowStart)
 }
 
-// backOff makes a pause after the agent's refusal of an attempt.
+// backOff sends nothing new to the agent for some time after it has refused an
+// attempt. The time doubles with each refusal in a row.
 func (c *Core) backOff(a *agent) {
 	pause := maxRefusalBackoff
 	if a.refusals < 6 {
@@ -68,7 +71,7 @@
 	a.backoffUntil = c.now + pause
 }
 
-// openAttempts returns the open openAttempts in the order of their making.
+// openAttempts returns the open attempts in the order of their creation.
 func (a *agent) openAttempts() []*attempt {
 	out := make([]*attempt, 0, a.slotsHeld)
 	for _, at := range a.open {
@@ -118,8 +121,9 @@
 	a.successes = 0
 }
 
-// updateUsable reports whether the agent is usable. One that was not for some
-// time, such as after its zone was out, starts slowly again.
+// updateUsable notes and returns whether the agent is usable. An agent that was
+// unusable for longer than slowStartAfter, for instance because its zone was
+// out, goes through a slow start again.
 func (c *Core) updateUsable(a *agent) bool {
 	usable := c.usable(a)
 	if usable && !a.wasUsable && c.now-a.lastUsableAt > slowStartAfter {
@@ -172,7 +176,8 @@
 	}
 }
 
-// checkAgents finds agents that have gone silent, and forgets old ones.
+// checkAgents retries the idempotent requests of agents that have become
+// silent, and forgets agents whose link has been down for agentRetention.
 func (c *Core) checkAgents() {
 	for _, s := range c.serviceList {
 		for _, a := range slices.Clone(s.agents) {
@@ -194,8 +199,9 @@
 	}
 }
 
-// isSilent reports whether the agent has been isSilent, or without a link, for too
-// long.
+// isSilent reports whether the agent has sent no heartbeat for
+// suspicionTimeout, or has had no link for relinkGrace. A pause of the entry
+// itself does not count as silence of its agents.
 func (c *Core) isSilent(a *agent) bool {
 	if !a.linked {
 		return c.now-a.linkChangedAt > relinkGrace
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -6,7 +6,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// attemptRef names one attempt.
+// attemptRef identifies one attempt of one request.
 type attemptRef struct {
 	id      string
 	attempt uint32
@@ -15,25 +15,27 @@
 type attemptState string
 
 const (
-	// attemptClaiming: not sent; the claim is under way.
+	// attemptClaiming: not sent; the claim of the key is in progress.
 	attemptClaiming attemptState = "claiming"
-	// attemptSent: no word from the agent yet.
+	// attemptSent: sent to the agent; no result yet.
 	attemptSent attemptState = "sent"
-	// attemptLost: the agent has gone silent; a result may still come.
+	// attemptLost: the agent is silent; a result may still arrive.
 	attemptLost attemptState = "lost"
-	// attemptUnknown: it cannot be known whether the attempt has run.
+	// attemptUnknown: the agent cannot tell whether the attempt has run.
 	attemptUnknown attemptState = "unknown"
 	// attemptNotRun: the attempt has not run and never will.
 	attemptNotRun attemptState = "not-run"
-	// attemptEnded: the attempt has brought the answer.
+	// attemptEnded: the attempt has run and its result has arrived.
 	attemptEnded attemptState = "ended"
 )
 
+// mayHaveRun reports whether an attempt in this state may have run or may still
+// run, with no result known.
 func (s attemptState) mayHaveRun() bool {
 	return s == attemptSent || s == attemptLost || s == attemptUnknown
 }
 
-// attempt is one try to run a request at an agent.
+// attempt is one attempt to run a request at an agent.
 type attempt struct {
 	ref           attemptRef
 	seq           uint64
@@ -46,7 +48,7 @@
 	idempotent    bool
 	sentAt        time.Duration
 	expiresAt     time.Duration
-	nextProbe     time.Duration // next question for the outcome
+	nextProbe     time.Duration // time of the next probe
 	probeInterval time.Duration
 	timer         *timer
 }
@@ -66,8 +68,8 @@
 	return at.agent.linked && at.agent.incarnation == at.incarnation
 }
 
-// startAttempt makes an attempt at an agent: a claim where one is needed, else the
-// execution.
+// startAttempt creates an attempt at an agent and sends its claim, if the
+// request needs one, or else its Execute.
 func (c *Core) startAttempt(r *request, a *agent) {
 	at := &attempt{
 		ref:         attemptRef{r.ID, uint32(len(r.attempts) + 1)},
@@ -91,6 +93,7 @@
 	c.sendExecute(r, at)
 }
 
+// occupySlot counts the attempt against the slots of its agent.
 func (c *Core) occupySlot(at *attempt) {
 	at.agent.open[at.ref] = at
 	at.agent.slotsHeld++
@@ -108,7 +111,8 @@
 	at.agent.service.noFreeAgent = false
 }
 
-// dropAttempt forgets an attempt; a later word on it is acknowledged only.
+// dropAttempt forgets an attempt. A result that arrives later is only
+// acknowledged.
 func (c *Core) dropAttempt(at *attempt) {
 	c.releaseSlot(at)
 	c.timers.stop(at.timer)
@@ -134,8 +138,9 @@
 	c.setPhase(r, phaseSent)
 }
 
-// checkAttempt asks for the outcome of an attempt without word, again and
-// again, and forgets the attempt when it is too old.
+// checkAttempt runs on the attempt's timer. It probes the agent for the
+// outcome, at intervals that double up to maxProbeInterval, and forgets the
+// attempt when it expires.
 func (c *Core) checkAttempt(at *attempt) {
 	if c.now >= at.expiresAt {
 		c.dropAttempt(at)
@@ -149,7 +154,8 @@
 	c.timers.set(at.timer, min(at.nextProbe, at.expiresAt))
 }
 
-// probe sends a Void, when the agent can be reached and someone waits.
+// probe sends a Void for the attempt if its result is still needed and the
+// agent is linked under the attempt's incarnation.
 func (c *Core) probe(at *attempt) {
 	if at.req == nil || !at.reachable() || !at.state.mayHaveRun() {
 		return
@@ -167,8 +173,8 @@
 	})
 }
 
-// probeAttempts asks an agent, whose link is open again, for every attempt.
-// Retries of them that have not started yet are called off.
+// probeAttempts asks an agent whose link is open again for the outcome of each
+// open attempt. Retries of lost attempts that have not started are cancelled.
 func (c *Core) probeAttempts(a *agent) {
 	for _, at := range a.openAttempts() {
 		c.probe(at)
@@ -178,7 +184,8 @@
 	}
 }
 
-// reinstate makes a lost attempt count again.
+// reinstate treats a lost attempt as sent again, and returns the budget token of
+// a retry that has not started.
 func (c *Core) reinstate(at *attempt) {
 	at.state = attemptSent
 	r := at.req
@@ -192,7 +199,8 @@
 	c.setPhase(r, phaseSent)
 }
 
-// retryIdempotent retries the idempotent requests of an agent gone silent.
+// retryIdempotent marks the idempotent attempts at a silent agent as lost and
+// retries their requests.
 func (c *Core) retryIdempotent(a *agent) {
 	for _, at := range a.openAttempts() {
 		if at.state != attemptSent || !at.idempotent {
@@ -205,7 +213,9 @@
 	}
 }
 
-// failOldIncarnation settles the attempts at earlier incarnations of an agent.
+// failOldIncarnation gives up the attempts at an agent's earlier incarnations.
+// Idempotent requests are retried; the others end with OutcomeUnknown, since
+// nobody can tell whether they have run.
 func (c *Core) failOldIncarnation(a *agent) {
 	for _, at := range a.openAttempts() {
 		c.releaseSlot(at)
@@ -224,20 +234,23 @@
 	}
 }
 
-// finishUnknown ends a non-idempotent request whose execution may have run.
+// finishUnknown ends a non-idempotent request whose execution may have run, with
+// OutcomeUnknown.
 func (c *Core) finishUnknown(r *request, h ClaimHolder, detail string) {
 	c.recordOutcome(r, h, api.OutcomeUnknown)
 	c.finish(r, Answer{ID: r.ID, Outcome: api.OutcomeUnknown, Reason: ReasonAgentLost, Detail: detail})
 }
 
-// recordOutcome stores the final outcome of a claimed key.
+// recordOutcome emits a Record of the final outcome if the request has claimed
+// its key.
 func (c *Core) recordOutcome(r *request, h ClaimHolder, outcome api.Outcome) {
 	if r.needsClaim() {
 		c.emit(Record{ID: r.ID, Key: r.Key, Holder: h, Outcome: outcome})
 	}
 }
 
-// retry makes another attempt at an idempotent request, within the budget.
+// retry retries an idempotent request that has no active attempt left, within
+// the retry budget.
 func (c *Core) retry(r *request) {
 	if r.phase != phaseSent || r.hasActiveAttempt() {
 		return
@@ -246,7 +259,8 @@
 	c.retryLost(r)
 }
 
-// hasActiveAttempt reports whether some attempt is at an agent that is not known to be silent.
+// hasActiveAttempt reports whether some attempt is at an agent that is not known
+// to be silent.
 func (r *request) hasActiveAttempt() bool {
 	for _, at := range r.attempts {
 		if at.state == attemptSent {
@@ -256,7 +270,8 @@
 	return false
 }
 
-// hasLostAttempt reports whether word of some attempt may still come.
+// hasLostAttempt reports whether the result of some lost attempt may still
+// arrive.
 func (r *request) hasLostAttempt() bool {
 	for _, at := range r.attempts {
 		if at.state == attemptLost {
@@ -266,7 +281,10 @@
 	return false
 }
 
-// retryLost reports whether it has changed the phase of a lost request.
+// retryLost requeues a request in phaseLost if its caller waits and the attempts
+// and the retry budget allow it. Without a retry the request is given up once no
+// result can arrive any more or lostAttemptTimeout has passed. It reports whether
+// the request has left phaseLost.
 func (c *Core) retryLost(r *request) bool {
 	switch {
 	case !r.callerGone && len(r.attempts) < c.cfg.MaxAttempts && c.budget.take():
@@ -280,8 +298,9 @@
 	}
 }
 
-// handleResult matches an agent's word by the attempt, whatever link it came over
-// and however late it is, and always acknowledges it.
+// handleResult applies an agent's result to its attempt, whichever link it came
+// over and however late it is, and to the requests that follow the attempt. It
+// always acknowledges the result.
 func (c *Core) handleResult(e Result) {
 	ref := attemptRef{e.ID, e.Attempt}
 	at := c.attempts[ref]
@@ -321,6 +340,8 @@
 	}
 }
 
+// noteSuccess takes in an attempt that has run: it ends the agent's backoff
+// sequence, learns the service time and earns retries for a first attempt.
 func (c *Core) noteSuccess(at *attempt) {
 	at.agent.successes++
 	at.agent.refusals = 0
@@ -336,7 +357,8 @@
 	}
 }
 
-// answerWithResult answers a request with the result of an execution.
+// answerWithResult answers a request with the result of a complete execution,
+// which it records for a claimed key.
 func (c *Core) answerWithResult(r *request, h ClaimHolder, e Result) {
 	c.recordOutcome(r, h, e.Outcome)
 	c.finish(r, Answer{
@@ -350,7 +372,8 @@
 	})
 }
 
-// handleNotRun goes on with a request after an attempt that is certain not to have run.
+// handleNotRun requeues a request after an attempt that is certain not to have
+// run, unless another attempt may still bring a result.
 func (c *Core) handleNotRun(r *request, at *attempt) {
 	r.lastRefusedBy = at.agent
 	if r.needsClaim() {
@@ -369,7 +392,8 @@
 	}
 }
 
-// handleUnknown goes on after the agent's word that an attempt may have run.
+// handleUnknown retries an idempotent request after the agent has answered that
+// the attempt may have run, and ends any other request.
 func (c *Core) handleUnknown(r *request, at *attempt, e Result) {
 	if r.Idempotent {
 		c.retry(r)
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// circuitBreaker keeps claims from a table that does not answer, so that they do not
-// hold slots for nothing. After breakerFailures in a row one claim is tried
-// each breakerPause.
+// circuitBreaker stops claims while the table does not answer, so that claims
+// that are bound to fail do not occupy slots. After breakerThreshold failures in
+// a row it lets one claim through each breakerPause.
 type circuitBreaker struct {
 	failures int
 	retryAt  time.Duration
@@ -15,7 +15,8 @@
 	return b.failures >= breakerThreshold && now < b.retryAt
 }
 
-// allow reports whether a claim may be made now, and counts it as made.
+// allow reports whether a claim may be made now. If so, the caller makes it, and
+// the pause to the next one begins.
 func (b *circuitBreaker) allow(now time.Duration) bool {
 	if b.open(now) {
 		return false
