--- a/internal/route/claim.go
+++ b/internal/route/claim.go
@@ -7,7 +7,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// follow is the wait of a request for the execution that holds its key.
+// follow is the state of a request that waits for the result of the execution
+// that holds its key.
 type follow struct {
 	holder        ClaimHolder
 	since         time.Duration
@@ -17,9 +18,9 @@
 
 func (h ClaimHolder) ref() attemptRef { return attemptRef{h.RequestID, h.Attempt} }
 
-// beginClaim asks the table for the key. The attempt's stamp is taken here and not
-// when the beginClaim is won: whoever reads the beginClaim and asks the agent for the
-// execution does so after the stamp.
+// beginClaim claims the request's key for the attempt. The attempt carries the
+// clock stamp of its creation and not a newer one from when the claim is won:
+// this way every probe by an entry that has read the claim comes after the stamp.
 func (c *Core) beginClaim(r *request, at *attempt) {
 	at.state = attemptClaiming
 	r.claimingAttempt = at
@@ -27,7 +28,8 @@
 	c.setPhase(r, phaseClaiming)
 }
 
-// cancelClaim gives up an attempt that was never sent.
+// cancelClaim drops the attempt whose claim is in progress, which has not been
+// sent.
 func (c *Core) cancelClaim(r *request) {
 	at := r.claimingAttempt
 	if at == nil {
@@ -91,16 +93,17 @@
 	return a != nil && a.linked && a.incarnation == h.Incarnation
 }
 
-// startFollowing waits for the result of another execution. The agent is asked
-// once the permission of that execution has lapsed, since the question ends an
-// execution that has not started.
+// startFollowing lets the request wait for the result of another execution. The
+// first probe is sent once the permission of that execution has lapsed, because a
+// probe cancels an execution that has not started.
 func (c *Core) startFollowing(r *request, h ClaimHolder) {
 	r.follow = &follow{holder: h, since: c.now, nextProbe: c.now + c.permitRemaining(h), probeInterval: probeDelay}
 	c.followers[h.ref()] = append(c.followers[h.ref()], r)
 	c.setPhase(r, phaseFollowing)
 }
 
-// permitRemaining estimates how long the permission of an execution lasts.
+// permitRemaining estimates the remaining lifetime of an execution's permission
+// to start. It is PermitTTL if the agent's clock is unknown.
 func (c *Core) permitRemaining(h ClaimHolder) time.Duration {
 	a := c.agents[h.Agent]
 	if h.StampMS == 0 || a == nil || !a.hasClock || a.incarnation != h.Incarnation {
@@ -135,7 +138,8 @@
 	return out
 }
 
-// rescheduleFollowers looks for holders again after a link has opened.
+// rescheduleFollowers schedules the next probe of the requests that follow an
+// execution at an agent whose link has opened: no later than after PermitTTL.
 func (c *Core) rescheduleFollowers(a *agent) {
 	var waiting []*request
 	for _, rs := range c.followers {
@@ -152,8 +156,10 @@
 	}
 }
 
-// probeHolder asks for the result of a followed execution. It reports
-// whether it has ended the request.
+// probeHolder probes the agent of a followed execution when the next probe is
+// due. If that agent has been linked under another incarnation for some time, the
+// execution is lost and the request ends with OutcomeUnknown. It reports whether
+// it has ended the request.
 func (c *Core) probeHolder(r *request) bool {
 	f := r.follow
 	if c.now < f.nextProbe {
@@ -179,6 +185,9 @@
 	return false
 }
 
+// applyFollowedResult applies the result of a followed execution: the request
+// takes the result as its own answer, or is requeued if the execution has not
+// run.
 func (c *Core) applyFollowedResult(r *request, e Result) {
 	f := r.follow
 	if f == nil {
--- a/internal/route/core.go
+++ b/internal/route/core.go
@@ -8,9 +8,10 @@
 )
 
 // Core decides where the requests of one entry run. It is not safe for
-// concurrent use. Its state is bounded by Config; requests, attempts and
-// timers go with their deadline, agents some time after their last link, and a
-// result that nobody waits for any more is acknowledged and not remembered.
+// concurrent use. Its state is bounded: Config limits the number of requests and
+// agents, requests, attempts and timers are removed at or soon after the
+// deadline, agents are removed some time after their last link, and a result that
+// no request waits for is acknowledged and not kept.
 type Core struct {
 	cfg         Config
 	now         time.Duration
@@ -18,9 +19,9 @@
 	entries     int
 	resumedAt   time.Duration // end of the entry's last pause
 	draining    bool
-	permitFresh bool          // the last Permit said fresh
+	permitFresh bool          // Fresh of the last Permit
 	permitAt    time.Duration // time of the last Permit
-	freshAt     time.Duration // when the configuration was last fresh
+	freshAt     time.Duration // time of the last Permit with Fresh set
 	zonesOut    map[string]bool
 
 	requests    map[string]*request
@@ -35,8 +36,8 @@
 	seq         uint64
 }
 
-// New returns a core that knows no agents. Nothing starts before a Permit says
-// that the configuration is fresh.
+// New returns a core without agents. It starts no attempts before the first
+// Permit with Fresh set.
 func New(cfg Config) *Core {
 	cfg = cfg.withDefaults()
 	return &Core{
@@ -52,8 +53,8 @@
 	}
 }
 
-// Step handles one event at the given time since the entry's start and returns
-// the actions to carry out, in order.
+// Step handles one event and the timers that are due at the given time since the
+// entry's start. It returns the actions to carry out, in order.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.detectPause(now)
 	c.now = max(c.now, now)
@@ -69,15 +70,16 @@
 	return c.actions
 }
 
-// detectPause finds that the entry itself has been paused, so that the agents
-// are not taken for silent before their heartbeats are read.
+// detectPause notes that the entry's process has been paused. Heartbeats that
+// arrived during the pause are read only after it, so the pause must not count as
+// silence of the agents.
 func (c *Core) detectPause(now time.Duration) {
 	if now-c.now > pauseThreshold {
 		c.resumedAt = now
 	}
 }
 
-// Idle reports whether no request is queued or under way.
+// Idle reports whether no request is open.
 func (c *Core) Idle() bool { return len(c.requests) == 0 }
 
 func (c *Core) handle(ev Event) {
@@ -121,15 +123,16 @@
 	}
 }
 
-// markServicesStale notes a change that concerns the agents of all services.
+// markServicesStale makes the capacity of all services be computed again.
 func (c *Core) markServicesStale() {
 	for _, s := range c.serviceList {
 		s.needsRefresh = true
 	}
 }
 
-// configFresh reports whether the configuration is configFresh enough to start work. After
-// a pause of the process it is not, until the next Permit.
+// configFresh reports whether the configuration is fresh enough to start work. The
+// last Permit lapses after PermitMaxAge, so after a pause of the process nothing
+// starts before the next one.
 func (c *Core) configFresh() bool { return c.permitFresh && c.now-c.permitAt <= PermitMaxAge }
 
 func (c *Core) handleTick() {
@@ -152,8 +155,9 @@
 	})
 }
 
-// refuseUnservable ends the waiting requests of a service that has not been
-// able to start anything for some time.
+// refuseUnservable ends the queued requests of a service that has been unservable
+// for unservableTimeout, except those with an attempt that may still bring a
+// result.
 func (c *Core) refuseUnservable(s *service) {
 	reason := c.unservableReason(s)
 	if reason == "" || s.queue.length == 0 {
@@ -166,7 +170,8 @@
 	}
 }
 
-// unservableReason returns why nothing of the service can start, or "".
+// unservableReason returns why no request of the service has been able to start
+// for unservableTimeout, or "".
 func (c *Core) unservableReason(s *service) Reason {
 	switch {
 	case !c.configFresh() && c.now-c.freshAt > unservableTimeout:
@@ -178,6 +183,7 @@
 	}
 }
 
+// queuedRequests returns the queued requests of a service in order of submission.
 func (c *Core) queuedRequests(s *service) []*request {
 	var out []*request
 	for _, f := range s.queue.active {
--- a/internal/route/dump.go
+++ b/internal/route/dump.go
@@ -8,10 +8,10 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// maxDumpedRequests bounds the requests in a Dump; the oldest are shown.
+// maxDumpedRequests bounds the requests in a Dump, which contains the oldest.
 const maxDumpedRequests = 100
 
-// Dump is the state of a Core for operators.
+// Dump is the state of a Core as shown to operators.
 type Dump struct {
 	Fresh         bool          `json:"fresh"`
 	ZonesOut      []string      `json:"zones_out"`
@@ -52,7 +52,7 @@
 	OthersInUse  int          `json:"others"`
 }
 
-// FlowDump is one queue in a Dump.
+// FlowDump is one flow in a Dump.
 type FlowDump struct {
 	Account     string       `json:"account"`
 	Profile     string       `json:"profile"`
--- a/internal/route/queue.go
+++ b/internal/route/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// flowKey names the requests that share one queue.
+// flowKey identifies the requests that share one queue.
 type flowKey struct{ account, profile string }
 
 func (k flowKey) sortsBefore(other flowKey) bool {
@@ -16,21 +16,22 @@
 	return k.profile < other.profile
 }
 
-// flow is the queue of one profile at one service.
+// flow is the queue of one account's profile at one service.
 type flow struct {
 	key           flowKey
 	weight        float64
 	items         *list.List
-	openRequests  int     // requests that are queued or under way
+	openRequests  int     // requests that are queued or in progress
 	virtualStart  float64 // virtual start time of the first item
-	virtualFinish float64 // virtual finish time of the last item charged
+	virtualFinish float64 // virtual finish time of the last charged item
 	index         int     // position in the heap, or -1
 	times         serviceTimes
 	lastUsed      time.Duration
 }
 
-// fairQueue is a start-time fair queue: each flow gets slot time in proportion
-// to its weight while it has requests waiting.
+// fairQueue implements start-time fair queueing: flows with queued requests get
+// slot time in proportion to their weights. It is a heap of these flows by
+// virtual start time.
 type fairQueue struct {
 	flows       map[flowKey]*flow
 	active      []*flow
@@ -40,7 +41,7 @@
 
 func newFairQueue() fairQueue { return fairQueue{flows: map[flowKey]*flow{}} }
 
-// flowFor returns the flowFor of a request, which is created when it is new.
+// flowFor returns the flow of a request and creates it if needed.
 func (q *fairQueue) flowFor(r *Request, now time.Duration, maxFlows int) *flow {
 	key := flowKey{r.Account, r.Profile}
 	f := q.flows[key]
@@ -56,6 +57,8 @@
 	return f
 }
 
+// evictOldestIdle removes the least recently used flow without open requests, if
+// there is one.
 func (q *fairQueue) evictOldestIdle() {
 	var oldest *flow
 	for _, f := range q.flows {
@@ -77,7 +80,7 @@
 	q.activate(r.flow)
 }
 
-// pushFront puts back a request that has left the queue before.
+// pushFront puts a request that was dequeued before back at the head of its flow.
 func (q *fairQueue) pushFront(r *request) {
 	q.length++
 	r.queueElement = r.flow.items.PushFront(r)
@@ -87,7 +90,8 @@
 	}
 }
 
-// activate reports whether the flow had no requests waiting before.
+// activate adds the flow to the heap, and reports whether it was not there, that
+// is, whether it had no queued requests.
 func (q *fairQueue) activate(f *flow) bool {
 	if f.index >= 0 {
 		return false
@@ -97,7 +101,7 @@
 	return true
 }
 
-// peek returns the request that is served next, or nil.
+// peek returns the request that is dequeued next, or nil.
 func (q *fairQueue) peek() *request {
 	if len(q.active) == 0 {
 		return nil
@@ -105,8 +109,8 @@
 	return q.active[0].items.Front().Value.(*request)
 }
 
-// dequeue removes the first request and charges its cost to its flow, once for
-// each request.
+// dequeue removes the request that peek returns and charges its cost to its flow.
+// A request that is queued again after a failed attempt is charged only once.
 func (q *fairQueue) dequeue(cost time.Duration) {
 	r := q.peek()
 	f := r.flow
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -11,19 +11,20 @@
 type phase string
 
 const (
-	// phaseQueued: waits for an agent.
+	// phaseQueued: waits for a free slot.
 	phaseQueued phase = "queued"
 	// phaseClaiming: waits for the table's answer to a claim.
 	phaseClaiming phase = "claiming"
-	// phaseSent: an attempt is at an agent.
+	// phaseSent: an attempt has been sent to an agent.
 	phaseSent phase = "sent"
 	// phaseFollowing: waits for the execution that holds the request's key.
 	phaseFollowing phase = "following"
-	// phaseLost: the attempt's agent is silent and there is no retry left.
+	// phaseLost: the attempt's agent is silent and the request has not been
+	// retried.
 	phaseLost phase = "lost"
 )
 
-// request is one open request.
+// request is one open request, that is, one without an answer.
 type request struct {
 	Request
 	seq           uint64
@@ -32,7 +33,7 @@
 	phaseSince    time.Duration // start of the phase
 	service       *service
 	flow          *flow
-	queueElement  *list.Element // position in the flow, while queued
+	queueElement  *list.Element // position in the flow, or nil while not queued
 	charged       bool
 	callerGone    bool
 	lastRefusedBy *agent
@@ -40,15 +41,18 @@
 
 	attempts        []*attempt
 	claimingAttempt *attempt
-	// replaces is the holder that the next claim replaces.
+	// replaces is the holder that the next claim may replace, or nil. It is
+	// certain that its execution has not run.
 	replaces *ClaimHolder
 	follow   *follow
 }
 
-// needsClaim reports whether an execution has to be claimed in the table first.
+// needsClaim reports whether the key must be claimed in the table before an
+// attempt is sent.
 func (r *Request) needsClaim() bool { return r.Key != "" && !r.Idempotent }
 
-// mayHaveRun reports whether some attempt may have run or may run yet.
+// mayHaveRun reports whether some attempt, or the followed execution, may have
+// run or may still run.
 func (r *request) mayHaveRun() bool {
 	if r.follow != nil {
 		return true
@@ -88,7 +92,8 @@
 	c.scheduleWake(r)
 }
 
-// requeue puts a request back at the head of its queue.
+// requeue puts a request back at the head of its queue, or gives it up if its
+// caller has gone or its attempts are used up.
 func (c *Core) requeue(r *request) {
 	switch {
 	case r.queueElement != nil:
@@ -114,7 +119,8 @@
 	}
 }
 
-// scheduleWake sets the time at which the request is looked at next.
+// scheduleWake sets the request's timer to its next check, and to the deadline at
+// the latest.
 func (c *Core) scheduleWake(r *request) { c.timers.set(r.timer, min(r.Deadline, c.nextWake(r))) }
 
 func (c *Core) nextWake(r *request) time.Duration {
@@ -135,12 +141,14 @@
 	}
 }
 
-// latestStart is when a waiting request has to start to meet its deadline.
+// latestStart returns the latest time at which a queued request can start and
+// still be expected to meet its deadline.
 func latestStart(r *request) time.Duration {
 	learned := learnedTimes(r.flow, r.service)
 	return r.Deadline - learned.upperBound()
 }
 
+// wake runs on the request's timer and handles what is due in its phase.
 func (c *Core) wake(r *request) {
 	if c.now >= r.Deadline {
 		c.expire(r)
@@ -194,8 +202,8 @@
 	c.finish(r, a)
 }
 
-// finish answers a request, once. Attempts that may still run keep their slot
-// until their result or their expiry.
+// finish answers a request and removes it. Its attempts that may still run occupy
+// their slots until their result arrives or they expire.
 func (c *Core) finish(r *request, a Answer) {
 	c.cancelClaim(r)
 	c.emit(a)
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// service is one service's agents and waiting requests.
+// service holds the agents and the queued requests of one service.
 type service struct {
 	name         string
 	agents       []*agent // by name
 	queue        fairQueue
-	openRequests int // requests that are queued or under way
+	openRequests int // requests that are queued or in progress
 	times        serviceTimes
 	capacity     int           // slots that this entry may use
-	busy         int           // attempts that may hold one of them
-	lastUsableAt time.Duration // when an agent was last usable
-	needsRefresh bool          // the figures above have to be worked out again
-	noFreeAgent  bool          // no agent was free, and none has changed since
+	busy         int           // attempts that may occupy one of them
+	lastUsableAt time.Duration // last time at which some agent was usable
+	needsRefresh bool          // capacity and busy must be computed again
+	noFreeAgent  bool          // no agent could accept an attempt, and no slot or agent has changed since
 }
 
+// ensureService returns the service with the given name and creates it if needed.
 func (c *Core) ensureService(name string) *service {
 	s := c.services[name]
 	if s == nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// refreshCapacity works out the capacity again after a change of the agents.
+// refreshCapacity computes the capacity and the busy slots of a service again
+// after a change of its agents.
 func (c *Core) refreshCapacity(s *service) {
 	if !s.needsRefresh {
 		return
@@ -67,10 +69,10 @@
 	}
 }
 
-// pickAgent returns the least loaded agent that takes one more attempt, or nil. The
-// search begins at a place given by the request's hash, which spreads equal
-// loads. The agent that refused the request last is taken only when there is
-// no other.
+// pickAgent returns the least loaded agent that can accept one more attempt, or
+// nil. The search begins at an index given by the request's hash, so that requests
+// spread over equally loaded agents. The agent that refused the request last is
+// returned only if there is no other.
 func (c *Core) pickAgent(s *service, r *request) *agent {
 	var best *agent
 	var fallback *agent
@@ -100,7 +102,8 @@
 	return best
 }
 
-// firstIndex returns the index of the agent that a request is offered firstIndex.
+// firstIndex returns the index of the agent at which the search for a request
+// begins.
 func (s *service) firstIndex(r *request) int {
 	if len(s.agents) == 0 {
 		return 0
@@ -112,7 +115,7 @@
 
 func (a *agent) lessLoaded(b *agent) bool { return a.load()*b.slots < b.load()*a.slots }
 
-// dispatch starts waiting requests while agents are free.
+// dispatch starts queued requests while agents accept them.
 func (c *Core) dispatch(s *service) {
 	if !c.configFresh() || s.noFreeAgent {
 		return
@@ -132,6 +135,7 @@
 	}
 }
 
+// hashString returns the 64-bit FNV-1a hash of s.
 func hashString(s string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
@@ -141,7 +145,7 @@
 	return h
 }
 
-// mixBits spreads the bits of x over the whole word.
+// mixBits spreads the bits of x over the whole word (the finalizer of SplitMix64).
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/route/timer.go
+++ b/internal/route/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer calls run once, at the first Step at or after its time.
+// timer calls run once, in the first Step at or after its time.
 type timer struct {
 	at    time.Duration
 	seq   uint64
@@ -13,7 +13,8 @@
 	run   func()
 }
 
-// timers is a heap by time; equal times fire in the order of setting.
+// timers is a heap ordered by time. Timers with equal times fire in the order in
+// which they were set.
 type timers struct {
 	items []*timer
 	seq   uint64
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// serviceTimes is what has been learned of the service times of requests, as
-// moving averages.
+// serviceTimes holds exponential moving averages of the service times of requests.
 type serviceTimes struct {
 	mean      time.Duration
 	deviation time.Duration // mean absolute deviation
 }
 
-// learn takes in the time of one request.
+// learn adds the service time of one request to the averages.
 func (t *serviceTimes) learn(sample time.Duration) {
 	if t.mean == 0 {
 		t.mean = sample
@@ -21,10 +20,11 @@
 	t.deviation += time.Duration(learnRate * float64(diff.Abs()-t.deviation))
 }
 
-// upperBound is a time in which most requests end.
+// upperBound returns the time within which a request is expected to end.
 func (t *serviceTimes) upperBound() time.Duration { return t.mean + maxDeviations*t.deviation }
 
-// learnedTimes returns what is learned of a flow, or else of its service.
+// learnedTimes returns the service times of a flow, or those of its service while
+// the flow has none.
 func learnedTimes(f *flow, s *service) serviceTimes {
 	if f.times.mean > 0 {
 		return f.times
@@ -32,7 +32,7 @@
 	return s.times
 }
 
-// cost is the slot time that a request is charged for.
+// cost returns the slot time that a request of the flow is charged.
 func cost(f *flow, s *service) time.Duration {
 	t := learnedTimes(f, s)
 	if t.mean == 0 {
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -1,7 +1,7 @@
-// Package route is the decision core of request routing. It is pure: it does
-// no I/O, reads no clock and starts no goroutines. The caller passes events
-// and the time to Step and carries out the returned actions in order. Times
-// are durations since the start of the entry.
+// Package route is the decision core of request routing. It is deterministic: it
+// does no I/O, reads no clock and starts no goroutines. The caller passes events
+// and the time to Step and carries out the returned actions in order. Times are
+// durations since the start of the entry.
 package route
 
 import (
@@ -13,29 +13,30 @@
 // Event is an input of the core.
 type Event interface{ event() }
 
-// Request describes one accepted call. The body stays with the caller of the core.
+// Request describes one call. Its body stays with the caller of Step.
 type Request struct {
 	ID         string // unique among the calls of all entries
 	Service    string
 	Profile    string
 	Account    string
-	Weight     int // share of the slots, from the profile; at least 1
-	MaxQueue   int // bound of this profile's queue
+	Weight     int // the profile's weight in fair queueing; at least 1
+	MaxQueue   int // bound of the profile's queue; 0 means Config.MaxQueue
 	Key        string
 	Idempotent bool
 	Deadline   time.Duration // absolute
 }
 
-// Submit brings a new request. A non-idempotent request with a Key is claimed
-// in the table before its first execution.
+// Submit submits a new request. The Key of a non-idempotent request is claimed in
+// the table before its first execution.
 type Submit struct{ Request Request }
 
-// CallerGone says that the caller of a request has gone away. The request still ends
-// with one Answer: at once when nothing of it is under way.
+// CallerGone says that the caller of a request has disconnected. The request still
+// ends with one Answer, at once if it is queued and none of its attempts may have
+// run.
 type CallerGone struct{ ID string }
 
-// AgentUp says that a link with an agent is open. Another incarnation of the
-// same agent replaces the earlier one, whose executions are then lost.
+// AgentUp says that the link with an agent is open. A new incarnation of the agent
+// replaces the earlier one, whose executions are lost.
 type AgentUp struct {
 	Agent       string
 	Incarnation string
@@ -44,11 +45,12 @@
 	Slots       int
 }
 
-// AgentDown says that the link with an agent is lost. Executions there go on;
+// AgentDown says that the link with an agent is lost. Its executions go on, and
 // their results may arrive after the next AgentUp of the same incarnation.
 type AgentDown struct{ Agent string }
 
-// AgentStatus is an agent's heartbeat. ClockMS is the agent's own clock.
+// AgentStatus is an agent's heartbeat. ClockMS is the agent's own clock in
+// milliseconds.
 type AgentStatus struct {
 	Agent   string
 	ClockMS int64
@@ -57,8 +59,8 @@
 	Healthy bool
 }
 
-// Result is an agent's answer for one attempt. With OutcomeNotRun the agent
-// promises that this attempt has not run and never will.
+// Result is an agent's result of one attempt. OutcomeNotRun guarantees that the
+// attempt has not run and never will.
 type Result struct {
 	Agent   string
 	ID      string
@@ -67,9 +69,9 @@
 	Detail  string
 }
 
-// ClaimReply answers a Claim. Won means that this entry may execute the
-// attempt; otherwise Holder tells where the key's execution is, or Final its
-// answer. Failed means that the store gave no answer.
+// ClaimReply answers a Claim. Won means that this entry may execute the attempt.
+// Otherwise Holder names the execution that the key belongs to, and Final is its
+// recorded outcome, if any. Failed means that the table did not answer.
 type ClaimReply struct {
 	ID     string
 	Won    bool
@@ -78,7 +80,7 @@
 	Holder ClaimHolder
 }
 
-// ClaimHolder names the execution that a key belongs to. StampMS is that of
+// ClaimHolder identifies the execution that a key belongs to. StampMS is that of
 // its Execute.
 type ClaimHolder struct {
 	Agent       string
@@ -88,8 +90,8 @@
 	StampMS     int64
 }
 
-// Permit tells whether the entry's configuration is fresh enough to start
-// work, and which zones are out. It lapses after PermitMaxAge, so the shell
+// Permit tells whether the entry's configuration is fresh enough to start work,
+// and which zones are out. It lapses after PermitMaxAge, so the caller of Step
 // repeats it.
 type Permit struct {
 	Fresh    bool
@@ -99,10 +101,10 @@
 // Peers tells how many entries share the agents, this one included.
 type Peers struct{ Entries int }
 
-// Tick lets time pass; the shell sends one every TickInterval.
+// Tick runs the periodic checks; the caller of Step sends one every TickInterval.
 type Tick struct{}
 
-// Drain stops the acceptance of new requests, for a planned stop.
+// Drain makes the core refuse new requests, for a planned stop.
 type Drain struct{}
 
 func (Submit) event()      {}
@@ -117,14 +119,14 @@
 func (Tick) event()        {}
 func (Drain) event()       {}
 
-// TickInterval is the time between two Ticks.
+// TickInterval is the period of Ticks.
 const TickInterval = 20 * time.Millisecond
 
-// PermitMaxAge is how long a Permit holds, on the entry's clock.
+// PermitMaxAge is the lifetime of a Permit on the entry's clock.
 const PermitMaxAge = 500 * time.Millisecond
 
-// PermitTTL is how long an agent may start an execution after the clock stamp
-// that the execution carries.
+// PermitTTL is the lifetime of the permission to start an execution, counted on
+// the agent's clock from the stamp that the Execute carries.
 const PermitTTL = 1200 * time.Millisecond
 
 // Action is an output of the core.
@@ -134,7 +136,7 @@
 type Execute struct {
 	Agent       string
 	Incarnation string
-	ID          string // id of the execution, which may belong to another entry's request
+	ID          string // of the request
 	Attempt     uint32
 	StampMS     int64
 	PermitTTL   time.Duration
@@ -142,9 +144,11 @@
 	Idempotent  bool
 }
 
-// Void asks an agent for the result of an attempt; an agent that has not seen
-// the attempt answers OutcomeNotRun and never runs it. StampMS is that of the
-// attempt's Execute; it tells the agent whether it may have forgotten the attempt.
+// Void asks an agent for the result of an attempt and cancels it if it has not
+// started: an agent that has not seen the attempt answers OutcomeNotRun and never
+// runs it. The attempt may be of another entry's request. StampMS is that of the
+// attempt's Execute, from which the agent tells whether it may have forgotten the
+// attempt.
 type Void struct {
 	Agent       string
 	Incarnation string
@@ -153,15 +157,16 @@
 	StampMS     int64
 }
 
-// Ack lets an agent forget a result.
+// Ack acknowledges a result, which the agent may then forget.
 type Ack struct {
 	Agent   string
 	ID      string
 	Attempt uint32
 }
 
-// Claim asks the table for the key, for an attempt at the given agent. From is
-// the holder that this claim replaces after a certain not-run, or nil.
+// Claim claims the key in the table for the attempt of Holder. Replaces is the
+// earlier holder that this claim may replace because its execution is certain not
+// to have run, or nil.
 type Claim struct {
 	ID       string
 	Key      string
@@ -169,8 +174,8 @@
 	Replaces *ClaimHolder
 }
 
-// Answer ends a request. With FromResult the complete body is that of the
-// agent's result (ResultID, ResultAttempt), which the shell keeps.
+// Answer ends a request. If FromResult is set, the answer's body is that of the
+// agent's result for ResultID and ResultAttempt, which the caller of Step holds.
 type Answer struct {
 	ID            string
 	Outcome       api.Outcome
@@ -182,10 +187,11 @@
 	ResultAttempt uint32
 }
 
-// Record stores the final outcome of a claimed key. It applies only while the
-// row still names Holder. It comes before the request's Answer. A request that
-// is refused after its claim leaves the row: the next caller with the key asks
-// the holder's agent, learns that the attempt has not run, and replaces it.
+// Record stores the final outcome of a claimed key, provided that the row still
+// names Holder. It comes before the request's Answer. A request that is refused
+// after its claim leaves its row as it is: the next request with the key probes
+// the holder's agent, learns that the attempt has not run, and replaces the
+// holder.
 type Record struct {
 	ID      string
 	Key     string
@@ -200,10 +206,11 @@
 func (Answer) action()  {}
 func (Record) action()  {}
 
-// Reason says why a request was answered by the entry itself.
+// Reason says why a request was answered as it was: by a result, or by the entry
+// itself.
 type Reason string
 
-// The reasons of answers.
+// Reasons of answers.
 const (
 	ReasonResult              Reason = "result"
 	ReasonNoEndpoint          Reason = "no-endpoint"
