--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,25 +13,25 @@
 
 const benchSlots = 8
 
-// benchCore returns a core with ramped up agents.
-func benchCore(agents int) (*route.Core, time.Duration) {
+// newBenchCore returns a core with ramped up agents.
+func newBenchCore(agents int) (*route.Core, time.Duration) {
 	c := route.New(route.Config{Entries: 1, MaxQueue: 20000})
 	for i := range agents {
 		c.Step(0, route.AgentUp{Agent: fmt.Sprint("a", i), Incarnation: "i", Service: "svc", Zone: "z", Slots: benchSlots})
 	}
 	now := time.Minute
-	beatAll(c, agents, now)
+	heartbeatAll(c, agents, now)
 	return c, now
 }
 
-func beatAll(c *route.Core, agents int, now time.Duration) {
+func heartbeatAll(c *route.Core, agents int, now time.Duration) {
 	c.Step(now, route.Permit{Fresh: true})
 	for i := range agents {
 		c.Step(now, route.AgentStatus{Agent: fmt.Sprint("a", i), ClockMS: now.Milliseconds(), Healthy: true})
 	}
 }
 
-func submitTo(c *route.Core, now time.Duration, n int, account string) []route.Action {
+func submitBench(c *route.Core, now time.Duration, n int, account string) []route.Action {
 	return c.Step(now, route.Submit{Request: route.Request{
 		ID: fmt.Sprint("r", n), Service: "svc", Profile: account, Account: account, Weight: 1,
 		MaxQueue: 20000, Idempotent: true, Deadline: now + time.Hour,
@@ -43,12 +43,12 @@
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ agents, queued int }{{10, 0}, {100, 0}, {1000, 0}, {10, 10000}, {100, 10000}, {1000, 10000}} {
 		b.Run(fmt.Sprintf("agents=%d/queued=%d", size.agents, size.queued), func(b *testing.B) {
-			c, now := benchCore(size.agents)
+			c, now := newBenchCore(size.agents)
 			var sent []route.Execute
 			n := 0
 			add := func() {
 				n++
-				sent = appendExecutes(sent, submitTo(c, now, n, fmt.Sprint("account", n%50)))
+				sent = appendExecutes(sent, submitBench(c, now, n, fmt.Sprint("account", n%50)))
 			}
 			full := size.agents * benchSlots
 			for n < full/2 || size.queued > 0 && n < full+size.queued {
@@ -68,9 +68,9 @@
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("agents=%d/queued=10000", agents), func(b *testing.B) {
-			c, now := benchCore(agents)
+			c, now := newBenchCore(agents)
 			for n := range agents*benchSlots + 10000 {
-				submitTo(c, now, n, fmt.Sprint("account", n%50))
+				submitBench(c, now, n, fmt.Sprint("account", n%50))
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -96,40 +96,40 @@
 	for _, kind := range []string{"core", "fcfs-random"} {
 		for _, burst := range []int{0, 4000} {
 			b.Run(fmt.Sprintf("%s/burst=%d", kind, burst), func(b *testing.B) {
-				var p burstRun
+				var result burstResult
 				for range b.N {
-					p = runBurst(kind, burst)
+					result = runBurst(kind, burst)
 				}
-				b.ReportMetric(p.quantile(0.5), "p50-ms")
-				b.ReportMetric(p.quantile(0.99), "p99-ms")
-				b.ReportMetric(float64(p.refused), "not-run")
-				b.ReportMetric(float64(p.burstDone), "burst-done")
+				b.ReportMetric(result.quantile(0.5), "p50-ms")
+				b.ReportMetric(result.quantile(0.99), "p99-ms")
+				b.ReportMetric(float64(result.steadyRefused), "not-run")
+				b.ReportMetric(float64(result.burstDone), "burst-done")
 			})
 		}
 	}
 }
 
 const (
-	burstAgents = 10
-	burstSteady = 20 * time.Millisecond // between two requests of the steady account
-	burstLength = 30 * time.Second
-	burstAt     = 5 * time.Second
-	burstTime   = 100 * time.Millisecond // mean service time
-	burstWait   = 20 * time.Second       // timeout of every request
+	burstAgents     = 10
+	steadyInterval  = 20 * time.Millisecond // between two requests of the steady account
+	submitPeriod    = 30 * time.Second
+	burstAt         = 5 * time.Second
+	meanServiceTime = 100 * time.Millisecond // mean service time
+	burstTimeout    = 20 * time.Second       // timeout of every request
 )
 
-type burstRun struct {
-	took      []time.Duration // answer times of the steady account
-	refused   int
-	burstDone int
+type burstResult struct {
+	steadyTimes   []time.Duration // answer times of the steady account
+	steadyRefused int
+	burstDone     int
 }
 
-func (r *burstRun) quantile(q float64) float64 {
-	if len(r.took) == 0 {
+func (r *burstResult) quantile(q float64) float64 {
+	if len(r.steadyTimes) == 0 {
 		return 0
 	}
-	slices.Sort(r.took)
-	return float64(r.took[int(q*float64(len(r.took)-1))]) / float64(time.Millisecond)
+	slices.Sort(r.steadyTimes)
+	return float64(r.steadyTimes[int(q*float64(len(r.steadyTimes)-1))]) / float64(time.Millisecond)
 }
 
 // router is what the burst is measured on.
@@ -141,63 +141,63 @@
 
 // burstSim runs requests in virtual time on behalf of a router.
 type burstSim struct {
-	w       world
+	world   world
 	rnd     *rand.Rand
 	account map[int]string
 	arrived map[int]time.Duration
-	run     burstRun
+	result  burstResult
 	router  router
 }
 
-func runBurst(kind string, burst int) burstRun {
+func runBurst(kind string, burst int) burstResult {
 	s := &burstSim{rnd: rand.New(rand.NewPCG(7, 7)), account: map[int]string{}, arrived: map[int]time.Duration{}}
 	s.router = newRouter(kind, s)
 	id := 0
 	submit := func(account string) {
 		id++
 		s.account[id] = account
-		s.arrived[id] = s.w.now
-		s.router.submit(s.w.now, id, account)
+		s.arrived[id] = s.world.now
+		s.router.submit(s.world.now, id, account)
 	}
-	for at := time.Duration(0); at < burstLength; at += burstSteady {
-		s.w.after(at, func() { submit("steady") })
+	for at := time.Duration(0); at < submitPeriod; at += steadyInterval {
+		s.world.after(at, func() { submit("steady") })
 	}
-	s.w.after(burstAt, func() {
+	s.world.after(burstAt, func() {
 		for range burst {
 			submit("burst")
 		}
 	})
-	for at := time.Duration(0); at < burstLength+burstWait; at += route.TickInterval {
-		s.w.after(at, func() { s.router.tick(s.w.now) })
+	for at := time.Duration(0); at < submitPeriod+burstTimeout; at += route.TickInterval {
+		s.world.after(at, func() { s.router.tick(s.world.now) })
 	}
-	s.w.pass(burstLength + burstWait)
-	return s.run
+	s.world.advance(submitPeriod + burstTimeout)
+	return s.result
 }
 
 // start runs a request for an exponentially distributed time.
 func (s *burstSim) start(id int) {
-	took := time.Duration(s.rnd.ExpFloat64() * float64(burstTime))
-	s.w.after(took, func() {
+	took := time.Duration(s.rnd.ExpFloat64() * float64(meanServiceTime))
+	s.world.after(took, func() {
 		switch {
 		case s.account[id] == "burst":
-			s.run.burstDone++
+			s.result.burstDone++
 		default:
-			s.run.took = append(s.run.took, s.w.now-s.arrived[id])
+			s.result.steadyTimes = append(s.result.steadyTimes, s.world.now-s.arrived[id])
 		}
-		s.router.done(s.w.now, id)
+		s.router.done(s.world.now, id)
 	})
 }
 
 func (s *burstSim) refuse(id int) {
 	if s.account[id] == "steady" {
-		s.run.refused++
+		s.result.steadyRefused++
 	}
 }
 
 func newRouter(kind string, s *burstSim) router {
 	if kind == "core" {
-		c, now := benchCore(burstAgents)
-		return &coreRouter{sim: s, core: c, from: now, agents: map[int]string{}}
+		c, now := newBenchCore(burstAgents)
+		return &coreRouter{sim: s, core: c, offset: now, agents: map[int]string{}}
 	}
 	return &fcfsRouter{sim: s, queues: make([][]int, burstAgents), busy: make([]int, burstAgents), agents: map[int]int{}}
 }
@@ -205,26 +205,26 @@
 type coreRouter struct {
 	sim    *burstSim
 	core   *route.Core
-	from   time.Duration
+	offset time.Duration
 	agents map[int]string
 }
 
 func (r *coreRouter) submit(now time.Duration, id int, account string) {
-	r.apply(r.core.Step(r.from+now, route.Submit{Request: route.Request{
+	r.apply(r.core.Step(r.offset+now, route.Submit{Request: route.Request{
 		ID: fmt.Sprint(id), Service: "svc", Profile: account, Account: account, Weight: 1, MaxQueue: 10000,
-		Idempotent: true, Deadline: r.from + now + burstWait,
+		Idempotent: true, Deadline: r.offset + now + burstTimeout,
 	}}))
 }
 
 func (r *coreRouter) tick(now time.Duration) {
-	if now%beatInterval == 0 {
-		r.beat(now)
+	if now%heartbeatInterval == 0 {
+		r.sendHeartbeats(now)
 	}
-	r.apply(r.core.Step(r.from+now, route.Permit{Fresh: true}))
-	r.apply(r.core.Step(r.from+now, route.Tick{}))
+	r.apply(r.core.Step(r.offset+now, route.Permit{Fresh: true}))
+	r.apply(r.core.Step(r.offset+now, route.Tick{}))
 }
 
-func (r *coreRouter) beat(now time.Duration) {
+func (r *coreRouter) sendHeartbeats(now time.Duration) {
 	for i := range burstAgents {
 		inUse := 0
 		for _, a := range r.agents {
@@ -232,7 +232,7 @@
 				inUse++
 			}
 		}
-		r.apply(r.core.Step(r.from+now, route.AgentStatus{
+		r.apply(r.core.Step(r.offset+now, route.AgentStatus{
 			Agent: fmt.Sprint("a", i), ClockMS: now.Milliseconds(), InUse: inUse, Healthy: true,
 		}))
 	}
@@ -241,7 +241,7 @@
 func (r *coreRouter) done(now time.Duration, id int) {
 	agent := r.agents[id]
 	delete(r.agents, id)
-	r.apply(r.core.Step(r.from+now, route.Result{Agent: agent, ID: fmt.Sprint(id), Attempt: 1, Outcome: api.OutcomeDone}))
+	r.apply(r.core.Step(r.offset+now, route.Result{Agent: agent, ID: fmt.Sprint(id), Attempt: 1, Outcome: api.OutcomeDone}))
 }
 
 func (r *coreRouter) apply(actions []route.Action) {
@@ -274,7 +274,7 @@
 	a := r.sim.rnd.IntN(burstAgents)
 	r.agents[id] = a
 	r.queues[a] = append(r.queues[a], id)
-	r.serve(a)
+	r.startQueued(a)
 }
 
 func (r *fcfsRouter) tick(time.Duration) {}
@@ -282,14 +282,14 @@
 func (r *fcfsRouter) done(_ time.Duration, id int) {
 	a := r.agents[id]
 	r.busy[a]--
-	r.serve(a)
+	r.startQueued(a)
 }
 
-func (r *fcfsRouter) serve(a int) {
+func (r *fcfsRouter) startQueued(a int) {
 	for r.busy[a] < benchSlots && len(r.queues[a]) > 0 {
 		id := r.queues[a][0]
 		r.queues[a] = r.queues[a][1:]
-		if r.sim.w.now-r.sim.arrived[id] > burstWait {
+		if r.sim.world.now-r.sim.arrived[id] > burstTimeout {
 			r.sim.refuse(id)
 			continue
 		}
--- a/internal/route/scenario_test.go
+++ b/internal/route/scenario_test.go
@@ -26,39 +26,39 @@
 }
 
 type scenario struct {
-	t    *testing.T
-	d    *datadriven.TestData
-	core *Core
-	now  time.Duration
-	beat map[string]AgentStatus
-	last Permit
+	t          *testing.T
+	d          *datadriven.TestData
+	core       *Core
+	now        time.Duration
+	heartbeats map[string]AgentStatus
+	lastPermit Permit
 
 	serial int // makes ids for commands that are repeated
 }
 
-func (s *scenario) text(key, missing string) string {
-	s.d.MaybeScanArgs(s.t, key, &missing)
-	return missing
+func (s *scenario) stringArg(key, defaultValue string) string {
+	s.d.MaybeScanArgs(s.t, key, &defaultValue)
+	return defaultValue
 }
 
-func (s *scenario) number(key string, missing int) int {
-	s.d.MaybeScanArgs(s.t, key, &missing)
-	return missing
+func (s *scenario) intArg(key string, defaultValue int) int {
+	s.d.MaybeScanArgs(s.t, key, &defaultValue)
+	return defaultValue
 }
 
-func (s *scenario) flag(key string, missing bool) bool {
-	v, err := strconv.ParseBool(s.text(key, strconv.FormatBool(missing)))
-	s.check(key, err)
+func (s *scenario) boolArg(key string, defaultValue bool) bool {
+	v, err := strconv.ParseBool(s.stringArg(key, strconv.FormatBool(defaultValue)))
+	s.checkArg(key, err)
 	return v
 }
 
-func (s *scenario) duration(key string, missing time.Duration) time.Duration {
-	v, err := time.ParseDuration(s.text(key, missing.String()))
-	s.check(key, err)
+func (s *scenario) durationArg(key string, defaultValue time.Duration) time.Duration {
+	v, err := time.ParseDuration(s.stringArg(key, defaultValue.String()))
+	s.checkArg(key, err)
 	return v
 }
 
-func (s *scenario) check(key string, err error) {
+func (s *scenario) checkArg(key string, err error) {
 	if err != nil {
 		s.d.Fatalf(s.t, "argument %q: %v", key, err)
 	}
@@ -66,28 +66,28 @@
 
 func (s *scenario) run(t *testing.T, d *datadriven.TestData) string {
 	s.t, s.d = t, d
-	at := s.duration("at", s.now)
+	at := s.durationArg("at", s.now)
 	switch d.Cmd {
 	case "new":
-		*s = scenario{t: t, d: d, beat: map[string]AgentStatus{}, core: New(Config{
-			Entries:     s.number("entries", 1),
-			RetryBurst:  float64(s.number("retries", 0)),
-			MaxAttempts: s.number("max-attempts", 0),
-			MaxOpen:     s.number("max-open", 0),
-			MaxFlows:    s.number("max-flows", 0),
-			MaxAgents:   s.number("max-agents", 0),
+		*s = scenario{t: t, d: d, heartbeats: map[string]AgentStatus{}, core: New(Config{
+			Entries:     s.intArg("entries", 1),
+			RetryBurst:  float64(s.intArg("retries", 0)),
+			MaxAttempts: s.intArg("max-attempts", 0),
+			MaxOpen:     s.intArg("max-open", 0),
+			MaxFlows:    s.intArg("max-flows", 0),
+			MaxAgents:   s.intArg("max-agents", 0),
 		})}
-		s.last = Permit{Fresh: true}
-		return s.step(s.last)
+		s.lastPermit = Permit{Fresh: true}
+		return s.step(s.lastPermit)
 	case "agents":
-		return s.agents()
+		return s.describeAgents()
 	case "dump":
 		out, err := json.MarshalIndent(s.core.Dump(), "", " ")
-		s.check("dump", err)
+		s.checkArg("dump", err)
 		return string(out)
 	}
-	out := s.pass(at)
-	for range s.number("times", 1) {
+	out := s.advance(at)
+	for range s.intArg("times", 1) {
 		if e := s.event(); e != nil {
 			out += s.step(e)
 		}
@@ -95,68 +95,68 @@
 	return out
 }
 
-// pass lets time go by in ticks, with heartbeats of the live agents.
-func (s *scenario) pass(until time.Duration) string {
+// advance lets time go by in ticks, with heartbeats of the live agents.
+func (s *scenario) advance(until time.Duration) string {
 	var out strings.Builder
 	for s.now < until {
 		s.now = min(until, s.now+TickInterval)
 		if s.now%(200*time.Millisecond) == 0 {
-			for _, name := range slices.Sorted(maps.Keys(s.beat)) {
-				st := s.beat[name]
-				st.ClockMS = s.now.Milliseconds()
-				out.WriteString(s.step(st))
+			for _, name := range slices.Sorted(maps.Keys(s.heartbeats)) {
+				status := s.heartbeats[name]
+				status.ClockMS = s.now.Milliseconds()
+				out.WriteString(s.step(status))
 			}
 		}
-		out.WriteString(s.step(s.last))
+		out.WriteString(s.step(s.lastPermit))
 		out.WriteString(s.step(Tick{}))
 	}
 	return out.String()
 }
 
 func (s *scenario) event() Event {
-	agent := s.text("agent", "a1")
-	id := s.text("id", "r1")
+	agent := s.stringArg("agent", "a1")
+	id := s.stringArg("id", "r1")
 	if s.d.HasArg("times") {
 		s.serial++
 		id = fmt.Sprint(id, ".", s.serial)
 	}
 	switch s.d.Cmd {
 	case "permit":
-		s.last = Permit{Fresh: s.flag("fresh", true), ZonesOut: map[string]bool{s.text("out", ""): true}}
-		return s.last
+		s.lastPermit = Permit{Fresh: s.boolArg("fresh", true), ZonesOut: map[string]bool{s.stringArg("out", ""): true}}
+		return s.lastPermit
 	case "up":
-		s.beat[agent] = AgentStatus{Agent: agent, Healthy: true}
-		return AgentUp{agent, s.text("inc", "i1"), "svc", s.text("zone", "z1"), s.number("slots", 2)}
+		s.heartbeats[agent] = AgentStatus{Agent: agent, Healthy: true}
+		return AgentUp{agent, s.stringArg("inc", "i1"), "svc", s.stringArg("zone", "z1"), s.intArg("slots", 2)}
 	case "down":
-		delete(s.beat, agent)
+		delete(s.heartbeats, agent)
 		return AgentDown{agent}
 	case "silent":
-		delete(s.beat, agent)
+		delete(s.heartbeats, agent)
 		return nil
 	case "run":
 		return nil
 	case "status":
-		st := AgentStatus{agent, s.now.Milliseconds(), s.number("in-use", 0), s.flag("leaving", false), s.flag("healthy", true)}
-		s.beat[agent] = st
-		return st
+		status := AgentStatus{agent, s.now.Milliseconds(), s.intArg("in-use", 0), s.boolArg("leaving", false), s.boolArg("healthy", true)}
+		s.heartbeats[agent] = status
+		return status
 	case "submit":
 		return Submit{Request{
-			ID: id, Service: "svc", Profile: s.text("profile", "p1"), Account: s.text("account", "acc"),
-			Weight: s.number("weight", 1), MaxQueue: s.number("max-queue", 0), Key: s.text("key", ""),
-			Idempotent: s.flag("idempotent", false), Deadline: s.now + s.duration("timeout", 10*time.Second),
+			ID: id, Service: "svc", Profile: s.stringArg("profile", "p1"), Account: s.stringArg("account", "acc"),
+			Weight: s.intArg("weight", 1), MaxQueue: s.intArg("max-queue", 0), Key: s.stringArg("key", ""),
+			Idempotent: s.boolArg("idempotent", false), Deadline: s.now + s.durationArg("timeout", 10*time.Second),
 		}}
 	case "result":
-		return Result{agent, id, uint32(s.number("attempt", 1)), api.Outcome(s.text("outcome", "done")), ""}
+		return Result{agent, id, uint32(s.intArg("attempt", 1)), api.Outcome(s.stringArg("outcome", "done")), ""}
 	case "claim":
-		h := ClaimHolder{}
-		if holder := s.text("holder", ""); holder != "" {
-			h = ClaimHolder{holder, s.text("inc", "i1"), s.text("run", "other"), uint32(s.number("attempt", 1)), int64(s.number("stamp", 1))}
+		claimHolder := ClaimHolder{}
+		if holder := s.stringArg("holder", ""); holder != "" {
+			claimHolder = ClaimHolder{holder, s.stringArg("inc", "i1"), s.stringArg("run", "other"), uint32(s.intArg("attempt", 1)), int64(s.intArg("stamp", 1))}
 		}
-		return ClaimReply{id, s.flag("won", false), s.flag("failed", false), api.Outcome(s.text("final", "")), h}
+		return ClaimReply{id, s.boolArg("won", false), s.boolArg("failed", false), api.Outcome(s.stringArg("final", "")), claimHolder}
 	case "gone":
 		return CallerGone{id}
 	case "peers":
-		return Peers{s.number("entries", 2)}
+		return Peers{s.intArg("entries", 2)}
 	case "drain":
 		return Drain{}
 	}
@@ -198,7 +198,7 @@
 	return fmt.Sprintf("%T", action)
 }
 
-func (s *scenario) agents() string {
+func (s *scenario) describeAgents() string {
 	var out strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(s.core.agents)) {
 		a := s.core.agents[name]
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -12,82 +12,82 @@
 )
 
 const (
-	simTick      = 50 * time.Millisecond
-	beatInterval = 200 * time.Millisecond
-	silence      = 1500 * time.Millisecond
-	configMaxAge = time.Second
+	simTick           = 50 * time.Millisecond
+	heartbeatInterval = 200 * time.Millisecond
+	silenceTimeout    = 1500 * time.Millisecond
+	configMaxAge      = time.Second
 )
 
 // world is a model of two entries, some agents, the table and the links.
 type world struct {
-	rnd     *rand.Rand
-	now     time.Duration
-	wire    wire
-	seq     int
-	loss    float64 // of each message
-	double  float64
-	slow    float64
-	calm    bool // no more faults
-	entries []*entrySim
-	agents  []*agentSim
-	links   map[[2]string]*linkSim
-	table   map[string]*rowSim
-	down    bool // table
-	version uint64
-	out     map[string]time.Duration // zones out, and since when
-	oracle  *oracle
-}
-
-// proc is a process that can be paused; what reaches it then waits.
-type proc struct {
-	gen    int
-	paused bool
-	inbox  []func()
+	rng           *rand.Rand
+	now           time.Duration
+	pending       eventHeap
+	seq           int
+	lossRate      float64 // of each message
+	duplicateRate float64
+	delayRate     float64
+	faultsOff     bool // no more faults
+	entries       []*entrySim
+	agents        []*agentSim
+	links         map[[2]string]*linkSim
+	rows          map[string]*rowSim
+	tableDown     bool // table
+	configVersion uint64
+	zonesOut      map[string]time.Duration // zones out, and since when
+	oracle        *oracle
+}
+
+// process is a process that can be paused; what reaches it then waits.
+type process struct {
+	generation int
+	paused     bool
+	inbox      []func()
 }
 
 type entrySim struct {
-	proc
-	name      string
-	core      *route.Core
-	born      time.Duration
-	draining  bool
-	cutConfig bool
-	readAt    time.Duration
-	version   uint64
-	out       map[string]bool
-	result    *resultMsg
-	stored    map[string]int // executions of recorded answers, by request
+	process
+	name               string
+	core               *route.Core
+	startedAt          time.Duration
+	draining           bool
+	configCut          bool
+	configReadAt       time.Duration
+	version            uint64
+	zonesOut           map[string]bool
+	currentResult      *resultMessage
+	recordedExecutions map[string]int // executions of recorded answers, by request
 }
 
 type agentSim struct {
-	proc
-	name, zone string
-	core       *exec.Core
-	born       time.Duration
-	leaving    time.Duration // 0 while not
-	version    uint64
-	zoneOut    bool
-	until      time.Duration
-	bodies     map[exec.Ref]int
+	process
+	name, zone     string
+	core           *exec.Core
+	startedAt      time.Duration
+	leavingSince   time.Duration // 0 while not
+	version        uint64
+	zoneOut        bool
+	permittedUntil time.Duration
+	bodies         map[exec.Ref]int
 }
 
 // linkSim is the link between one entry and one agent.
 type linkSim struct {
-	gen                 int
-	cut                 bool
-	entryUp, agentUp    bool
-	entryHeard, agHeard time.Duration
+	generation                 int
+	cut                        bool
+	entryUp, agentUp           bool
+	entryHeardAt, agentHeardAt time.Duration
 }
 
 type rowSim struct {
-	holder  route.ClaimHolder
-	outcome api.Outcome
-	exec    int
+	holder    route.ClaimHolder
+	outcome   api.Outcome
+	execution int
 }
 
-type resultMsg struct {
-	ref  exec.Ref
-	body int // execution, or 0
+type resultMessage struct {
+	ref       exec.Ref
+	execution int // execution, or 0
 }
 
 type event struct {
@@ -96,16 +96,16 @@
 	run func()
 }
 
-// wire holds what happens later, in order of time.
-type wire []event
+// eventHeap holds what happens later, in order of time.
+type eventHeap []event
 
-func (w wire) Len() int      { return len(w) }
-func (w wire) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
-func (w wire) Less(i, j int) bool {
+func (w eventHeap) Len() int      { return len(w) }
+func (w eventHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (w eventHeap) Less(i, j int) bool {
 	return w[i].at < w[j].at || w[i].at == w[j].at && w[i].seq < w[j].seq
 }
-func (w *wire) Push(x any) { *w = append(*w, x.(event)) }
-func (w *wire) Pop() any {
+func (w *eventHeap) Push(x any) { *w = append(*w, x.(event)) }
+func (w *eventHeap) Pop() any {
 	old := *w
 	x := old[len(old)-1]
 	*w = old[:len(old)-1]
@@ -114,31 +114,31 @@
 
 func (w *world) after(d time.Duration, run func()) {
 	w.seq++
-	heap.Push(&w.wire, event{w.now + d, w.seq, run})
+	heap.Push(&w.pending, event{w.now + d, w.seq, run})
 }
 
 // send passes a message over a link, perhaps late, twice or never.
-func (w *world) send(l *linkSim, to *proc, deliver func()) {
+func (w *world) send(l *linkSim, to *process, deliver func()) {
 	copies := 1
-	if !w.calm && w.rnd.Float64() < w.double {
+	if !w.faultsOff && w.rng.Float64() < w.duplicateRate {
 		copies = 2
 	}
-	gen := to.gen
+	gen := to.generation
 	for range copies {
-		if l.cut || !w.calm && w.rnd.Float64() < w.loss {
+		if l.cut || !w.faultsOff && w.rng.Float64() < w.lossRate {
 			continue
 		}
-		delay := time.Millisecond * time.Duration(1+w.rnd.IntN(20))
-		if !w.calm && w.rnd.Float64() < w.slow {
-			delay = time.Millisecond * time.Duration(w.rnd.IntN(4000))
+		delay := time.Millisecond * time.Duration(1+w.rng.IntN(20))
+		if !w.faultsOff && w.rng.Float64() < w.delayRate {
+			delay = time.Millisecond * time.Duration(w.rng.IntN(4000))
 		}
-		w.after(delay, func() { to.reach(gen, deliver) })
+		w.after(delay, func() { to.receive(gen, deliver) })
 	}
 }
 
-func (p *proc) reach(gen int, deliver func()) {
+func (p *process) receive(gen int, deliver func()) {
 	switch {
-	case p.gen != gen:
+	case p.generation != gen:
 	case p.paused:
 		p.inbox = append(p.inbox, deliver)
 	default:
@@ -146,7 +146,7 @@
 	}
 }
 
-func (p *proc) resume() {
+func (p *process) resume() {
 	p.paused = false
 	inbox := p.inbox
 	p.inbox = nil
@@ -163,12 +163,12 @@
 	return w.links[k]
 }
 
-// pass lets time go by.
-func (w *world) pass(d time.Duration) {
+// advance lets time go by.
+func (w *world) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		next := min(end, w.now+simTick-w.now%simTick)
-		for len(w.wire) > 0 && w.wire[0].at <= next {
-			ev := heap.Pop(&w.wire).(event)
+		for len(w.pending) > 0 && w.pending[0].at <= next {
+			ev := heap.Pop(&w.pending).(event)
 			w.now = max(w.now, ev.at)
 			ev.run()
 		}
@@ -193,12 +193,12 @@
 }
 
 func (w *world) tickEntry(e *entrySim) {
-	if !e.cutConfig && w.now%(5*simTick) == 0 {
+	if !e.configCut && w.now%(5*simTick) == 0 {
 		w.readConfig(e)
 	}
 	for _, a := range w.agents {
 		l := w.link(e, a)
-		if l.entryUp && w.now-l.entryHeard > silence {
+		if l.entryUp && w.now-l.entryHeardAt > silenceTimeout {
 			l.entryUp = false
 			w.stepEntry(e, route.AgentDown{Agent: a.name})
 		}
@@ -206,102 +206,104 @@
 			w.connect(e, a, l)
 		}
 	}
-	w.stepEntry(e, route.Permit{Fresh: w.fresh(e), ZonesOut: e.out})
+	w.stepEntry(e, route.Permit{Fresh: w.configFresh(e), ZonesOut: e.zonesOut})
 	w.stepEntry(e, route.Tick{})
 	if e.draining && e.core.Idle() {
-		w.oracle.stopped(e)
+		w.oracle.entryStopped(e)
 		w.restartEntry(e)
 	}
 }
 
-func (w *world) fresh(e *entrySim) bool { return e.version > 0 && w.now-e.readAt <= configMaxAge }
+func (w *world) configFresh(e *entrySim) bool {
+	return e.version > 0 && w.now-e.configReadAt <= configMaxAge
+}
 
 func (w *world) readConfig(e *entrySim) {
-	e.readAt = w.now
-	e.version = w.version
-	e.out = map[string]bool{}
-	for zone := range w.out {
-		e.out[zone] = true
+	e.configReadAt = w.now
+	e.version = w.configVersion
+	e.zonesOut = map[string]bool{}
+	for zone := range w.zonesOut {
+		e.zonesOut[zone] = true
 	}
 }
 
 func (w *world) connect(e *entrySim, a *agentSim, l *linkSim) {
-	l.gen++
+	l.generation++
 	l.entryUp, l.agentUp = true, true
-	l.entryHeard, l.agHeard = w.now, w.now
+	l.entryHeardAt, l.agentHeardAt = w.now, w.now
 	w.stepEntry(e, route.AgentUp{Agent: a.name, Incarnation: a.incarnation(), Service: "svc", Zone: a.zone, Slots: 2})
 	w.stepAgent(a, exec.LinkUp{Entry: e.name})
 }
 
-// reset breaks a connection; what was sent over it may still arrive.
-func (w *world) reset(e *entrySim, a *agentSim) {
+// resetLink breaks a connection; what was sent over it may still arrive.
+func (w *world) resetLink(e *entrySim, a *agentSim) {
 	l := w.link(e, a)
 	if !l.entryUp || !l.agentUp {
 		return
 	}
 	l.entryUp, l.agentUp = false, false
-	w.stepAgentDown(e, a.name)
-	w.stepAgentLinkDown(a, e.name)
+	w.linkDownAtEntry(e, a.name)
+	w.linkDownAtAgent(a, e.name)
 }
 
-func (a *agentSim) incarnation() string { return fmt.Sprintf("%s.%d", a.name, a.gen) }
+func (a *agentSim) incarnation() string { return fmt.Sprintf("%s.%d", a.name, a.generation) }
 
-func (w *world) clock(a *agentSim) time.Duration { return w.now - a.born }
+func (w *world) clock(a *agentSim) time.Duration { return w.now - a.startedAt }
 
 func (w *world) tickAgent(a *agentSim) {
 	for _, e := range w.entries {
 		l := w.link(e, a)
-		if l.agentUp && w.now-l.agHeard > silence {
+		if l.agentUp && w.now-l.agentHeardAt > silenceTimeout {
 			l.agentUp, l.entryUp = false, false
 			w.stepAgent(a, exec.LinkDown{Entry: e.name})
-			w.stepAgentDown(e, a.name)
+			w.linkDownAtEntry(e, a.name)
 		}
-		if l.agentUp && w.now%beatInterval == 0 {
-			w.beat(e, a, l)
+		if l.agentUp && w.now%heartbeatInterval == 0 {
+			w.sendHeartbeat(e, a, l)
 		}
 	}
-	w.stepAgent(a, exec.Permission{Allowed: w.allowed(a)})
+	w.stepAgent(a, exec.Permission{Allowed: w.mayStart(a)})
 	w.stepAgent(a, exec.Tick{})
-	if a.leaving > 0 && a.core.Idle() {
+	if a.leavingSince > 0 && a.core.Idle() {
 		w.restartAgent(a)
 	}
 }
 
-func (w *world) allowed(a *agentSim) bool {
-	return a.version > 0 && !a.zoneOut && w.clock(a) <= a.until
+func (w *world) mayStart(a *agentSim) bool {
+	return a.version > 0 && !a.zoneOut && w.clock(a) <= a.permittedUntil
 }
 
-// beat sends an agent's heartbeat; the entry answers with its own.
-func (w *world) beat(e *entrySim, a *agentSim, l *linkSim) {
-	gen, inc := l.gen, a.gen
+// sendHeartbeat sends an agent's heartbeat; the entry answers with its own.
+func (w *world) sendHeartbeat(e *entrySim, a *agentSim, l *linkSim) {
+	linkGeneration, agentGeneration := l.generation, a.generation
 	clock := w.clock(a)
 	status := route.AgentStatus{
-		Agent: a.name, ClockMS: clock.Milliseconds(), InUse: a.core.InUse(), Leaving: a.leaving > 0, Healthy: true,
+		Agent: a.name, ClockMS: clock.Milliseconds(), InUse: a.core.InUse(), Leaving: a.leavingSince > 0, Healthy: true,
 	}
-	w.send(l, &e.proc, func() {
-		if l.gen != gen || !l.entryUp {
+	w.send(l, &e.process, func() {
+		if l.generation != linkGeneration || !l.entryUp {
 			return
 		}
-		l.entryHeard = w.now
+		l.entryHeardAt = w.now
 		w.stepEntry(e, status)
-		version, out, permit := e.version, e.out[a.zone], w.fresh(e)
-		w.send(l, &a.proc, func() {
-			if l.gen != gen || a.gen != inc {
+		version, out, permit := e.version, e.zonesOut[a.zone], w.configFresh(e)
+		w.send(l, &a.process, func() {
+			if l.generation != linkGeneration || a.generation != agentGeneration {
 				return
 			}
-			l.agHeard = w.now
+			l.agentHeardAt = w.now
 			if version > a.version {
 				a.version, a.zoneOut = version, out
 			}
 			if permit {
-				a.until = max(a.until, clock+route.PermitTTL)
+				a.permittedUntil = max(a.permittedUntil, clock+route.PermitTTL)
 			}
 		})
 	})
 }
 
 func (w *world) stepEntry(e *entrySim, ev route.Event) {
-	for _, action := range e.core.Step(w.now-e.born, ev) {
+	for _, action := range e.core.Step(w.now-e.startedAt, ev) {
 		w.applyEntry(e, action)
 	}
 }
@@ -309,7 +311,7 @@
 func (w *world) applyEntry(e *entrySim, action route.Action) {
 	switch x := action.(type) {
 	case route.Execute:
-		corrupt := !w.calm && w.rnd.Float64() < 0.01
+		corrupt := !w.faultsOff && w.rng.Float64() < 0.01
 		w.toAgent(e, x.Agent, exec.Execute{
 			Entry: e.name, Ref: exec.Ref{ID: x.ID, Attempt: x.Attempt}, Incarnation: x.Incarnation,
 			Stamp: time.Duration(x.StampMS) * time.Millisecond, Permit: x.PermitTTL, Timeout: x.Timeout,
@@ -327,62 +329,62 @@
 	case route.Record:
 		w.record(e, x)
 	case route.Answer:
-		w.oracle.answered(e, x)
+		w.oracle.requestAnswered(e, x)
 	}
 }
 
 func (w *world) toAgent(e *entrySim, name string, ev exec.Event) {
 	for _, a := range w.agents {
 		if a.name == name {
-			w.send(w.link(e, a), &a.proc, func() { w.stepAgent(a, ev) })
+			w.send(w.link(e, a), &a.process, func() { w.stepAgent(a, ev) })
 		}
 	}
 }
 
 // claim is a conditional write; its answer may be lost, also after the write.
 func (w *world) claim(e *entrySim, x route.Claim) {
-	gen := e.gen
+	gen := e.generation
 	write := func() (route.ClaimReply, bool) {
-		if w.down {
+		if w.tableDown {
 			return route.ClaimReply{ID: x.ID, Failed: true}, false
 		}
-		row := w.table[x.Key]
+		row := w.rows[x.Key]
 		if row == nil && x.Replaces == nil || row != nil && x.Replaces != nil && row.holder == *x.Replaces && row.outcome == "" {
-			w.table[x.Key] = &rowSim{holder: x.Holder}
+			w.rows[x.Key] = &rowSim{holder: x.Holder}
 			return route.ClaimReply{ID: x.ID, Won: true, Holder: x.Holder}, true
 		}
 		if row == nil {
 			return route.ClaimReply{ID: x.ID, Failed: true}, false
 		}
 		if row.outcome != "" {
-			e.stored[x.ID] = row.exec
+			e.recordedExecutions[x.ID] = row.execution
 		}
 		return route.ClaimReply{ID: x.ID, Won: row.holder == x.Holder && row.outcome == "", Holder: row.holder, Final: row.outcome}, true
 	}
-	lost := !w.calm && w.rnd.Float64() < 0.05
-	late := time.Duration(w.rnd.IntN(20)) * time.Millisecond
-	if !w.calm && w.rnd.Float64() < 0.1 {
-		late = time.Duration(w.rnd.IntN(2500)) * time.Millisecond
+	replyLost := !w.faultsOff && w.rng.Float64() < 0.05
+	delay := time.Duration(w.rng.IntN(20)) * time.Millisecond
+	if !w.faultsOff && w.rng.Float64() < 0.1 {
+		delay = time.Duration(w.rng.IntN(2500)) * time.Millisecond
 	}
-	w.after(late, func() {
+	w.after(delay, func() {
 		reply, _ := write()
-		if lost {
+		if replyLost {
 			reply = route.ClaimReply{ID: x.ID, Failed: true}
 		}
-		w.after(time.Millisecond, func() { e.reach(gen, func() { w.stepEntry(e, reply) }) })
+		w.after(time.Millisecond, func() { e.receive(gen, func() { w.stepEntry(e, reply) }) })
 	})
 }
 
 func (w *world) record(e *entrySim, x route.Record) {
-	body := 0
-	if e.result != nil {
-		body = e.result.body
+	execution := 0
+	if e.currentResult != nil {
+		execution = e.currentResult.execution
 	}
-	gen := e.gen
-	w.after(time.Duration(w.rnd.IntN(50))*time.Millisecond, func() {
-		row := w.table[x.Key]
-		if !w.down && e.gen == gen && row != nil && row.holder == x.Holder && row.outcome == "" {
-			row.outcome, row.exec = x.Outcome, body
+	gen := e.generation
+	w.after(time.Duration(w.rng.IntN(50))*time.Millisecond, func() {
+		row := w.rows[x.Key]
+		if !w.tableDown && e.generation == gen && row != nil && row.holder == x.Holder && row.outcome == "" {
+			row.outcome, row.execution = x.Outcome, execution
 		}
 	})
 }
@@ -391,20 +393,20 @@
 	for _, action := range a.core.Step(w.clock(a), ev) {
 		switch x := action.(type) {
 		case exec.Call:
-			w.call(a, x)
+			w.callEndpoint(a, x)
 		case exec.Forget:
 			delete(a.bodies, x.Ref)
 		case exec.Send:
-			w.reply(a, x)
+			w.sendResult(a, x)
 		}
 	}
 }
 
-// call runs the endpoint; a call that does not reach it has not run.
-func (w *world) call(a *agentSim, x exec.Call) {
+// callEndpoint runs the endpoint; a callEndpoint that does not reach it has not run.
+func (w *world) callEndpoint(a *agentSim, x exec.Call) {
 	outcome := api.OutcomeDone
-	switch p := w.rnd.Float64(); {
-	case w.calm || p < 0.85:
+	switch p := w.rng.Float64(); {
+	case w.faultsOff || p < 0.85:
 	case p < 0.9:
 		outcome = api.OutcomeFailed
 	case p < 0.95:
@@ -414,69 +416,69 @@
 	}
 	run := 0
 	if outcome != api.OutcomeNotRun {
-		run = w.oracle.called(a, x.Ref.ID)
+		run = w.oracle.executionStarted(a, x.Ref.ID)
 	}
-	gen := a.gen
-	took := time.Duration(20+w.rnd.IntN(300)) * time.Millisecond
-	if w.rnd.IntN(10) == 0 {
+	gen := a.generation
+	took := time.Duration(20+w.rng.IntN(300)) * time.Millisecond
+	if w.rng.IntN(10) == 0 {
 		took *= 10
 	}
 	w.after(took, func() {
-		a.reach(gen, func() {
-			w.oracle.ended(run, outcome)
+		a.receive(gen, func() {
+			w.oracle.executionEnded(run, outcome)
 			a.bodies[x.Ref] = run
 			w.stepAgent(a, exec.Called{Ref: x.Ref, Outcome: outcome, Size: 100})
 		})
 	})
 }
 
-func (w *world) reply(a *agentSim, x exec.Send) {
-	body := 0
+func (w *world) sendResult(a *agentSim, x exec.Send) {
+	execution := 0
 	if x.FromEndpoint {
-		body = a.bodies[x.Ref]
+		execution = a.bodies[x.Ref]
 	}
 	for _, e := range w.entries {
 		if e.name != x.Entry {
 			continue
 		}
-		w.send(w.link(e, a), &e.proc, func() {
-			e.result = &resultMsg{x.Ref, body}
+		w.send(w.link(e, a), &e.process, func() {
+			e.currentResult = &resultMessage{x.Ref, execution}
 			w.stepEntry(e, route.Result{Agent: a.name, ID: x.Ref.ID, Attempt: x.Ref.Attempt, Outcome: x.Outcome})
-			e.result = nil
+			e.currentResult = nil
 		})
 	}
 }
 
 // restartEntry replaces an entry by a new process of another name.
 func (w *world) restartEntry(e *entrySim) {
-	gen := e.gen + 1
+	gen := e.generation + 1
 	base := e.name[:2]
 	for _, a := range w.agents {
 		if w.link(e, a).agentUp {
-			w.stepAgentLinkDown(a, e.name)
+			w.linkDownAtAgent(a, e.name)
 		}
 	}
-	*e = entrySim{proc: proc{gen: gen}, name: fmt.Sprintf("%s.%d", base, gen), core: route.New(route.Config{}),
-		born: w.now, stored: map[string]int{}}
+	*e = entrySim{process: process{generation: gen}, name: fmt.Sprintf("%s.%d", base, gen), core: route.New(route.Config{}),
+		startedAt: w.now, recordedExecutions: map[string]int{}}
 }
 
-func (w *world) stepAgentLinkDown(a *agentSim, entry string) {
-	a.reach(a.gen, func() { w.stepAgent(a, exec.LinkDown{Entry: entry}) })
+func (w *world) linkDownAtAgent(a *agentSim, entry string) {
+	a.receive(a.generation, func() { w.stepAgent(a, exec.LinkDown{Entry: entry}) })
 }
 
-func (w *world) stepAgentDown(e *entrySim, agent string) {
-	e.reach(e.gen, func() { w.stepEntry(e, route.AgentDown{Agent: agent}) })
+func (w *world) linkDownAtEntry(e *entrySim, agent string) {
+	e.receive(e.generation, func() { w.stepEntry(e, route.AgentDown{Agent: agent}) })
 }
 
 // restartAgent replaces an agent by a new incarnation.
 func (w *world) restartAgent(a *agentSim) {
-	*a = agentSim{proc: proc{gen: a.gen + 1}, name: a.name, zone: a.zone, born: w.now, bodies: map[exec.Ref]int{}}
+	*a = agentSim{process: process{generation: a.generation + 1}, name: a.name, zone: a.zone, startedAt: w.now, bodies: map[exec.Ref]int{}}
 	a.core = exec.New(exec.Config{Incarnation: a.incarnation(), Slots: 2, Queue: 1, Keep: 20 * time.Second, MaxResults: 6, MaxBytes: 300})
 	for _, e := range w.entries {
 		l := w.link(e, a)
 		if l.entryUp {
 			l.entryUp, l.agentUp = false, false
-			w.stepAgentDown(e, a.name)
+			w.linkDownAtEntry(e, a.name)
 		}
 	}
 }
