--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,7 +13,7 @@
 
 const benchSlots = 8
 
-// newBenchCore returns a core with ramped up agents.
+// newBenchCore returns a core whose agents have completed their slow start.
 func newBenchCore(agents int) (*route.Core, time.Duration) {
 	c := route.New(route.Config{Entries: 1, MaxQueue: 20000})
 	for i := range agents {
@@ -38,8 +38,8 @@
 	}})
 }
 
-// BenchmarkStep measures the two Steps of a request, its Submit and its
-// Result, at a given number of agents and of requests that wait all the time.
+// BenchmarkStep measures the two Steps of a request, its Submit and its Result, at
+// a given number of agents and of requests that stay queued.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ agents, queued int }{{10, 0}, {100, 0}, {1000, 0}, {10, 10000}, {100, 10000}, {1000, 10000}} {
 		b.Run(fmt.Sprintf("agents=%d/queued=%d", size.agents, size.queued), func(b *testing.B) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkTick measures a Tick, which comes every TickInterval.
+// BenchmarkTick measures a Tick, which runs once per TickInterval.
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("agents=%d/queued=10000", agents), func(b *testing.B) {
@@ -89,9 +89,9 @@
 	return to
 }
 
-// BenchmarkBurst measures in virtual time what a burst of one account does to
-// the answer times of another account that offers a steady low load: by the
-// core, and by a first-come-first-served queue with random routing.
+// BenchmarkBurst measures in virtual time how a burst of one account affects the
+// answer times of another account with a steady low load, for the core and for
+// first-come-first-served queues with random routing.
 func BenchmarkBurst(b *testing.B) {
 	for _, kind := range []string{"core", "fcfs-random"} {
 		for _, burst := range []int{0, 4000} {
@@ -114,8 +114,8 @@
 	steadyInterval  = 20 * time.Millisecond // between two requests of the steady account
 	submitPeriod    = 30 * time.Second
 	burstAt         = 5 * time.Second
-	meanServiceTime = 100 * time.Millisecond // mean service time
-	burstTimeout    = 20 * time.Second       // timeout of every request
+	meanServiceTime = 100 * time.Millisecond
+	burstTimeout    = 20 * time.Second // of every request
 )
 
 type burstResult struct {
@@ -132,7 +132,7 @@
 	return float64(r.steadyTimes[int(q*float64(len(r.steadyTimes)-1))]) / float64(time.Millisecond)
 }
 
-// router is what the burst is measured on.
+// router is the system under measurement.
 type router interface {
 	submit(now time.Duration, id int, account string)
 	tick(now time.Duration)
--- a/internal/route/machine_test.go
+++ b/internal/route/machine_test.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// zoneOutBound: age of the configuration, the permission's time and one tick.
+	// zoneOutBound bounds the time from a zone being taken out to the last start
+	// of an execution there: the age of the configuration, the lifetime of the
+	// permission and two ticks.
 	zoneOutBound = configMaxAge + route.PermitTTL + 2*simTick
 	leavingBound = 2 * time.Second
 	maxTimeout   = 15 * time.Second
 )
 
-// submission is one call of a caller.
+// submission is one call and its answer.
 type submission struct {
 	id         string
 	key        string
@@ -35,17 +37,19 @@
 	outcome api.Outcome // once it has ended
 }
 
-// oracle knows what has been submitted, run and answered.
+// oracle records what has been submitted, executed and answered, and fails the
+// test when an invariant is violated.
 type oracle struct {
 	w          *world
 	fail       func(format string, args ...any)
 	submitted  map[string]*submission
 	order      []*submission
-	executions []execution // execution n is at n-1
+	executions []execution // execution number n is at index n-1
 	runCounts  map[string]int
 }
 
-// executionStarted counts an execution and returns its number.
+// executionStarted counts an execution and returns its number. It fails if the
+// zone is out, the agent leaving, or the request or its key may not run (again).
 func (o *oracle) executionStarted(a *agentSim, id string) int {
 	s := o.submitted[id]
 	if since, out := o.w.zonesOut[a.zone]; out && o.w.now > since+zoneOutBound {
@@ -92,8 +96,8 @@
 	s.answer = x.Outcome
 }
 
-// checkBody checks that an answer is that of a complete execution of the
-// request, or of its key.
+// checkBody checks that an answer is the result of a complete execution of the
+// request, or of another request with the same key.
 func (o *oracle) checkBody(e *entrySim, s *submission, x route.Answer) {
 	run := e.recordedExecutions[x.ID]
 	if x.FromResult {
@@ -117,7 +121,7 @@
 	}
 }
 
-// entryStopped checks that a planned stop has cut off no request.
+// entryStopped checks that a planned stop has left no request unanswered.
 func (o *oracle) entryStopped(e *entrySim) {
 	for _, s := range o.order {
 		if s.entry == e && s.gen == e.generation && s.answer == "" {
@@ -126,7 +130,8 @@
 	}
 }
 
-// unanswered returns the submissions that a live process still has to answer.
+// unanswered returns the submissions without an answer whose entry process still
+// exists.
 func (o *oracle) unanswered() []*submission {
 	var out []*submission
 	for _, s := range o.order {
@@ -188,7 +193,8 @@
 	})
 }
 
-// resubmitUnanswered repeats the lost calls of an entry through the other one.
+// resubmitUnanswered repeats the unanswered keyed calls of a killed entry process
+// at the other entry.
 func (w *world) resubmitUnanswered(killed, other *entrySim, gen int) {
 	for _, s := range w.oracle.order {
 		if s.entry == killed && s.gen == gen && s.answer == "" && s.key != "" {
@@ -197,7 +203,8 @@
 	}
 }
 
-// endFaults ends all faults and lets the open requests come to their end.
+// endFaults ends all faults and checks that all open requests are answered and
+// that no state is left of them.
 func (w *world) endFaults() {
 	w.faultsOff, w.tableDown = true, false
 	w.zonesOut = map[string]time.Duration{}
@@ -221,7 +228,8 @@
 	w.checkIdle()
 }
 
-// checkIdle checks that nothing is left of the requests some time later.
+// checkIdle checks that entries and agents hold no state of the requests some
+// time later.
 func (w *world) checkIdle() {
 	w.advance(maxTimeout + 5*time.Second)
 	for _, e := range w.entries {
@@ -236,8 +244,9 @@
 	}
 }
 
-// TestRouteMachine runs two route cores and three exec cores under drawn
-// faults against an oracle that counts executions.
+// TestRouteMachine runs two route cores and three exec cores under random faults.
+// An oracle checks that non-idempotent requests run at most once, that answers
+// agree with the executions, and that each request is answered once.
 func TestRouteMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -246,8 +255,9 @@
 	})
 }
 
-// faultActions are the actions. Each comes after some new requests, lasts for a drawn
-// time, and some time passes before the next one.
+// faultActions returns the actions of the rapid state machine. Each submits some
+// requests, begins a fault that lasts for a random time, and then lets some time
+// pass.
 func faultActions(w *world) map[string]func(*rapid.T) {
 	entry := rapid.SampledFrom(w.entries)
 	agent := rapid.SampledFrom(w.agents)
--- a/internal/route/scenario_test.go
+++ b/internal/route/scenario_test.go
@@ -16,8 +16,9 @@
 )
 
 // TestScenarios runs the scripts in testdata. Each command is one event at the
-// time of its "at" argument; "run" sends ticks, and heartbeats of the named
-// agents, up to that time. The output is the list of actions.
+// time of its "at" argument; before it, ticks and the heartbeats of the live
+// agents are sent up to that time. "run" does only the latter. The output is the
+// list of actions.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &scenario{core: New(Config{})}
@@ -33,7 +34,7 @@
 	heartbeats map[string]AgentStatus
 	lastPermit Permit
 
-	serial int // makes ids for commands that are repeated
+	serial int // last suffix of the ids of repeated commands
 }
 
 func (s *scenario) stringArg(key, defaultValue string) string {
@@ -95,7 +96,7 @@
 	return out
 }
 
-// advance lets time go by in ticks, with heartbeats of the live agents.
+// advance moves the time forward in ticks, with heartbeats of the live agents.
 func (s *scenario) advance(until time.Duration) string {
 	var out strings.Builder
 	for s.now < until {
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -18,27 +18,28 @@
 	configMaxAge      = time.Second
 )
 
-// world is a model of two entries, some agents, the table and the links.
+// world is a simulation of two entries, some agents, the table and the links.
 type world struct {
 	rng           *rand.Rand
 	now           time.Duration
 	pending       eventHeap
 	seq           int
-	lossRate      float64 // of each message
-	duplicateRate float64
-	delayRate     float64
-	faultsOff     bool // no more faults
+	lossRate      float64 // probability that a copy of a message is lost
+	duplicateRate float64 // probability that a message is sent twice
+	delayRate     float64 // probability that a copy is delayed by up to 4 s
+	faultsOff     bool
 	entries       []*entrySim
 	agents        []*agentSim
 	links         map[[2]string]*linkSim
 	rows          map[string]*rowSim
 	tableDown     bool // table
 	configVersion uint64
-	zonesOut      map[string]time.Duration // zones out, and since when
+	zonesOut      map[string]time.Duration // zones that are out, and since when
 	oracle        *oracle
 }
 
-// process is a process that can be paused; what reaches it then waits.
+// process is a process that can be paused. Messages that reach it during a pause
+// are handled afterwards.
 type process struct {
 	generation int
 	paused     bool
@@ -56,7 +57,7 @@
 	version            uint64
 	zonesOut           map[string]bool
 	currentResult      *resultMessage
-	recordedExecutions map[string]int // executions of recorded answers, by request
+	recordedExecutions map[string]int // executions whose recorded outcomes were read, by request
 }
 
 type agentSim struct {
@@ -64,7 +65,7 @@
 	name, zone     string
 	core           *exec.Core
 	startedAt      time.Duration
-	leavingSince   time.Duration // 0 while not
+	leavingSince   time.Duration // 0 while not leaving
 	version        uint64
 	zoneOut        bool
 	permittedUntil time.Duration
@@ -87,7 +88,7 @@
 
 type resultMessage struct {
 	ref       exec.Ref
-	execution int // execution, or 0
+	execution int // 0 without a body
 }
 
 type event struct {
@@ -96,7 +97,7 @@
 	run func()
 }
 
-// eventHeap holds what happens later, in order of time.
+// eventHeap holds future events, ordered by time and then by creation.
 type eventHeap []event
 
 func (w eventHeap) Len() int      { return len(w) }
@@ -117,7 +118,7 @@
 	heap.Push(&w.pending, event{w.now + d, w.seq, run})
 }
 
-// send passes a message over a link, perhaps late, twice or never.
+// send sends a message over a link. It may arrive late, twice or never.
 func (w *world) send(l *linkSim, to *process, deliver func()) {
 	copies := 1
 	if !w.faultsOff && w.rng.Float64() < w.duplicateRate {
@@ -163,7 +164,7 @@
 	return w.links[k]
 }
 
-// advance lets time go by.
+// advance runs the simulation for the given time.
 func (w *world) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		next := min(end, w.now+simTick-w.now%simTick)
@@ -235,7 +236,7 @@
 	w.stepAgent(a, exec.LinkUp{Entry: e.name})
 }
 
-// resetLink breaks a connection; what was sent over it may still arrive.
+// resetLink breaks a connection. Messages already sent over it may still arrive.
 func (w *world) resetLink(e *entrySim, a *agentSim) {
 	l := w.link(e, a)
 	if !l.entryUp || !l.agentUp {
@@ -341,7 +342,8 @@
 	}
 }
 
-// claim is a conditional write; its answer may be lost, also after the write.
+// claim makes a conditional write to the table. Its reply may be lost even if the
+// write has been applied.
 func (w *world) claim(e *entrySim, x route.Claim) {
 	gen := e.generation
 	write := func() (route.ClaimReply, bool) {
@@ -402,7 +404,8 @@
 	}
 }
 
-// callEndpoint runs the endpoint; a callEndpoint that does not reach it has not run.
+// callEndpoint simulates a call of the endpoint. A call with OutcomeNotRun has
+// not reached the endpoint and does not count as an execution.
 func (w *world) callEndpoint(a *agentSim, x exec.Call) {
 	outcome := api.OutcomeDone
 	switch p := w.rng.Float64(); {
@@ -449,7 +452,7 @@
 	}
 }
 
-// restartEntry replaces an entry by a new process of another name.
+// restartEntry replaces an entry by a new process with another name.
 func (w *world) restartEntry(e *entrySim) {
 	gen := e.generation + 1
 	base := e.name[:2]
