--- a/internal/entry/requests/claims.go
+++ b/internal/entry/requests/claims.go
@@ -23,10 +23,10 @@
 	claimTimeout = 3 * time.Second
 	// recordTimeout bounds how long an answer waits to be recorded; until then
 	// the agent keeps it.
-	recordTimeout = 5 * time.Minute
-	recordRetry   = 500 * time.Millisecond
-	maxClaimOps   = 1024 // at once
-	maxClaimTries = 4
+	recordTimeout       = 5 * time.Minute
+	recordRetryInterval = 500 * time.Millisecond
+	maxConcurrentOps    = 1024 // at once
+	maxClaimTries       = 4
 	// keyRetryAfter is when to come back with a key whose row cannot be read.
 	keyRetryAfter = 2 * time.Second
 	// maxInlineBody is the largest answer kept in the table's row itself.
@@ -49,12 +49,12 @@
 // claims keeps the rows of idempotency keys. It is called with the service's
 // lock held and does its I/O in goroutines of bounded number.
 type claims struct {
-	service *Service
-	ledger  ledger.Ledger
-	objects external.Objects
-	lookups lookups
-	slots   chan struct{}
-	running sync.WaitGroup
+	service    *Service
+	ledger     ledger.Ledger
+	objects    external.Objects
+	lookups    lookups
+	opSlots    chan struct{}
+	runningOps sync.WaitGroup
 
 	// recording holds executions whose answer is being recorded, with the
 	// acknowledgements that wait for it. Guarded by Service.mu.
@@ -67,33 +67,33 @@
 		ledger:    l,
 		objects:   objects,
 		lookups:   lookups{ledger: l},
-		slots:     make(chan struct{}, maxClaimOps),
+		opSlots:   make(chan struct{}, maxConcurrentOps),
 		recording: map[route.ClaimHolder][]route.Ack{},
 	}
 }
 
-// claimKey returns the row of a key; keys of different accounts and services
+// claimRowKey returns the row of a key; keys of different accounts and services
 // are different.
-func claimKey(account, service, key string) string {
+func claimRowKey(account, service, key string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + service + "\x00" + key))
 	return claimPrefix + hex.EncodeToString(sum[:])
 }
 
-// standing tells what is known of a call's key before the call is admitted.
-type standing struct {
+// keyStatus tells what is known of a call's key before the call is admitted.
+type keyStatus struct {
 	reply *Reply // the call's answer, when there is one already
 	// mayHaveRun is set when an earlier call with the key may have run; a
 	// refusal of this one must not say not-run then.
 	mayHaveRun bool
 }
 
-// standing reads the row of a key. Invariant: a call with a key is refused as
+// lookUpKey reads the row of a key. Invariant: a call with a key is refused as
 // not-run only after its row was read and named no execution, so that the
 // refusal is true of all earlier calls with the key.
-func (c *claims) standing(call Call) standing {
-	row, err := c.lookups.get(claimKey(call.Profile.ClientAccount, call.Service, call.Key), call.Timeout)
+func (c *claims) lookUpKey(call Call) keyStatus {
+	row, err := c.lookups.get(claimRowKey(call.Profile.ClientAccount, call.Service, call.Key), call.Timeout)
 	if err != nil {
-		return standing{reply: &Reply{
+		return keyStatus{reply: &Reply{
 			Outcome:    api.OutcomeUnknown,
 			Reason:     route.ReasonStoreUnavailable,
 			Detail:     "this call has not run; whether an earlier one with the same key has cannot be read now; repeat it with the same key",
@@ -101,61 +101,61 @@
 		}}
 	}
 	if row.Version == 0 {
-		return standing{}
+		return keyStatus{}
 	}
 	var claimed claimRow
 	if err := json.Unmarshal(row.Data, &claimed); err != nil {
-		return standing{mayHaveRun: true}
+		return keyStatus{mayHaveRun: true}
 	}
-	return standing{mayHaveRun: claimed.Outcome != api.OutcomeNotRun}
+	return keyStatus{mayHaveRun: claimed.Outcome != api.OutcomeNotRun}
 }
 
 func (c *claims) spawn(fn func()) bool {
 	select {
-	case c.slots <- struct{}{}:
+	case c.opSlots <- struct{}{}:
 	default:
 		return false
 	}
-	c.running.Add(1)
+	c.runningOps.Add(1)
 	go func() {
-		defer c.running.Done()
+		defer c.runningOps.Done()
 		fn()
-		<-c.slots
+		<-c.opSlots
 	}()
 	return true
 }
 
-func (c *claims) claim(act route.Claim) {
-	w := c.service.waiters[act.ID]
+func (c *claims) startClaim(action route.Claim) {
+	w := c.service.waiters[action.ID]
 	if w == nil {
 		return
 	}
 	ok := c.spawn(func() {
-		reply := c.tryClaim(act, w)
+		reply := c.tryClaim(action, w)
 		c.service.step(reply)
 	})
 	if !ok {
 		metrics.GetOrRegisterCounter("claims.overloaded", c.service.registry).Inc(1)
-		c.later(route.ClaimReply{ID: act.ID, Failed: true})
+		c.stepAsync(route.ClaimReply{ID: action.ID, Failed: true})
 	}
 }
 
-// later steps the core outside of the current step.
-func (c *claims) later(ev route.Event) {
+// stepAsync steps the core outside of the current step.
+func (c *claims) stepAsync(ev route.Event) {
 	go c.service.step(ev)
 }
 
-func (c *claims) tryClaim(act route.Claim, w *waiter) route.ClaimReply {
+func (c *claims) tryClaim(action route.Claim, w *waiter) route.ClaimReply {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	key := claimKey(w.call.Profile.ClientAccount, w.call.Service, act.Key)
-	row := claimRow{Holder: act.Holder, Digest: rpc.Digest(w.call.Body), Created: time.Now().UTC()}
-	failed := route.ClaimReply{ID: act.ID, Failed: true}
+	key := claimRowKey(w.call.Profile.ClientAccount, w.call.Service, action.Key)
+	row := claimRow{Holder: action.Holder, Digest: rpc.Digest(w.call.Body), Created: time.Now().UTC()}
+	failed := route.ClaimReply{ID: action.ID, Failed: true}
 	version := uint64(0)
 	for range maxClaimTries {
 		rows, err := c.ledger.Commit(ctx, ledger.CauseClaim, ledger.Write{Key: key, Version: version, Data: ledger.Encode(row)})
 		if err == nil {
-			return route.ClaimReply{ID: act.ID, Won: true, Holder: act.Holder}
+			return route.ClaimReply{ID: action.ID, Won: true, Holder: action.Holder}
 		}
 		if !errors.Is(err, ledger.ErrConflict) {
 			return failed
@@ -164,12 +164,12 @@
 		if version == 0 {
 			continue // the row has expired meanwhile
 		}
-		var old claimRow
-		if err := json.Unmarshal(rows[0].Data, &old); err != nil {
+		var current claimRow
+		if err := json.Unmarshal(rows[0].Data, &current); err != nil {
 			return failed
 		}
-		if !replaceable(old, act.Replaces) {
-			return c.existing(ctx, act, w, old)
+		if !replaceable(current, action.Replaces) {
+			return c.replyFromRow(ctx, action, w, current)
 		}
 	}
 	return failed
@@ -177,48 +177,48 @@
 
 // replaceable reports whether a claim may take the row over: the execution
 // that it names has certainly not run.
-func replaceable(old claimRow, from *route.ClaimHolder) bool {
-	if old.Outcome == api.OutcomeNotRun {
+func replaceable(current claimRow, replaces *route.ClaimHolder) bool {
+	if current.Outcome == api.OutcomeNotRun {
 		return true
 	}
-	return old.Outcome == "" && from != nil && old.Holder == *from
+	return current.Outcome == "" && replaces != nil && current.Holder == *replaces
 }
 
-// existing answers a claim with the row of an earlier one.
-func (c *claims) existing(ctx context.Context, act route.Claim, w *waiter, row claimRow) route.ClaimReply {
+// replyFromRow answers a claim with the row of an earlier one.
+func (c *claims) replyFromRow(ctx context.Context, action route.Claim, w *waiter, row claimRow) route.ClaimReply {
 	if row.Digest != rpc.Digest(w.call.Body) {
-		c.mismatch(act.ID, w)
-		return route.ClaimReply{ID: act.ID, Failed: true}
+		c.answerKeyReused(action.ID, w)
+		return route.ClaimReply{ID: action.ID, Failed: true}
 	}
 	if row.Outcome == "" {
-		return route.ClaimReply{ID: act.ID, Won: row.Holder == act.Holder, Holder: row.Holder}
+		return route.ClaimReply{ID: action.ID, Won: row.Holder == action.Holder, Holder: row.Holder}
 	}
 	if row.Object != "" {
 		body, err := c.objects.Get(ctx, row.Object)
 		if err != nil {
-			c.unreadable(act.ID, w)
-			return route.ClaimReply{ID: act.ID, Failed: true}
+			c.answerUnreadable(action.ID, w)
+			return route.ClaimReply{ID: action.ID, Failed: true}
 		}
 		row.Body = body
 	}
 	c.service.mu.Lock()
-	w.stored = &row
+	w.recordedRow = &row
 	c.service.mu.Unlock()
-	return route.ClaimReply{ID: act.ID, Final: row.Outcome, Holder: row.Holder}
+	return route.ClaimReply{ID: action.ID, Final: row.Outcome, Holder: row.Holder}
 }
 
-// mismatch answers a call whose key was used with another body.
-func (c *claims) mismatch(id string, w *waiter) {
-	c.end(id, w, Reply{
+// answerKeyReused answers a call whose key was used with another body.
+func (c *claims) answerKeyReused(id string, w *waiter) {
+	c.answerNow(id, w, Reply{
 		Outcome: api.OutcomeNotRun,
 		Reason:  ReasonKeyReused,
 		Detail:  "the idempotency key belongs to a request with another body",
 	})
 }
 
-// unreadable answers a call whose recorded answer the object store does not give.
-func (c *claims) unreadable(id string, w *waiter) {
-	c.end(id, w, Reply{
+// answerUnreadable answers a call whose recorded answer the object store does not give.
+func (c *claims) answerUnreadable(id string, w *waiter) {
+	c.answerNow(id, w, Reply{
 		Outcome:    api.OutcomeUnknown,
 		Reason:     route.ReasonStoreUnavailable,
 		Detail:     "the recorded answer cannot be read now; repeat the call with the same key",
@@ -226,9 +226,9 @@
 	})
 }
 
-// end answers a call before the core does, which then takes the caller for gone
+// answerNow answers a call before the core does, which then takes the caller for gone
 // and a failed claim not for a failure of the table.
-func (c *claims) end(id string, w *waiter, reply Reply) {
+func (c *claims) answerNow(id string, w *waiter, reply Reply) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
 	if c.service.waiters[id] != w {
@@ -242,48 +242,48 @@
 // ReasonKeyReused says that a key came with another body than the first time.
 const ReasonKeyReused route.Reason = "key-reused"
 
-// record keeps the answer of a claimed key, so that it outlives its agent.
-func (c *claims) record(act route.Record, result *rpc.RequestResult) {
-	w := c.service.waiters[act.ID]
+// startRecord keeps the answer of a claimed key, so that it outlives its agent.
+func (c *claims) startRecord(action route.Record, result *rpc.RequestResult) {
+	w := c.service.waiters[action.ID]
 	if w == nil {
 		return
 	}
 	row := claimRow{
-		Holder:  act.Holder,
+		Holder:  action.Holder,
 		Digest:  rpc.Digest(w.call.Body),
 		Created: time.Now().UTC(),
-		Outcome: act.Outcome,
+		Outcome: action.Outcome,
 	}
 	if result != nil {
 		row.Status = int(result.Status)
 		row.ContentType = result.ContentType
 		row.Body = result.Body
 	}
-	key := claimKey(w.call.Profile.ClientAccount, w.call.Service, act.Key)
-	if _, ok := c.recording[act.Holder]; ok {
+	key := claimRowKey(w.call.Profile.ClientAccount, w.call.Service, action.Key)
+	if _, ok := c.recording[action.Holder]; ok {
 		return
 	}
-	if c.spawn(func() { c.keep(key, row) }) {
-		c.recording[act.Holder] = nil
+	if c.spawn(func() { c.recordWithRetry(key, row) }) {
+		c.recording[action.Holder] = nil
 	}
 }
 
-func (c *claims) keep(key string, row claimRow) {
+func (c *claims) recordWithRetry(key string, row claimRow) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	kept := false
-	for ctx.Err() == nil && !kept {
-		kept = c.tryKeep(ctx, key, row)
-		if !kept {
+	recorded := false
+	for ctx.Err() == nil && !recorded {
+		recorded = c.tryRecord(ctx, key, row)
+		if !recorded {
 			metrics.GetOrRegisterCounter("claims.record_retries", c.service.registry).Inc(1)
-			kernel.Sleep(ctx, recordRetry)
+			kernel.Sleep(ctx, recordRetryInterval)
 		}
 	}
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
 	acks := c.recording[row.Holder]
 	delete(c.recording, row.Holder)
-	if !kept {
+	if !recorded {
 		return // the agent keeps the answer until it expires there
 	}
 	for _, a := range acks {
@@ -291,7 +291,7 @@
 	}
 }
 
-func (c *claims) tryKeep(ctx context.Context, key string, row claimRow) bool {
+func (c *claims) tryRecord(ctx context.Context, key string, row claimRow) bool {
 	if len(row.Body) > maxInlineBody {
 		row.Object = "answers/" + key
 		if err := c.objects.Put(ctx, row.Object, row.Body); err != nil {
@@ -299,43 +299,43 @@
 		}
 		row.Body = nil
 	}
-	current, err := c.ledger.Get(ctx, ledger.CauseClaim, key)
+	rows, err := c.ledger.Get(ctx, ledger.CauseClaim, key)
 	if err != nil {
 		return false
 	}
-	var old claimRow
-	if current[0].Version == 0 || json.Unmarshal(current[0].Data, &old) != nil {
+	var current claimRow
+	if rows[0].Version == 0 || json.Unmarshal(rows[0].Data, &current) != nil {
 		return true // the row has expired
 	}
-	if old.Outcome != "" || old.Holder != row.Holder {
+	if current.Outcome != "" || current.Holder != row.Holder {
 		return true // recorded by another entry
 	}
-	_, err = c.ledger.Commit(ctx, ledger.CauseClaim, ledger.Write{Key: key, Version: current[0].Version, Data: ledger.Encode(row)})
+	_, err = c.ledger.Commit(ctx, ledger.CauseClaim, ledger.Write{Key: key, Version: rows[0].Version, Data: ledger.Encode(row)})
 	return err == nil
 }
 
-// ack sends an acknowledgement, or keeps it until the answer is recorded.
-func (c *claims) ack(act route.Ack) {
+// ackOrDefer sends an acknowledgement, or keeps it until the answer is recorded.
+func (c *claims) ackOrDefer(action route.Ack) {
 	for holder, acks := range c.recording {
-		if holder.RequestID == act.ID && holder.Attempt == act.Attempt {
-			c.recording[holder] = append(acks, act)
+		if holder.RequestID == action.ID && holder.Attempt == action.Attempt {
+			c.recording[holder] = append(acks, action)
 			return
 		}
 	}
-	c.sendAck(act)
+	c.sendAck(action)
 }
 
-func (c *claims) sendAck(act route.Ack) {
-	c.service.send(act.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Ack{Ack: &rpc.Ack{
-		Requests: []*rpc.RequestRef{{RequestId: act.ID, Attempt: act.Attempt}},
+func (c *claims) sendAck(action route.Ack) {
+	c.service.send(action.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Ack{Ack: &rpc.Ack{
+		Requests: []*rpc.RequestRef{{RequestId: action.ID, Attempt: action.Attempt}},
 	}}})
 }
 
-// wait returns when no claim operation is in progress or ctx has ended.
-func (c *claims) wait(ctx context.Context) {
+// waitIdle returns when no claim operation is in progress or ctx has ended.
+func (c *claims) waitIdle(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		c.running.Wait()
+		c.runningOps.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/entry/requests/lookup.go
+++ b/internal/entry/requests/lookup.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	lookupTimeout = 1500 * time.Millisecond
-	lookupBatch   = 200 // keys in one read
+	lookupTimeout  = 1500 * time.Millisecond
+	maxLookupBatch = 200 // keys in one read
 	// maxLookups bounds the calls that wait for a read.
 	maxLookups = 8192
 )
@@ -29,7 +29,7 @@
 
 	mu      sync.Mutex
 	waiting []lookup
-	busy    bool
+	reading bool
 }
 
 type lookup struct {
@@ -44,51 +44,51 @@
 
 // get returns the row of a key, or fails after the timeout.
 func (l *lookups) get(key string, timeout time.Duration) (ledger.Row, error) {
-	one := lookup{key, make(chan lookupResult, 1)}
+	pending := lookup{key, make(chan lookupResult, 1)}
 	l.mu.Lock()
 	if len(l.waiting) >= maxLookups {
 		l.mu.Unlock()
 		return ledger.Row{}, errors.Trace(errTooManyLookups)
 	}
-	l.waiting = append(l.waiting, one)
-	if !l.busy {
-		l.busy = true
-		go l.run()
+	l.waiting = append(l.waiting, pending)
+	if !l.reading {
+		l.reading = true
+		go l.readBatches()
 	}
 	l.mu.Unlock()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case r := <-one.result:
+	case r := <-pending.result:
 		return r.row, r.err
 	case <-timer.C:
 		return ledger.Row{}, errors.Trace(errLookupTimeout)
 	}
 }
 
-func (l *lookups) run() {
+func (l *lookups) readBatches() {
 	for {
-		batch := l.next()
+		batch := l.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
-		l.read(batch)
+		l.readBatch(batch)
 	}
 }
 
-// next takes the lookups of the next read; without any, no read is in
+// nextBatch takes the lookups of the nextBatch read; without any, no read is in
 // progress from then on.
-func (l *lookups) next() []lookup {
+func (l *lookups) nextBatch() []lookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := min(len(l.waiting), lookupBatch)
+	n := min(len(l.waiting), maxLookupBatch)
 	batch := l.waiting[:n:n]
 	l.waiting = l.waiting[n:]
-	l.busy = n > 0
+	l.reading = n > 0
 	return batch
 }
 
-func (l *lookups) read(batch []lookup) {
+func (l *lookups) readBatch(batch []lookup) {
 	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	keys := make([]string, len(batch))
--- a/internal/entry/requests/lookup_test.go
+++ b/internal/entry/requests/lookup_test.go
@@ -21,7 +21,7 @@
 }
 
 // Reads are made one at a time, so that a call may wait behind others.
-func TestLookupEndsWithTheCallsTimeout(t *testing.T) {
+func TestLookupEndsAtCallTimeout(t *testing.T) {
 	s, _ := newTestService(t, nil)
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/entry/requests/requests.go
+++ b/internal/entry/requests/requests.go
@@ -69,9 +69,9 @@
 }
 
 type waiter struct {
-	call   Call
-	stored *claimRow // the recorded answer of an earlier execution of the key
-	reply  chan Reply
+	call        Call
+	recordedRow *claimRow // the recorded answer of an earlier execution of the key
+	reply       chan Reply
 }
 
 // Service is the request side of an entry.
@@ -84,13 +84,13 @@
 	registry metrics.Registry
 	log      zerolog.Logger
 	started  time.Time
-	prefix   string
+	idPrefix string
 
-	mu      sync.Mutex
-	core    *route.Core
-	waiters map[string]*waiter
-	serial  uint64
-	result  *rpc.RequestResult // of the event in progress
+	mu            sync.Mutex
+	core          *route.Core
+	waiters       map[string]*waiter
+	lastSerial    uint64
+	currentResult *rpc.RequestResult // of the event in progress
 
 	loops kernel.Loops
 }
@@ -105,7 +105,7 @@
 		registry: registry,
 		log:      log,
 		started:  time.Now(),
-		prefix:   cfg.EntryID + "." + uuid.NewString()[:8],
+		idPrefix: cfg.EntryID + "." + uuid.NewString()[:8],
 		core:     route.New(route.Config{MaxOpen: cfg.MaxRequests, MaxQueue: cfg.MaxQueue}),
 		waiters:  map[string]*waiter{},
 	}
@@ -126,26 +126,26 @@
 // Stop refuses new requests and waits until those in progress are answered.
 func (s *Service) Stop(ctx context.Context) error {
 	s.step(route.Drain{})
-	idle := kernel.Until(ctx, idlePollInterval, func() bool { return s.waiting() == 0 })
+	idle := kernel.Until(ctx, idlePollInterval, func() bool { return s.waitingCalls() == 0 })
 	s.loops.End()
-	s.claims.wait(ctx)
+	s.claims.waitIdle(ctx)
 	if !idle {
-		return errors.Timeoutf("%d requests in progress: stop", s.waiting())
+		return errors.Timeoutf("%d requests in progress: stop", s.waitingCalls())
 	}
 	return nil
 }
 
-func (s *Service) waiting() int {
+func (s *Service) waitingCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiters)
 }
 
 func (s *Service) tick() {
-	s.step(s.permit(), route.Peers{Entries: len(s.members.Entries())}, route.Tick{})
+	s.step(s.currentPermit(), route.Peers{Entries: len(s.members.Entries())}, route.Tick{})
 }
 
-func (s *Service) permit() route.Permit {
+func (s *Service) currentPermit() route.Permit {
 	p := route.Permit{Fresh: s.permits.Permit(), ZonesOut: map[string]bool{}}
 	for name, z := range s.permits.Current().Zones {
 		if z.State == api.ZoneOut {
@@ -161,27 +161,27 @@
 	if call.Key == "" || call.Idempotent {
 		return s.submit(call, deadline)
 	}
-	known := s.claims.standing(call)
-	if known.reply != nil {
-		return *known.reply, nil
+	status := s.claims.lookUpKey(call)
+	if status.reply != nil {
+		return *status.reply, nil
 	}
 	reply, err := s.submit(call, deadline)
-	if known.mayHaveRun && (err != nil || refused(reply)) {
-		reply = refusedAgain(reply, err)
+	if status.mayHaveRun && (err != nil || isRefusal(reply)) {
+		reply = unknownForUsedKey(reply, err)
 		err = nil
 	}
 	return reply, err
 }
 
-// refused reports whether a call with a key was refused without regard to what
+// isRefusal reports whether a call with a key was isRefusal without regard to what
 // became of the key's request: neither by that request's result nor because
 // the key belongs to a request with another body.
-func refused(reply Reply) bool {
+func isRefusal(reply Reply) bool {
 	return reply.Outcome == api.OutcomeNotRun && reply.Reason != route.ReasonResult && reply.Reason != ReasonKeyReused
 }
 
-// refusedAgain is the answer to a refused call whose key an earlier call has used.
-func refusedAgain(reply Reply, err error) Reply {
+// unknownForUsedKey is the answer to a refused call whose key an earlier call has used.
+func unknownForUsedKey(reply Reply, err error) Reply {
 	if err != nil {
 		reply = Reply{RetryAfter: keyRetryAfter, Detail: err.Error()}
 	}
@@ -197,8 +197,8 @@
 		s.mu.Unlock()
 		return Reply{}, errors.Trace(ErrTooManyRequests)
 	}
-	s.serial++
-	id := fmt.Sprintf("%s-%d", s.prefix, s.serial)
+	s.lastSerial++
+	id := fmt.Sprintf("%s-%d", s.idPrefix, s.lastSerial)
 	s.waiters[id] = w
 	s.stepLocked(route.Submit{Request: route.Request{
 		ID:         id,
@@ -223,28 +223,28 @@
 
 func (s *Service) stepLocked(events ...route.Event) {
 	for _, ev := range events {
-		for _, act := range s.core.Step(s.now(), ev) {
-			s.apply(act)
+		for _, action := range s.core.Step(s.now(), ev) {
+			s.apply(action)
 		}
 	}
 }
 
-func (s *Service) apply(act route.Action) {
-	switch act := act.(type) {
+func (s *Service) apply(action route.Action) {
+	switch action := action.(type) {
 	case route.Execute:
-		s.execute(act)
+		s.sendExecute(action)
 	case route.Void:
-		s.send(act.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Void{Void: &rpc.Void{
-			RequestId: act.ID, Attempt: act.Attempt, Incarnation: act.Incarnation, StampMs: act.StampMS,
+		s.send(action.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Void{Void: &rpc.Void{
+			RequestId: action.ID, Attempt: action.Attempt, Incarnation: action.Incarnation, StampMs: action.StampMS,
 		}}})
 	case route.Ack:
-		s.claims.ack(act)
+		s.claims.ackOrDefer(action)
 	case route.Claim:
-		s.claims.claim(act)
+		s.claims.startClaim(action)
 	case route.Record:
-		s.claims.record(act, s.result)
+		s.claims.startRecord(action, s.currentResult)
 	case route.Answer:
-		s.answer(act)
+		s.deliverAnswer(action)
 	}
 }
 
@@ -252,20 +252,20 @@
 	s.links.Send(agent, func(int64) *rpc.EntryMessage { return m })
 }
 
-func (s *Service) execute(act route.Execute) {
-	w := s.waiters[act.ID]
+func (s *Service) sendExecute(action route.Execute) {
+	w := s.waiters[action.ID]
 	if w == nil {
 		return
 	}
 	metrics.GetOrRegisterCounter("requests.executes", s.registry).Inc(1)
-	s.send(act.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Execute{Execute: &rpc.Execute{
-		RequestId:   act.ID,
-		Attempt:     act.Attempt,
-		Incarnation: act.Incarnation,
-		StampMs:     act.StampMS,
-		PermitMs:    act.PermitTTL.Milliseconds(),
-		TimeoutMs:   act.Timeout.Milliseconds(),
-		Idempotent:  act.Idempotent,
+	s.send(action.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Execute{Execute: &rpc.Execute{
+		RequestId:   action.ID,
+		Attempt:     action.Attempt,
+		Incarnation: action.Incarnation,
+		StampMs:     action.StampMS,
+		PermitMs:    action.PermitTTL.Milliseconds(),
+		TimeoutMs:   action.Timeout.Milliseconds(),
+		Idempotent:  action.Idempotent,
 		ContentType: w.call.ContentType,
 		Body:        w.call.Body,
 		Digest:      rpc.Digest(w.call.Body),
@@ -273,28 +273,28 @@
 	}}})
 }
 
-func (s *Service) answer(act route.Answer) {
-	w := s.waiters[act.ID]
+func (s *Service) deliverAnswer(action route.Answer) {
+	w := s.waiters[action.ID]
 	if w == nil {
 		return
 	}
-	delete(s.waiters, act.ID)
-	metrics.GetOrRegisterCounter("requests.answers."+string(act.Outcome), s.registry).Inc(1)
-	if act.Reason != route.ReasonResult && act.Reason != "" {
-		metrics.GetOrRegisterCounter("requests.reasons."+string(act.Reason), s.registry).Inc(1)
+	delete(s.waiters, action.ID)
+	metrics.GetOrRegisterCounter("requests.answers."+string(action.Outcome), s.registry).Inc(1)
+	if action.Reason != route.ReasonResult && action.Reason != "" {
+		metrics.GetOrRegisterCounter("requests.reasons."+string(action.Reason), s.registry).Inc(1)
 	}
-	reply := Reply{Outcome: act.Outcome, Reason: act.Reason, Detail: act.Detail, RetryAfter: act.RetryAfter}
+	reply := Reply{Outcome: action.Outcome, Reason: action.Reason, Detail: action.Detail, RetryAfter: action.RetryAfter}
 	switch {
-	case act.FromResult && s.result != nil:
+	case action.FromResult && s.currentResult != nil:
 		reply.HasBody = true
-		reply.Status = int(s.result.Status)
-		reply.ContentType = s.result.ContentType
-		reply.Body = s.result.Body
-	case w.stored != nil && w.stored.Status != 0:
+		reply.Status = int(s.currentResult.Status)
+		reply.ContentType = s.currentResult.ContentType
+		reply.Body = s.currentResult.Body
+	case w.recordedRow != nil && w.recordedRow.Status != 0:
 		reply.HasBody = true
-		reply.Status = w.stored.Status
-		reply.ContentType = w.stored.ContentType
-		reply.Body = w.stored.Body
+		reply.Status = w.recordedRow.Status
+		reply.ContentType = w.recordedRow.ContentType
+		reply.Body = w.recordedRow.Body
 	}
 	w.reply <- reply
 }
@@ -337,7 +337,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.result = r
+	s.currentResult = r
 	s.stepLocked(route.Result{
 		Agent:   a.ID,
 		ID:      r.RequestId,
@@ -345,7 +345,7 @@
 		Outcome: rpc.ToOutcome(r.Outcome),
 		Detail:  r.Detail,
 	})
-	s.result = nil
+	s.currentResult = nil
 }
 
 // GroupReport is not for requests.
--- a/internal/entry/requests/requests_test.go
+++ b/internal/entry/requests/requests_test.go
@@ -16,14 +16,14 @@
 	"github.com/rs/zerolog"
 )
 
-type alwaysPermits struct{}
+type alwaysPermitted struct{}
 
-func (alwaysPermits) Permit() bool         { return true }
-func (alwaysPermits) Current() *api.Config { return &api.Config{Version: 1} }
+func (alwaysPermitted) Permit() bool         { return true }
+func (alwaysPermitted) Current() *api.Config { return &api.Config{Version: 1} }
 
-type oneMember struct{}
+type singleMember struct{}
 
-func (oneMember) Entries() []*rpc.EntryAddress { return []*rpc.EntryAddress{{Id: "e"}} }
+func (singleMember) Entries() []*rpc.EntryAddress { return []*rpc.EntryAddress{{Id: "e"}} }
 
 // newTestService returns a service over an empty table, with one minion's agent.
 func newTestService(t *testing.T, objects external.Objects) (*Service, *ledger.Client) {
@@ -31,7 +31,7 @@
 	table := ledger.New(standin.NewTable(), ledger.Config{})
 	srv := links.New(nil, metrics.NewRegistry(), zerolog.Nop())
 	cfg := Config{EntryID: "e", MaxRequests: 100, MaxQueue: 100}
-	s := New(cfg, srv, alwaysPermits{}, oneMember{}, table, objects, metrics.NewRegistry(), zerolog.Nop())
+	s := New(cfg, srv, alwaysPermitted{}, singleMember{}, table, objects, metrics.NewRegistry(), zerolog.Nop())
 	if err := s.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -54,13 +54,13 @@
 
 func putClaim(t *testing.T, l ledger.Ledger, row claimRow) {
 	t.Helper()
-	write := ledger.Write{Key: claimKey("acc", "svc", "k"), Data: ledger.Encode(row)}
+	write := ledger.Write{Key: claimRowKey("acc", "svc", "k"), Data: ledger.Encode(row)}
 	if _, err := l.Commit(context.Background(), ledger.CauseClaim, write); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestKeyOfAnotherBodyIsRefusedAsNotRun(t *testing.T) {
+func TestKeyReusedWithAnotherBodyIsRefused(t *testing.T) {
 	s, table := newTestService(t, standin.NewObjects())
 	putClaim(t, table, claimRow{Digest: rpc.Digest([]byte("first")), Outcome: api.OutcomeDone, Status: 200})
 	reply, err := s.Submit(keyedCall("second"))
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRecordedAnswerThatCannotBeReadStopsNoOtherKey(t *testing.T) {
+func TestUnreadableRecordedAnswerAffectsNoOtherKey(t *testing.T) {
 	s, table := newTestService(t, standin.NewObjects())
 	putClaim(t, table, claimRow{Digest: rpc.Digest([]byte("b")), Outcome: api.OutcomeDone, Status: 200, Object: "absent"})
 	for range 5 {
--- a/internal/entry/requests/retention.go
+++ b/internal/entry/requests/retention.go
@@ -10,8 +10,8 @@
 	"github.com/juju/errors"
 )
 
-// claimKeep is how long an idempotency key of a request is remembered.
-const claimKeep = 24 * time.Hour
+// claimRetention is how long an idempotency key of a request is remembered.
+const claimRetention = 24 * time.Hour
 
 // Retention removes claims, with their recorded answers, after claimKeep.
 func Retention(objects external.Objects) retention.Rule {
@@ -20,7 +20,7 @@
 		Prefix: claimPrefix,
 		Expired: func(data json.RawMessage, now time.Time) bool {
 			var row claimRow
-			return json.Unmarshal(data, &row) == nil && now.Sub(row.Created) > claimKeep
+			return json.Unmarshal(data, &row) == nil && now.Sub(row.Created) > claimRetention
 		},
 		BeforeDelete: func(ctx context.Context, data json.RawMessage) error {
 			var row claimRow
--- a/internal/entry/retention/retention.go
+++ b/internal/entry/retention/retention.go
@@ -18,7 +18,7 @@
 	// pageInterval is the time between two pages of each rule.
 	pageInterval = 10 * time.Second
 	pageTimeout  = 5 * time.Second
-	pageRows     = 200
+	rowsPerPage  = 200
 )
 
 // Rule tells which rows under a prefix have expired.
@@ -55,7 +55,7 @@
 // Start begins to look for expired rows.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
-	s.loops.Every(pageInterval, s.round)
+	s.loops.Every(pageInterval, s.runRules)
 	return nil
 }
 
@@ -65,29 +65,29 @@
 	return nil
 }
 
-func (s *Service) round(ctx context.Context) {
+func (s *Service) runRules(ctx context.Context) {
 	if !s.owner.Owns() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	for i := range s.rules {
-		if err := s.page(ctx, i, time.Now()); err != nil {
+		if err := s.removeExpiredPage(ctx, i, time.Now()); err != nil {
 			metrics.GetOrRegisterCounter("retention.failed", s.registry).Inc(1)
 		}
 	}
 }
 
-// page looks at the next page of a rule's rows and starts over after the last.
-func (s *Service) page(ctx context.Context, i int, now time.Time) error {
-	rule := s.rules[i]
-	rows, err := s.ledger.Scan(ctx, ledger.CauseCleanup, rule.Prefix, s.cursors[i], pageRows)
+// removeExpiredPage looks at the next removeExpiredPage of a rule's rows and starts over after the last.
+func (s *Service) removeExpiredPage(ctx context.Context, ruleIndex int, now time.Time) error {
+	rule := s.rules[ruleIndex]
+	rows, err := s.ledger.Scan(ctx, ledger.CauseCleanup, rule.Prefix, s.cursors[ruleIndex], rowsPerPage)
 	if err != nil {
 		return errors.Annotatef(err, "scanning %q", rule.Prefix)
 	}
-	s.cursors[i] = ""
-	if len(rows) == pageRows {
-		s.cursors[i] = rows[len(rows)-1].Key
+	s.cursors[ruleIndex] = ""
+	if len(rows) == rowsPerPage {
+		s.cursors[ruleIndex] = rows[len(rows)-1].Key
 	}
 	for _, row := range rows {
 		if !rule.Expired(row.Data, now) {
--- a/internal/entry/retention/retention_test.go
+++ b/internal/entry/retention/retention_test.go
@@ -12,14 +12,14 @@
 	"github.com/rs/zerolog"
 )
 
-// rows is a ledger of fixed rows, in order of key, that records deletions.
-type rows struct {
+// fakeLedger is a ledger of fixed fakeLedger, in order of key, that records deletions.
+type fakeLedger struct {
 	ledger.Ledger
 	keys    []string
 	deleted map[string]bool
 }
 
-func (r *rows) Scan(_ context.Context, _ ledger.Cause, _, after string, limit int) ([]ledger.Row, error) {
+func (r *fakeLedger) Scan(_ context.Context, _ ledger.Cause, _, after string, limit int) ([]ledger.Row, error) {
 	var out []ledger.Row
 	for _, k := range r.keys {
 		if k > after && !r.deleted[k] && len(out) < limit {
@@ -29,15 +29,15 @@
 	return out, nil
 }
 
-func (r *rows) Commit(_ context.Context, _ ledger.Cause, writes ...ledger.Write) ([]ledger.Row, error) {
+func (r *fakeLedger) Commit(_ context.Context, _ ledger.Cause, writes ...ledger.Write) ([]ledger.Row, error) {
 	for _, w := range writes {
 		r.deleted[w.Key] = true
 	}
 	return nil, nil
 }
 
-func TestPageRemovesOnlyExpiredRowsWhosePartsAreGone(t *testing.T) {
-	l := &rows{keys: []string{"claim/a", "claim/b", "claim/c"}, deleted: map[string]bool{}}
+func TestRemovesOnlyExpiredRowsAfterBeforeDelete(t *testing.T) {
+	l := &fakeLedger{keys: []string{"claim/a", "claim/b", "claim/c"}, deleted: map[string]bool{}}
 	rule := Rule{
 		Name:   "claims",
 		Prefix: "claim/",
@@ -52,7 +52,7 @@
 		},
 	}
 	s := New(l, nil, metrics.NewRegistry(), zerolog.Nop(), rule)
-	if err := s.page(context.Background(), 0, time.Now()); err == nil {
+	if err := s.removeExpiredPage(context.Background(), 0, time.Now()); err == nil {
 		t.Fatal("no error although the object of claim/c could not be removed")
 	}
 	if !l.deleted["claim/a"] || l.deleted["claim/b"] || l.deleted["claim/c"] {
