--- a/internal/entry/requests/claims.go
+++ b/internal/entry/requests/claims.go
@@ -21,20 +21,21 @@
 const (
 	claimPrefix  = "claim/"
 	claimTimeout = 3 * time.Second
-	// recordTimeout bounds how long an answer waits to be recorded; until then
-	// the agent keeps it.
+	// recordTimeout bounds the attempts to record an answer; until the answer is
+	// recorded the agent keeps it.
 	recordTimeout       = 5 * time.Minute
 	recordRetryInterval = 500 * time.Millisecond
-	maxConcurrentOps    = 1024 // at once
+	maxConcurrentOps    = 1024
 	maxClaimTries       = 4
-	// keyRetryAfter is when to come back with a key whose row cannot be read.
+	// keyRetryAfter is the RetryAfter of a call whose key's row cannot be read.
 	keyRetryAfter = 2 * time.Second
-	// maxInlineBody is the largest answer kept in the table's row itself.
+	// maxInlineBody is the size in bytes of the largest answer stored in the row
+	// itself; larger ones are stored as objects.
 	maxInlineBody = 4 << 10
 )
 
-// claimRow is the table's row of one idempotency key: it names the one
-// execution that the key belongs to and, later, its answer.
+// claimRow is the table's row of one idempotency key. It names the one execution
+// that the key belongs to and, once recorded, the answer of that execution.
 type claimRow struct {
 	Holder      route.ClaimHolder `json:"holder"`
 	Digest      uint64            `json:"digest"` // of the request's body
@@ -43,11 +44,11 @@
 	Status      int               `json:"status,omitempty"`
 	ContentType string            `json:"content_type,omitempty"`
 	Body        []byte            `json:"body,omitempty"`
-	Object      string            `json:"object,omitempty"` // of a body too large for the row
+	Object      string            `json:"object,omitempty"` // name of the object of a body larger than maxInlineBody
 }
 
-// claims keeps the rows of idempotency keys. It is called with the service's
-// lock held and does its I/O in goroutines of bounded number.
+// claims maintains the rows of idempotency keys. It is called with Service.mu held
+// and does its I/O in at most maxConcurrentOps goroutines.
 type claims struct {
 	service    *Service
 	ledger     ledger.Ledger
@@ -56,8 +57,8 @@
 	opSlots    chan struct{}
 	runningOps sync.WaitGroup
 
-	// recording holds executions whose answer is being recorded, with the
-	// acknowledgements that wait for it. Guarded by Service.mu.
+	// recording holds the executions whose answers are being recorded, with the
+	// acknowledgements to send afterwards. Guarded by Service.mu.
 	recording map[route.ClaimHolder][]route.Ack
 }
 
@@ -72,24 +73,25 @@
 	}
 }
 
-// claimRowKey returns the row of a key; keys of different accounts and services
-// are different.
+// claimRowKey returns the key of the row of an idempotency key. Equal idempotency
+// keys of different accounts or services have different rows.
 func claimRowKey(account, service, key string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + service + "\x00" + key))
 	return claimPrefix + hex.EncodeToString(sum[:])
 }
 
-// keyStatus tells what is known of a call's key before the call is admitted.
+// keyStatus is what is known of a call's idempotency key before admission.
 type keyStatus struct {
-	reply *Reply // the call's answer, when there is one already
-	// mayHaveRun is set when an earlier call with the key may have run; a
-	// refusal of this one must not say not-run then.
+	reply *Reply // the final reply if the row could not be read, else nil
+	// mayHaveRun is set if an earlier call with the key may have run. A refusal
+	// of this call must then not report OutcomeNotRun.
 	mayHaveRun bool
 }
 
-// lookUpKey reads the row of a key. Invariant: a call with a key is refused as
-// not-run only after its row was read and named no execution, so that the
-// refusal is true of all earlier calls with the key.
+// lookUpKey reads the row of a call's idempotency key. Invariant: a call with a
+// key is refused with OutcomeNotRun only after its row was read and named no
+// execution that may have run, so that the outcome holds for all earlier calls
+// with the key.
 func (c *claims) lookUpKey(call Call) keyStatus {
 	row, err := c.lookups.get(claimRowKey(call.Profile.ClientAccount, call.Service, call.Key), call.Timeout)
 	if err != nil {
@@ -110,6 +112,7 @@
 	return keyStatus{mayHaveRun: claimed.Outcome != api.OutcomeNotRun}
 }
 
+// spawn runs fn in a goroutine, or returns false if maxConcurrentOps are running.
 func (c *claims) spawn(fn func()) bool {
 	select {
 	case c.opSlots <- struct{}{}:
@@ -140,7 +143,8 @@
 	}
 }
 
-// stepAsync steps the core outside of the current step.
+// stepAsync passes the event to the core after the current step, which holds the
+// lock.
 func (c *claims) stepAsync(ev route.Event) {
 	go c.service.step(ev)
 }
@@ -162,7 +166,7 @@
 		}
 		version = rows[0].Version
 		if version == 0 {
-			continue // the row has expired meanwhile
+			continue // the row has expired in the meantime
 		}
 		var current claimRow
 		if err := json.Unmarshal(rows[0].Data, &current); err != nil {
@@ -175,8 +179,8 @@
 	return failed
 }
 
-// replaceable reports whether a claim may take the row over: the execution
-// that it names has certainly not run.
+// replaceable reports whether a claim may replace the row: it is certain that the
+// execution that the row names has not run.
 func replaceable(current claimRow, replaces *route.ClaimHolder) bool {
 	if current.Outcome == api.OutcomeNotRun {
 		return true
@@ -184,7 +188,8 @@
 	return current.Outcome == "" && replaces != nil && current.Holder == *replaces
 }
 
-// replyFromRow answers a claim with the row of an earlier one.
+// replyFromRow returns the reply to a claim whose key has the row of an earlier
+// claim.
 func (c *claims) replyFromRow(ctx context.Context, action route.Claim, w *waiter, row claimRow) route.ClaimReply {
 	if row.Digest != rpc.Digest(w.call.Body) {
 		c.answerKeyReused(action.ID, w)
@@ -207,7 +212,7 @@
 	return route.ClaimReply{ID: action.ID, Final: row.Outcome, Holder: row.Holder}
 }
 
-// answerKeyReused answers a call whose key was used with another body.
+// answerKeyReused answers a call whose key was first used with another body.
 func (c *claims) answerKeyReused(id string, w *waiter) {
 	c.answerNow(id, w, Reply{
 		Outcome: api.OutcomeNotRun,
@@ -216,7 +221,8 @@
 	})
 }
 
-// answerUnreadable answers a call whose recorded answer the object store does not give.
+// answerUnreadable answers a call whose recorded answer cannot be read from the
+// object store.
 func (c *claims) answerUnreadable(id string, w *waiter) {
 	c.answerNow(id, w, Reply{
 		Outcome:    api.OutcomeUnknown,
@@ -226,8 +232,8 @@
 	})
 }
 
-// answerNow answers a call before the core does, which then takes the caller for gone
-// and a failed claim not for a failure of the table.
+// answerNow answers a call before the core does. The core is told that the caller
+// has gone, so that it does not count the failed claim as a failure of the table.
 func (c *claims) answerNow(id string, w *waiter, reply Reply) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
@@ -239,10 +245,11 @@
 	c.service.stepLocked(route.CallerGone{ID: id})
 }
 
-// ReasonKeyReused says that a key came with another body than the first time.
+// ReasonKeyReused says that the key was first used with another body.
 const ReasonKeyReused route.Reason = "key-reused"
 
-// startRecord keeps the answer of a claimed key, so that it outlives its agent.
+// startRecord begins to record the answer of a claimed key in the table, so that
+// the answer survives the loss of its agent.
 func (c *claims) startRecord(action route.Record, result *rpc.RequestResult) {
 	w := c.service.waiters[action.ID]
 	if w == nil {
@@ -268,6 +275,8 @@
 	}
 }
 
+// recordWithRetry records an answer, within recordTimeout, and then sends the
+// deferred acknowledgements.
 func (c *claims) recordWithRetry(key string, row claimRow) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
@@ -291,6 +300,9 @@
 	}
 }
 
+// tryRecord reports whether the row needs no further attempt: the answer is
+// recorded, the row has expired, another entry has recorded an outcome, or the key
+// belongs to another execution.
 func (c *claims) tryRecord(ctx context.Context, key string, row claimRow) bool {
 	if len(row.Body) > maxInlineBody {
 		row.Object = "answers/" + key
@@ -314,7 +326,8 @@
 	return err == nil
 }
 
-// ackOrDefer sends an acknowledgement, or keeps it until the answer is recorded.
+// ackOrDefer sends an acknowledgement, or defers it while the answer is being
+// recorded.
 func (c *claims) ackOrDefer(action route.Ack) {
 	for holder, acks := range c.recording {
 		if holder.RequestID == action.ID && holder.Attempt == action.Attempt {
--- a/internal/entry/requests/lookup.go
+++ b/internal/entry/requests/lookup.go
@@ -12,7 +12,7 @@
 const (
 	lookupTimeout  = 1500 * time.Millisecond
 	maxLookupBatch = 200 // keys in one read
-	// maxLookups bounds the calls that wait for a read.
+	// maxLookups bounds the calls that wait for the next read.
 	maxLookups = 8192
 )
 
@@ -22,8 +22,8 @@
 	errLookupTimeout  = errors.ConstError("the call's timeout has passed before its row was read")
 )
 
-// lookups reads rows for many callers with one read at a time: what comes
-// while a read is in progress goes into the next one.
+// lookups batches the reads of rows for many callers. One read is in progress at a
+// time; lookups that arrive during it go into the next one.
 type lookups struct {
 	ledger ledger.Ledger
 
@@ -42,7 +42,7 @@
 	err error
 }
 
-// get returns the row of a key, or fails after the timeout.
+// get returns the row of a key, or errLookupTimeout after the timeout.
 func (l *lookups) get(key string, timeout time.Duration) (ledger.Row, error) {
 	pending := lookup{key, make(chan lookupResult, 1)}
 	l.mu.Lock()
@@ -76,8 +76,8 @@
 	}
 }
 
-// nextBatch takes the lookups of the nextBatch read; without any, no read is in
-// progress from then on.
+// nextBatch removes and returns the lookups of the next read. If there are none,
+// it clears reading, and readBatches returns.
 func (l *lookups) nextBatch() []lookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/requests/lookup_test.go
+++ b/internal/entry/requests/lookup_test.go
@@ -20,7 +20,8 @@
 	return nil, ledger.ErrDown
 }
 
-// Reads are made one at a time, so that a call may wait behind others.
+// A call waits for its lookup behind the read in progress. If that read hangs, the
+// call must still be answered at its own timeout.
 func TestLookupEndsAtCallTimeout(t *testing.T) {
 	s, _ := newTestService(t, nil)
 	release := make(chan struct{})
--- a/internal/entry/requests/requests.go
+++ b/internal/entry/requests/requests.go
@@ -1,5 +1,5 @@
-// Package requests runs the route core in an entry: it keeps the bodies, the
-// waiting callers and the claims, and sends what the core decides.
+// Package requests runs the route core in an entry: it holds the bodies, the
+// waiting callers and the claims, and carries out the core's actions.
 package requests
 
 import (
@@ -23,7 +23,7 @@
 
 const idlePollInterval = 20 * time.Millisecond
 
-// ErrTooManyRequests says that the entry holds as many requests as it may.
+// ErrTooManyRequests says that Config.MaxRequests requests are in progress.
 const ErrTooManyRequests = errors.ConstError("entry holds too many requests")
 
 // Members lists the live entries, this one included.
@@ -31,11 +31,11 @@
 	Entries() []*rpc.EntryAddress
 }
 
-// Config bounds the service.
+// Config holds the settings of the Service.
 type Config struct {
 	EntryID     string
 	MaxRequests int // in progress at once
-	MaxQueue    int // waiting for a slot in one profile that sets no bound itself
+	MaxQueue    int // queued in one profile that sets no bound of its own
 }
 
 // Call is one caller's request.
@@ -49,8 +49,8 @@
 	Body        []byte
 }
 
-// Reply is the one final answer to a call. Status is the minion's, and Body
-// its complete answer, when there is one.
+// Reply is the final answer to a call. If HasBody is set, Status, ContentType and
+// Body are those of the minion's complete answer.
 type Reply struct {
 	Outcome     api.Outcome
 	Reason      route.Reason
@@ -62,19 +62,20 @@
 	Body        []byte
 }
 
-// PermitSource tells whether work may start and in which zones.
+// PermitSource tells whether work may start, and in which zones.
 type PermitSource interface {
 	Permit() bool
 	Current() *api.Config
 }
 
+// waiter is a caller that waits for its reply.
 type waiter struct {
 	call        Call
-	recordedRow *claimRow // the recorded answer of an earlier execution of the key
+	recordedRow *claimRow // answer of an earlier execution with the key, or nil
 	reply       chan Reply
 }
 
-// Service is the request side of an entry.
+// Service handles the requests of an entry.
 type Service struct {
 	cfg      Config
 	links    *links.Server
@@ -90,12 +91,12 @@
 	core          *route.Core
 	waiters       map[string]*waiter
 	lastSerial    uint64
-	currentResult *rpc.RequestResult // of the event in progress
+	currentResult *rpc.RequestResult // of the route.Result being handled, or nil
 
 	loops kernel.Loops
 }
 
-// New returns the service; it listens to srv from now on.
+// New returns the service and registers it as a listener of srv.
 func New(cfg Config, srv *links.Server, permits PermitSource, members Members, l ledger.Ledger, objects external.Objects, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
 		cfg:      cfg,
@@ -116,14 +117,15 @@
 
 func (s *Service) now() time.Duration { return time.Since(s.started) }
 
-// Start begins the core's ticks.
+// Start starts the ticks of the core.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(route.TickInterval, func(context.Context) { s.tick() })
 	return nil
 }
 
-// Stop refuses new requests and waits until those in progress are answered.
+// Stop refuses new requests and waits until those in progress are answered or ctx
+// has ended.
 func (s *Service) Stop(ctx context.Context) error {
 	s.step(route.Drain{})
 	idle := kernel.Until(ctx, idlePollInterval, func() bool { return s.waitingCalls() == 0 })
@@ -173,14 +175,15 @@
 	return reply, err
 }
 
-// isRefusal reports whether a call with a key was isRefusal without regard to what
-// became of the key's request: neither by that request's result nor because
-// the key belongs to a request with another body.
+// isRefusal reports whether the reply to a call with a key says nothing about
+// earlier calls with the key: it is OutcomeNotRun, but neither the result of the
+// key's execution nor a refusal because of another body.
 func isRefusal(reply Reply) bool {
 	return reply.Outcome == api.OutcomeNotRun && reply.Reason != route.ReasonResult && reply.Reason != ReasonKeyReused
 }
 
-// unknownForUsedKey is the answer to a refused call whose key an earlier call has used.
+// unknownForUsedKey returns the reply to a refused call whose key was used by an
+// earlier call that may have run.
 func unknownForUsedKey(reply Reply, err error) Reply {
 	if err != nil {
 		reply = Reply{RetryAfter: keyRetryAfter, Detail: err.Error()}
@@ -221,6 +224,8 @@
 	s.stepLocked(events...)
 }
 
+// stepLocked passes the events to the core and applies its actions. Service.mu is
+// held.
 func (s *Service) stepLocked(events ...route.Event) {
 	for _, ev := range events {
 		for _, action := range s.core.Step(s.now(), ev) {
@@ -299,7 +304,7 @@
 	w.reply <- reply
 }
 
-// AgentUp takes in a linked minion agent.
+// AgentUp handles a new link with a minion agent.
 func (s *Service) AgentUp(a links.Agent, _ []*rpc.GroupReport) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_MINION {
 		return
@@ -307,14 +312,14 @@
 	s.step(route.AgentUp{Agent: a.ID, Incarnation: a.Incarnation, Service: a.Service, Zone: a.Zone, Slots: a.Slots})
 }
 
-// AgentDown takes in the loss of a link.
+// AgentDown handles the loss of the link with a minion agent.
 func (s *Service) AgentDown(a links.Agent) {
 	if a.Kind == rpc.EndpointKind_ENDPOINT_KIND_MINION {
 		s.step(route.AgentDown{Agent: a.ID})
 	}
 }
 
-// AgentHeartbeat takes in a minion agent's load and clock.
+// AgentHeartbeat handles a minion agent's heartbeat.
 func (s *Service) AgentHeartbeat(a links.Agent, hb *rpc.AgentHeartbeat) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_MINION {
 		return
@@ -328,7 +333,7 @@
 	})
 }
 
-// RequestResult takes in an agent's result. One whose body is not intact is
+// RequestResult handles an agent's result. A result with a corrupt body is
 // dropped; the agent sends it again on its next link.
 func (s *Service) RequestResult(a links.Agent, r *rpc.RequestResult) {
 	if !rpc.Intact(r.Body, r.Length, r.Digest) && r.Status != 0 {
@@ -348,7 +353,7 @@
 	s.currentResult = nil
 }
 
-// GroupReport is not for requests.
+// GroupReport ignores the report, which does not concern requests.
 func (s *Service) GroupReport(links.Agent, *rpc.GroupReport) {}
 
 // DumpState returns the core's state.
--- a/internal/entry/requests/requests_test.go
+++ b/internal/entry/requests/requests_test.go
@@ -25,7 +25,8 @@
 
 func (singleMember) Entries() []*rpc.EntryAddress { return []*rpc.EntryAddress{{Id: "e"}} }
 
-// newTestService returns a service over an empty table, with one minion's agent.
+// newTestService returns a service with an empty table and one linked minion
+// agent.
 func newTestService(t *testing.T, objects external.Objects) (*Service, *ledger.Client) {
 	t.Helper()
 	table := ledger.New(standin.NewTable(), ledger.Config{})
@@ -69,6 +70,8 @@
 	}
 }
 
+// A recorded answer that cannot be read from the object store must not count as a
+// failure of the table: the circuit breaker would refuse calls with other keys.
 func TestUnreadableRecordedAnswerAffectsNoOtherKey(t *testing.T) {
 	s, table := newTestService(t, standin.NewObjects())
 	putClaim(t, table, claimRow{Digest: rpc.Digest([]byte("b")), Outcome: api.OutcomeDone, Status: 200, Object: "absent"})
--- a/internal/entry/requests/retention.go
+++ b/internal/entry/requests/retention.go
@@ -10,10 +10,11 @@
 	"github.com/juju/errors"
 )
 
-// claimRetention is how long an idempotency key of a request is remembered.
+// claimRetention is how long the idempotency key of a request is remembered.
 const claimRetention = 24 * time.Hour
 
-// Retention removes claims, with their recorded answers, after claimKeep.
+// Retention returns the rule that removes claims and their recorded answers after
+// claimRetention.
 func Retention(objects external.Objects) retention.Rule {
 	return retention.Rule{
 		Name:   "claims",
--- a/internal/entry/retention/retention.go
+++ b/internal/entry/retention/retention.go
@@ -1,5 +1,5 @@
-// Package retention removes rows that have outlived their use, a page at a
-// time, from the entry that owns the cell.
+// Package retention removes expired rows from the table, one page at a time. It
+// runs in the entry that owns the cell.
 package retention
 
 import (
@@ -15,19 +15,20 @@
 )
 
 const (
-	// pageInterval is the time between two pages of each rule.
+	// pageInterval is the period in which one page of each rule is handled.
 	pageInterval = 10 * time.Second
 	pageTimeout  = 5 * time.Second
 	rowsPerPage  = 200
 )
 
-// Rule tells which rows under a prefix have expired.
+// Rule tells which rows with a key prefix have expired.
 type Rule struct {
 	Name    string
 	Prefix  string
 	Expired func(data json.RawMessage, now time.Time) bool
-	// BeforeDelete, if not nil, removes what belongs to the row; on an error the row
-	// stays for the next round.
+	// BeforeDelete, if not nil, removes what belongs to an expired row, such as
+	// its object, before the row is deleted. After an error the row and the
+	// rest of its page stay until the page comes up again.
 	BeforeDelete func(ctx context.Context, data json.RawMessage) error
 }
 
@@ -52,7 +53,7 @@
 	return &Service{ledger: l, owner: owner, rules: rules, cursors: make([]string, len(rules)), registry: registry, log: log}
 }
 
-// Start begins to look for expired rows.
+// Start begins the periodic removal of expired rows.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(pageInterval, s.runRules)
@@ -78,7 +79,8 @@
 	}
 }
 
-// removeExpiredPage looks at the next removeExpiredPage of a rule's rows and starts over after the last.
+// removeExpiredPage removes the expired rows of a rule's next page. After the last
+// page it starts again with the first.
 func (s *Service) removeExpiredPage(ctx context.Context, ruleIndex int, now time.Time) error {
 	rule := s.rules[ruleIndex]
 	rows, err := s.ledger.Scan(ctx, ledger.CauseCleanup, rule.Prefix, s.cursors[ruleIndex], rowsPerPage)
--- a/internal/entry/retention/retention_test.go
+++ b/internal/entry/retention/retention_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fakeLedger is a ledger of fixed fakeLedger, in order of key, that records deletions.
+// fakeLedger is a ledger of fixed rows, in order of key, that records deletions.
 type fakeLedger struct {
 	ledger.Ledger
 	keys    []string
@@ -36,6 +36,8 @@
 	return nil, nil
 }
 
+// A row must stay while what belongs to it has not been removed: its object would
+// otherwise never be found again.
 func TestRemovesOnlyExpiredRowsAfterBeforeDelete(t *testing.T) {
 	l := &fakeLedger{keys: []string{"claim/a", "claim/b", "claim/c"}, deleted: map[string]bool{}}
 	rule := Rule{
