--- a/internal/route/agent.go
+++ b/internal/route/agent.go
@@ -29,7 +29,7 @@
 	wasUsable    bool
 	lastUsableAt time.Duration // last time at which the agent was usable
 	slowStartAt  time.Duration // beginning of the slow start
-	successes    int           // since rampFrom
+	successes    int           // since slowStartAt
 	refusals     int
 	backoffUntil time.Duration
 }
@@ -60,8 +60,8 @@
 	return min(c.slotShare(a), slowStart)
 }
 
-// backOff sends nothing new to the agent for some time after it has refused an
-// attempt. The time doubles with each refusal in a row.
+// backOff blocks new attempts at the agent for some time after it has refused one.
+// The time doubles with each refusal in a row.
 func (c *Core) backOff(a *agent) {
 	pause := maxRefusalBackoff
 	if a.refusals < 6 {
@@ -199,9 +199,9 @@
 	}
 }
 
-// isSilent reports whether the agent has sent no heartbeat for
-// suspicionTimeout, or has had no link for relinkGrace. A pause of the entry
-// itself does not count as silence of its agents.
+// isSilent reports whether a linked agent has sent no heartbeat for
+// suspicionTimeout, counted anew after a pause of the entry, or another agent has
+// had no link for relinkGrace.
 func (c *Core) isSilent(a *agent) bool {
 	if !a.linked {
 		return c.now-a.linkChangedAt > relinkGrace
--- a/internal/route/machine_test.go
+++ b/internal/route/machine_test.go
@@ -18,6 +18,8 @@
 	// of an execution there: the age of the configuration, the lifetime of the
 	// permission and two ticks.
 	zoneOutBound = configMaxAge + route.PermitTTL + 2*simTick
+	// leavingBound bounds the time from an agent's leave to the last start of an
+	// execution there.
 	leavingBound = 2 * time.Second
 	maxTimeout   = 15 * time.Second
 )
@@ -28,7 +30,7 @@
 	key        string
 	idempotent bool
 	entry      *entrySim
-	gen        int
+	generation int
 	answer     api.Outcome
 }
 
@@ -75,56 +77,56 @@
 	return len(o.executions)
 }
 
-func (o *oracle) executionEnded(run int, outcome api.Outcome) {
-	if run > 0 {
-		o.executions[run-1].outcome = outcome
+func (o *oracle) executionEnded(number int, outcome api.Outcome) {
+	if number > 0 {
+		o.executions[number-1].outcome = outcome
 	}
 }
 
-func (o *oracle) requestAnswered(e *entrySim, x route.Answer) {
-	s := o.submitted[x.ID]
+func (o *oracle) requestAnswered(e *entrySim, answer route.Answer) {
+	s := o.submitted[answer.ID]
 	switch {
 	case s.answer != "":
-		o.fail("%v: %s is answered %s after %s", o.w.now, x.ID, x.Outcome, s.answer)
-	case x.Outcome == api.OutcomeNotRun && o.runCounts[x.ID] > 0:
-		o.fail("%v: %s is answered not-run and has run", o.w.now, x.ID)
-	case x.Outcome == api.OutcomeDone || x.Outcome == api.OutcomeFailed:
-		o.checkBody(e, s, x)
-	case x.FromResult:
-		o.fail("%v: %s is answered %s with a body", o.w.now, x.ID, x.Outcome)
+		o.fail("%v: %s is answered %s after %s", o.w.now, answer.ID, answer.Outcome, s.answer)
+	case answer.Outcome == api.OutcomeNotRun && o.runCounts[answer.ID] > 0:
+		o.fail("%v: %s is answered not-run and has run", o.w.now, answer.ID)
+	case answer.Outcome == api.OutcomeDone || answer.Outcome == api.OutcomeFailed:
+		o.checkBody(e, s, answer)
+	case answer.FromResult:
+		o.fail("%v: %s is answered %s with a body", o.w.now, answer.ID, answer.Outcome)
 	}
-	s.answer = x.Outcome
+	s.answer = answer.Outcome
 }
 
 // checkBody checks that an answer is the result of a complete execution of the
 // request, or of another request with the same key.
-func (o *oracle) checkBody(e *entrySim, s *submission, x route.Answer) {
-	run := e.recordedExecutions[x.ID]
-	if x.FromResult {
-		if e.currentResult == nil || e.currentResult.ref != (exec.Ref{ID: x.ResultID, Attempt: x.ResultAttempt}) {
-			o.fail("%v: %s is answered with a result that is not at hand", o.w.now, x.ID)
+func (o *oracle) checkBody(e *entrySim, s *submission, answer route.Answer) {
+	number := e.recordedExecutions[answer.ID]
+	if answer.FromResult {
+		if e.currentResult == nil || e.currentResult.ref != (exec.Ref{ID: answer.ResultID, Attempt: answer.ResultAttempt}) {
+			o.fail("%v: %s is answered with a result that is not at hand", o.w.now, answer.ID)
 			return
 		}
-		run = e.currentResult.execution
+		number = e.currentResult.execution
 	}
-	if run == 0 {
-		o.fail("%v: %s is answered %s without a body", o.w.now, x.ID, x.Outcome)
+	if number == 0 {
+		o.fail("%v: %s is answered %s without a body", o.w.now, answer.ID, answer.Outcome)
 		return
 	}
-	done := o.executions[run-1]
-	if done.outcome != x.Outcome {
-		o.fail("%v: %s is answered %s by an execution that ended %q", o.w.now, x.ID, x.Outcome, done.outcome)
+	done := o.executions[number-1]
+	if done.outcome != answer.Outcome {
+		o.fail("%v: %s is answered %s by an execution that ended %q", o.w.now, answer.ID, answer.Outcome, done.outcome)
 	}
 	sameKey := !s.idempotent && s.key != "" && o.submitted[done.id].key == s.key
 	if done.id != s.id && !sameKey {
-		o.fail("%v: %s is answered with the result of %s", o.w.now, x.ID, done.id)
+		o.fail("%v: %s is answered with the result of %s", o.w.now, answer.ID, done.id)
 	}
 }
 
 // entryStopped checks that a planned stop has left no request unanswered.
 func (o *oracle) entryStopped(e *entrySim) {
 	for _, s := range o.order {
-		if s.entry == e && s.gen == e.generation && s.answer == "" {
+		if s.entry == e && s.generation == e.generation && s.answer == "" {
 			o.fail("%v: %s has stopped without an answer to %s", o.w.now, e.name, s.id)
 		}
 	}
@@ -135,7 +137,7 @@
 func (o *oracle) unanswered() []*submission {
 	var out []*submission
 	for _, s := range o.order {
-		if s.gen == s.entry.generation && s.answer == "" {
+		if s.generation == s.entry.generation && s.answer == "" {
 			out = append(out, s)
 		}
 	}
@@ -182,7 +184,7 @@
 
 func (w *world) submit(e *entrySim, key string, idempotent bool, timeout time.Duration) {
 	o := w.oracle
-	s := &submission{id: fmt.Sprintf("r%d", len(o.order)+1), key: key, idempotent: idempotent, entry: e, gen: e.generation}
+	s := &submission{id: fmt.Sprintf("r%d", len(o.order)+1), key: key, idempotent: idempotent, entry: e, generation: e.generation}
 	o.submitted[s.id] = s
 	o.order = append(o.order, s)
 	e.receive(e.generation, func() {
@@ -195,9 +197,9 @@
 
 // resubmitUnanswered repeats the unanswered keyed calls of a killed entry process
 // at the other entry.
-func (w *world) resubmitUnanswered(killed, other *entrySim, gen int) {
+func (w *world) resubmitUnanswered(killed, other *entrySim, generation int) {
 	for _, s := range w.oracle.order {
-		if s.entry == killed && s.gen == gen && s.answer == "" && s.key != "" {
+		if s.entry == killed && s.generation == generation && s.answer == "" && s.key != "" {
 			w.submit(other, s.key, s.idempotent, maxTimeout)
 		}
 	}
@@ -275,7 +277,7 @@
 		"gone": func(t *rapid.T) {
 			if open := w.oracle.unanswered(); len(open) > 0 {
 				s := rapid.SampledFrom(open).Draw(t, "who")
-				s.entry.receive(s.gen, func() { w.stepEntry(s.entry, route.CallerGone{ID: s.id}) })
+				s.entry.receive(s.generation, func() { w.stepEntry(s.entry, route.CallerGone{ID: s.id}) })
 			}
 		},
 		"kill entry": func(t *rapid.T) {
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -32,7 +32,7 @@
 	agents        []*agentSim
 	links         map[[2]string]*linkSim
 	rows          map[string]*rowSim
-	tableDown     bool // table
+	tableDown     bool
 	configVersion uint64
 	zonesOut      map[string]time.Duration // zones that are out, and since when
 	oracle        *oracle
@@ -54,7 +54,7 @@
 	draining           bool
 	configCut          bool
 	configReadAt       time.Duration
-	version            uint64
+	configVersion      uint64
 	zonesOut           map[string]bool
 	currentResult      *resultMessage
 	recordedExecutions map[string]int // executions whose recorded outcomes were read, by request
@@ -66,7 +66,7 @@
 	core           *exec.Core
 	startedAt      time.Duration
 	leavingSince   time.Duration // 0 while not leaving
-	version        uint64
+	configVersion  uint64
 	zoneOut        bool
 	permittedUntil time.Duration
 	bodies         map[exec.Ref]int
@@ -216,12 +216,12 @@
 }
 
 func (w *world) configFresh(e *entrySim) bool {
-	return e.version > 0 && w.now-e.configReadAt <= configMaxAge
+	return e.configVersion > 0 && w.now-e.configReadAt <= configMaxAge
 }
 
 func (w *world) readConfig(e *entrySim) {
 	e.configReadAt = w.now
-	e.version = w.configVersion
+	e.configVersion = w.configVersion
 	e.zonesOut = map[string]bool{}
 	for zone := range w.zonesOut {
 		e.zonesOut[zone] = true
@@ -271,7 +271,7 @@
 }
 
 func (w *world) mayStart(a *agentSim) bool {
-	return a.version > 0 && !a.zoneOut && w.clock(a) <= a.permittedUntil
+	return a.configVersion > 0 && !a.zoneOut && w.clock(a) <= a.permittedUntil
 }
 
 // sendHeartbeat sends an agent's heartbeat; the entry answers with its own.
@@ -287,14 +287,14 @@
 		}
 		l.entryHeardAt = w.now
 		w.stepEntry(e, status)
-		version, out, permit := e.version, e.zonesOut[a.zone], w.configFresh(e)
+		version, out, permit := e.configVersion, e.zonesOut[a.zone], w.configFresh(e)
 		w.send(l, &a.process, func() {
 			if l.generation != linkGeneration || a.generation != agentGeneration {
 				return
 			}
 			l.agentHeardAt = w.now
-			if version > a.version {
-				a.version, a.zoneOut = version, out
+			if version > a.configVersion {
+				a.configVersion, a.zoneOut = version, out
 			}
 			if permit {
 				a.permittedUntil = max(a.permittedUntil, clock+route.PermitTTL)
@@ -417,9 +417,9 @@
 	default:
 		outcome = api.OutcomeNotRun
 	}
-	run := 0
+	number := 0
 	if outcome != api.OutcomeNotRun {
-		run = w.oracle.executionStarted(a, x.Ref.ID)
+		number = w.oracle.executionStarted(a, x.Ref.ID)
 	}
 	gen := a.generation
 	took := time.Duration(20+w.rng.IntN(300)) * time.Millisecond
@@ -428,8 +428,8 @@
 	}
 	w.after(took, func() {
 		a.receive(gen, func() {
-			w.oracle.executionEnded(run, outcome)
-			a.bodies[x.Ref] = run
+			w.oracle.executionEnded(number, outcome)
+			a.bodies[x.Ref] = number
 			w.stepAgent(a, exec.Called{Ref: x.Ref, Outcome: outcome, Size: 100})
 		})
 	})
