--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -89,7 +89,7 @@
 		func() procmain.HostedFlags { return h.Flags },
 		func() zerolog.Logger { return h.Log },
 		func() metrics.Registry { return h.Registry },
-		func() clock { return clock(ledger.Monotonic()) },
+		func() clock { return clock(ledger.NewMonotonicClock()) },
 		func() *leaving { return &leaving{} },
 		func(s *settings.Hosted) *platform.Store { return platform.NewStore(s.TableAddress) },
 		hostedLedger, hostedPolicies, hostedOwner, hostedStore, hostedScheduler, hostedPeers, hostedHandover, hostedRPC,
@@ -125,7 +125,7 @@
 }
 
 func hostedPolicies(store *platform.Store, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *policy.Watcher {
-	return policy.NewWatcher(platform.NewOperator(store), policy.Limits{KeyEnd: s.KeyEnd, ApplyTime: s.ApplyTime}, c, registry, log)
+	return policy.NewWatcher(platform.NewOperator(store), policy.Limits{RevocationTime: s.KeyEnd, ApplyTime: s.ApplyTime}, c, registry, log)
 }
 
 func hostedOwner(l *ledger.Client, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -306,7 +306,7 @@
 			return row.Record, nil
 		}
 		metrics.GetOrRegisterCounter("scheduler.save_failed", t.service.registry).Inc(1)
-		inDoubt = inDoubt || errors.Is(err, ledger.ErrUnknown)
+		inDoubt = inDoubt || errors.Is(err, ledger.ErrOutcomeUnknown)
 		if isSettled(err) || nothingWritten(err) && !inDoubt && record.State != api.JobFinal {
 			return record, err
 		}
@@ -327,7 +327,7 @@
 		return
 	}
 	id := record.Job.ID
-	t.step(sched.Saved{JobID: id, Attempt: record.Attempt, State: record.State, Failed: failed})
+	t.step(sched.SaveResult{JobID: id, Attempt: record.Attempt, State: record.State, Failed: failed})
 	if record.State != api.JobFinal || failed {
 		return
 	}
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -279,7 +279,7 @@
 	linkGeneration, agentGeneration := l.generation, a.generation
 	clock := w.clock(a)
 	status := route.AgentStatus{
-		Agent: a.name, ClockMS: clock.Milliseconds(), InUse: a.core.InUse(), Leaving: a.leavingSince > 0, Healthy: true,
+		Agent: a.name, ClockMS: clock.Milliseconds(), InUse: a.core.InFlight(), Leaving: a.leavingSince > 0, Healthy: true,
 	}
 	w.send(l, &e.process, func() {
 		if l.generation != linkGeneration || !l.entryUp {
@@ -394,11 +394,11 @@
 func (w *world) stepAgent(a *agentSim, ev exec.Event) {
 	for _, action := range a.core.Step(w.clock(a), ev) {
 		switch x := action.(type) {
-		case exec.Call:
+		case exec.CallEndpoint:
 			w.callEndpoint(a, x)
-		case exec.Forget:
+		case exec.DropBodies:
 			delete(a.bodies, x.Ref)
-		case exec.Send:
+		case exec.SendResult:
 			w.sendResult(a, x)
 		}
 	}
@@ -406,7 +406,7 @@
 
 // callEndpoint simulates a call of the endpoint. A call with OutcomeNotRun has
 // not reached the endpoint and does not count as an execution.
-func (w *world) callEndpoint(a *agentSim, x exec.Call) {
+func (w *world) callEndpoint(a *agentSim, x exec.CallEndpoint) {
 	outcome := api.OutcomeDone
 	switch p := w.rng.Float64(); {
 	case w.faultsOff || p < 0.85:
@@ -430,14 +430,14 @@
 		a.receive(gen, func() {
 			w.oracle.executionEnded(number, outcome)
 			a.bodies[x.Ref] = number
-			w.stepAgent(a, exec.Called{Ref: x.Ref, Outcome: outcome, Size: 100})
+			w.stepAgent(a, exec.CallEnded{Ref: x.Ref, Outcome: outcome, Size: 100})
 		})
 	})
 }
 
-func (w *world) sendResult(a *agentSim, x exec.Send) {
+func (w *world) sendResult(a *agentSim, x exec.SendResult) {
 	execution := 0
-	if x.FromEndpoint {
+	if x.WithReply {
 		execution = a.bodies[x.Ref]
 	}
 	for _, e := range w.entries {
@@ -476,7 +476,7 @@
 // restartAgent replaces an agent by a new incarnation.
 func (w *world) restartAgent(a *agentSim) {
 	*a = agentSim{process: process{generation: a.generation + 1}, name: a.name, zone: a.zone, startedAt: w.now, bodies: map[exec.Ref]int{}}
-	a.core = exec.New(exec.Config{Incarnation: a.incarnation(), Slots: 2, Queue: 1, Keep: 20 * time.Second, MaxResults: 6, MaxBytes: 300})
+	a.core = exec.New(exec.Config{Incarnation: a.incarnation(), Slots: 2, MaxQueued: 1, ResultTTL: 20 * time.Second, MaxRecords: 6, MaxTotalBodyBytes: 300})
 	for _, e := range w.entries {
 		l := w.link(e, a)
 		if l.entryUp {
