--- a/internal/ledger/breaker.go
+++ b/internal/ledger/breaker.go
@@ -19,12 +19,12 @@
 	mu       sync.Mutex
 	jitter   func() float64
 	failures int
-	wait     time.Duration
+	backoff  time.Duration
 	retryAt  time.Duration
 	probing  bool
 }
 
-func (b *breaker) open() bool {
+func (b *breaker) isOpen() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.failures >= breakerThreshold
@@ -45,32 +45,32 @@
 	return true
 }
 
-// due reports whether the next probe may be made.
-func (b *breaker) due(now time.Duration) bool {
+// probeDue reports whether the next probe may be made.
+func (b *breaker) probeDue(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.probing && now >= b.retryAt
 }
 
-// delay returns how long a caller should wait before it asks again.
-func (b *breaker) delay(now time.Duration) time.Duration {
+// retryDelay returns how long a caller should wait before it asks again.
+func (b *breaker) retryDelay(now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.retryAt-now, backoffMin/2)
 }
 
-// succeeded closes the breaker and reports whether it was open.
-func (b *breaker) succeeded() bool {
+// recordSuccess closes the breaker and reports whether it was open.
+func (b *breaker) recordSuccess() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	wasOpen := b.failures >= breakerThreshold
-	b.failures, b.wait, b.probing = 0, 0, false
+	b.failures, b.backoff, b.probing = 0, 0, false
 	return wasOpen
 }
 
-// failed counts a failure and reports whether the breaker has just opened. A
+// recordFailure counts a failure and reports whether the breaker has just opened. A
 // call that was in flight when the breaker opened changes nothing.
-func (b *breaker) failed(now time.Duration) bool {
+func (b *breaker) recordFailure(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.failures >= breakerThreshold && !b.probing {
@@ -78,14 +78,14 @@
 	}
 	b.failures++
 	b.probing = false
-	b.wait = min(max(2*b.wait, backoffMin), backoffMax)
-	half := b.wait / 2
+	b.backoff = min(max(2*b.backoff, backoffMin), backoffMax)
+	half := b.backoff / 2
 	b.retryAt = now + half + time.Duration(b.jitter()*float64(half))
 	return b.failures == breakerThreshold
 }
 
-// abandoned ends a call that tells nothing about the store.
-func (b *breaker) abandoned() {
+// recordInconclusive ends a call that tells nothing about the store.
+func (b *breaker) recordInconclusive() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.probing = false
--- a/internal/ledger/cache.go
+++ b/internal/ledger/cache.go
@@ -2,61 +2,61 @@
 
 import "sync"
 
-// maxCachedTokens bounds the rows whose tokens a client remembers.
-const maxCachedTokens = 16384
+// maxCachedRows bounds the rows whose tokens a client remembers.
+const maxCachedRows = 16384
 
-// tokenCache remembers the tokens and tombstones of rows that the client has
+// historyCache remembers the tokens and tombstones of rows that the client has
 // read or written lately, so that a write needs no read to carry on a row's
 // list of tokens.
-type tokenCache struct {
+type historyCache struct {
 	mu   sync.Mutex
-	rows map[string]cachedTokens
+	rows map[string]cachedHistory
 	ring []string
 	next int
 }
 
-type cachedTokens struct {
+type cachedHistory struct {
 	version uint64
 	deleted bool
-	stamps  []stamp
+	history []writeRecord
 }
 
-func newTokenCache() *tokenCache {
-	return &tokenCache{rows: map[string]cachedTokens{}}
+func newHistoryCache() *historyCache {
+	return &historyCache{rows: map[string]cachedHistory{}}
 }
 
-func (t *tokenCache) put(s stored) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	old, known := t.rows[s.key]
+func (h *historyCache) put(s storedRow) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	old, known := h.rows[s.key]
 	if known && old.version > s.version && s.version != 0 {
 		return
 	}
 	if !known {
-		t.makeRoom(s.key)
+		h.addToRing(s.key)
 	}
-	t.rows[s.key] = cachedTokens{s.version, s.Deleted, s.Stamps}
+	h.rows[s.key] = cachedHistory{s.version, s.Deleted, s.History}
 }
 
-// makeRoom enters a key into the ring, in place of the oldest if it is full.
-func (t *tokenCache) makeRoom(key string) {
-	if len(t.ring) < maxCachedTokens {
-		t.ring = append(t.ring, key)
+// addToRing enters a key into the ring, in place of the oldest if it is full.
+func (h *historyCache) addToRing(key string) {
+	if len(h.ring) < maxCachedRows {
+		h.ring = append(h.ring, key)
 		return
 	}
-	delete(t.rows, t.ring[t.next])
-	t.ring[t.next] = key
-	t.next = (t.next + 1) % maxCachedTokens
+	delete(h.rows, h.ring[h.next])
+	h.ring[h.next] = key
+	h.next = (h.next + 1) % maxCachedRows
 }
 
-// find returns the version in the table and the stamps for a write that
+// lookup returns the version in the table and the stamps for a write that
 // expects the given version; ok is false if the row must be read first.
-func (t *tokenCache) find(key string, version uint64) (have uint64, stamps []stamp, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c, known := t.rows[key]
-	if known && (c.version == version || version == 0 && c.deleted) {
-		return c.version, c.stamps, true
+func (h *historyCache) lookup(key string, version uint64) (tableVersion uint64, history []writeRecord, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	cached, known := h.rows[key]
+	if known && (cached.version == version || version == 0 && cached.deleted) {
+		return cached.version, cached.history, true
 	}
 	return version, nil, version == 0
 }
--- a/internal/ledger/cleanup.go
+++ b/internal/ledger/cleanup.go
@@ -10,98 +10,98 @@
 )
 
 const (
-	// maxGraves bounds the tombstones that a client remembers.
-	maxGraves = 8192
-	// cleanInterval is the time between two removals of tombstones.
-	cleanInterval = 15 * time.Second
+	// maxTombstones bounds the tombstones that a client remembers.
+	maxTombstones = 8192
+	// cleanupInterval is the time between two removals of tombstones.
+	cleanupInterval = 15 * time.Second
 )
 
-// graves remembers tombstones and since when each has been seen unchanged.
-type graves struct {
+// tombstoneSet remembers tombstones and since when each has been seen unchanged.
+type tombstoneSet struct {
 	mu   sync.Mutex
-	rows map[string]grave
+	rows map[string]tombstone
 }
 
-type grave struct {
+type tombstone struct {
 	key     string
 	version uint64
-	since   time.Duration
+	seenAt  time.Duration
 }
 
-func newGraves() *graves { return &graves{rows: map[string]grave{}} }
+func newTombstoneSet() *tombstoneSet { return &tombstoneSet{rows: map[string]tombstone{}} }
 
-func (g *graves) add(key string, version uint64, now time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	old, known := g.rows[key]
-	if known && old.version >= version || !known && len(g.rows) >= maxGraves {
+func (t *tombstoneSet) add(key string, version uint64, now time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	old, known := t.rows[key]
+	if known && old.version >= version || !known && len(t.rows) >= maxTombstones {
 		return
 	}
-	g.rows[key] = grave{key, version, now}
+	t.rows[key] = tombstone{key, version, now}
 }
 
-// takeOlder removes and returns up to limit tombstones seen at or before a time.
-func (g *graves) takeOlder(than time.Duration, limit int) []grave {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	var out []grave
-	for _, v := range g.rows {
-		if v.since <= than {
+// takeExpired removes and returns up to limit tombstones seen at or before a time.
+func (t *tombstoneSet) takeExpired(seenBy time.Duration, limit int) []tombstone {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []tombstone
+	for _, v := range t.rows {
+		if v.seenAt <= seenBy {
 			out = append(out, v)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].key < out[j].key })
 	out = out[:min(len(out), limit)]
 	for _, v := range out {
-		delete(g.rows, v.key)
+		delete(t.rows, v.key)
 	}
 	return out
 }
 
-func (g *graves) len() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.rows)
+func (t *tombstoneSet) len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.rows)
 }
 
-// clean removes the rows of tombstones that are old enough that no late write
+// removeTombstones removes the rows of tombstones that are old enough that no late write
 // can still refer to them. A tombstone that has been written again is left; a
 // scan finds what a failed removal leaves.
-func (c *Client) clean(ctx context.Context) {
+func (c *Client) removeTombstones(ctx context.Context) {
 	now := c.cfg.Clock()
-	if now < c.cfg.TombstoneTTL || c.breaker.open() {
+	if now < c.cfg.TombstoneTTL || c.breaker.isOpen() {
 		return
 	}
-	old := c.graves.takeOlder(now-c.cfg.TombstoneTTL, defaultMaxGroupRows)
-	if len(old) == 0 || c.spend(ctx, CauseCleanup, c.meter.writeLimit(CauseCleanup)) != nil {
+	expired := c.tombstones.takeExpired(now-c.cfg.TombstoneTTL, defaultMaxGroupRows)
+	if len(expired) == 0 || c.spendBudget(ctx, CauseCleanup, c.meter.writeLimiter(CauseCleanup)) != nil {
 		return
 	}
-	for _, v := range c.remove(ctx, old) {
-		c.graves.add(v.key, v.version, v.since)
+	for _, v := range c.deleteTombstones(ctx, expired) {
+		c.tombstones.add(v.key, v.version, v.seenAt)
 	}
 }
 
-// remove deletes rows in one transaction. If some of them have changed, nothing
+// deleteTombstones deletes rows in one transaction. If some of them have changed, nothing
 // is deleted and the others are returned.
-func (c *Client) remove(ctx context.Context, old []grave) []grave {
+func (c *Client) deleteTombstones(ctx context.Context, expired []tombstone) []tombstone {
 	var txn external.Txn
-	for _, v := range old {
+	for _, v := range expired {
 		txn.Conds = append(txn.Conds, external.Cond{Key: v.key, Version: v.version})
 		txn.Deletes = append(txn.Deletes, v.key)
 	}
-	c.meter.count(CauseCleanup, countTxns, 1)
+	c.meter.count(CauseCleanup, counterTxns, 1)
 	var res external.TxnResult
-	err := c.call(ctx, func(ctx context.Context) (err error) {
+	err := c.callStore(ctx, func(ctx context.Context) (err error) {
 		res, err = c.table.Commit(ctx, txn)
 		return err
 	})
 	if err != nil || res.Committed {
 		return nil
 	}
-	var left []grave
+	var left []tombstone
 	for i, r := range res.Rows {
-		if i < len(old) && r.Version == old[i].version {
-			left = append(left, old[i])
+		if i < len(expired) && r.Version == expired[i].version {
+			left = append(left, expired[i])
 		}
 	}
 	return left
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -17,29 +17,29 @@
 const (
 	// maxBudgetWait is how long a read waits for its cause's budget.
 	maxBudgetWait = time.Second
-	// maxCallFactor is how many timeouts a call may take; one that has taken
+	// maxCallTimeouts is how many timeouts a call may take; one that has taken
 	// longer tells that this process was paused, and nothing about the store.
-	maxCallFactor = 2
-	// slowCommit is how many times as long as the last read a transaction may
+	maxCallTimeouts = 2
+	// commitReadFactor is how many times as long as the last read a transaction may
 	// take: a store that is slow has others waiting before it. maxSlowCommit
 	// bounds that, in timeouts.
-	slowCommit    = 4
-	maxSlowCommit = 3
+	commitReadFactor  = 4
+	maxCommitTimeouts = 3
 )
 
 // Client is the Ledger over the platform's table.
 type Client struct {
-	table   external.Table
-	cfg     Config
-	breaker *breaker
-	health  health
-	meter   *meter
-	tokens  *tokenCache
-	graves  *graves
-	lanes   map[laneName]*lane
-	reads   chan struct{}
-	// readTook is how long the last read that was answered has taken.
-	readTook atomic.Int64
+	table      external.Table
+	cfg        Config
+	breaker    *breaker
+	health     health
+	meter      *meter
+	histories  *historyCache
+	tombstones *tombstoneSet
+	lanes      map[laneName]*lane
+	readSlots  chan struct{}
+	// lastReadDuration is how long the last read that was answered has taken.
+	lastReadDuration atomic.Int64
 
 	mu      sync.Mutex
 	stopped bool
@@ -52,19 +52,19 @@
 func New(table external.Table, cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	c := &Client{
-		table:   table,
-		cfg:     cfg,
-		breaker: &breaker{jitter: cfg.Jitter},
-		meter:   newMeter(cfg),
-		tokens:  newTokenCache(),
-		graves:  newGraves(),
-		lanes:   map[laneName]*lane{},
-		reads:   make(chan struct{}, cfg.MaxReads),
+		table:      table,
+		cfg:        cfg,
+		breaker:    &breaker{jitter: cfg.Jitter},
+		meter:      newMeter(cfg),
+		histories:  newHistoryCache(),
+		tombstones: newTombstoneSet(),
+		lanes:      map[laneName]*lane{},
+		readSlots:  make(chan struct{}, cfg.MaxReads),
 	}
 	senders := 1
 	if cfg.DisableGroupCommit {
 		c.cfg.MaxGroupRows = 1
-		senders = defaultUngrouped
+		senders = ungroupedSenders
 	}
 	for _, name := range laneNames {
 		c.lanes[name] = &lane{client: c, senders: senders}
@@ -75,7 +75,7 @@
 // Start starts the removal of tombstones.
 func (c *Client) Start(context.Context) error {
 	c.loops.Begin()
-	c.loops.Every(cleanInterval, c.clean)
+	c.loops.Every(cleanupInterval, c.removeTombstones)
 	return nil
 }
 
@@ -95,14 +95,14 @@
 }
 
 // BreakerOpen reports whether the breaker is open.
-func (c *Client) BreakerOpen() bool { return c.breaker.open() }
+func (c *Client) BreakerOpen() bool { return c.breaker.isOpen() }
 
 // Outage returns for how long the store has answered no call, or 0 when it
 // answers or when the outage was not observed without a gap.
 func (c *Client) Outage() time.Duration { return c.health.outage(c.cfg.Clock()) }
 
 // Rejected returns for how long the store has rejected every call at once.
-func (c *Client) Rejected() time.Duration { return c.health.rejected(c.cfg.Clock()) }
+func (c *Client) Rejected() time.Duration { return c.health.rejectionTime(c.cfg.Clock()) }
 
 func (c *Client) idle() bool {
 	for _, l := range c.lanes {
@@ -118,24 +118,24 @@
 	if err := c.admit(cause, writes); err != nil {
 		return nil, err
 	}
-	w := &waiter{part: newPart(c.cfg.Token(), writes), ctx: ctx, cause: cause, done: make(chan struct{})}
-	c.prepare(w.part)
-	if err := c.lanes[laneOf(cause)].add(w); err != nil {
-		c.meter.count(cause, countRefused, 1)
+	qc := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), writes), ctx: ctx, cause: cause, done: make(chan struct{})}
+	c.loadHistories(qc.commitRequest)
+	if err := c.lanes[laneOf(cause)].enqueue(qc); err != nil {
+		c.meter.count(cause, counterRefused, 1)
 		return nil, err
 	}
-	return c.await(w)
+	return c.awaitOutcome(qc)
 }
 
-// prepare sets the conditions of a part and the tokens to carry on.
-func (c *Client) prepare(p *part) {
-	for i, w := range p.writes {
+// loadHistories sets the conditions of a part and the tokens to carry on.
+func (c *Client) loadHistories(req *commitRequest) {
+	for i, w := range req.writes {
 		if w.Check {
 			continue
 		}
 		var ok bool
-		p.conds[i], p.stamps[i], ok = c.tokens.find(w.Key, w.Version)
-		p.blind = p.blind || !ok
+		req.conds[i], req.histories[i], ok = c.histories.lookup(w.Key, w.Version)
+		req.historyMissing = req.historyMissing || !ok
 	}
 }
 
@@ -149,21 +149,21 @@
 			return errors.NotValidf("commit with two writes of row %q", w.Key)
 		}
 		keys[w.Key] = true
-		if err := w.check(); err != nil {
+		if err := w.validate(); err != nil {
 			return err
 		}
 	}
 	c.mu.Lock()
 	stopped := c.stopped
 	c.mu.Unlock()
-	if stopped || c.breaker.open() && !c.probeDue() {
-		c.meter.count(cause, countRefused, 1)
+	if stopped || c.breaker.isOpen() && !c.probeDue() {
+		c.meter.count(cause, counterRefused, 1)
 		return errors.Trace(ErrDown)
 	}
 	return nil
 }
 
-func (w Write) check() error {
+func (w Write) validate() error {
 	if w.Key == "" {
 		return errors.NotValidf("write without key")
 	}
@@ -177,34 +177,34 @@
 }
 
 func (c *Client) probeDue() bool {
-	return c.breaker.due(c.cfg.Clock())
+	return c.breaker.probeDue(c.cfg.Clock())
 }
 
-func (c *Client) await(w *waiter) ([]Row, error) {
+func (c *Client) awaitOutcome(qc *queuedCommit) ([]Row, error) {
 	select {
-	case <-w.done:
+	case <-qc.done:
 	default:
 		select {
-		case <-w.done:
-		case <-w.ctx.Done():
-			return c.giveUp(w)
+		case <-qc.done:
+		case <-qc.ctx.Done():
+			return c.giveUp(qc)
 		}
 	}
-	return w.rows, w.err
+	return qc.rows, qc.err
 }
 
 // giveUp ends the wait of a caller whose context has ended.
-func (c *Client) giveUp(w *waiter) ([]Row, error) {
-	if w.state.CompareAndSwap(waiting, withdrawn) {
-		c.meter.count(w.cause, countRefused, 1)
-		return nil, errors.Annotate(ErrDown, w.ctx.Err().Error())
+func (c *Client) giveUp(qc *queuedCommit) ([]Row, error) {
+	if qc.state.CompareAndSwap(stateQueued, stateWithdrawn) {
+		c.meter.count(qc.cause, counterRefused, 1)
+		return nil, errors.Annotate(ErrDown, qc.ctx.Err().Error())
 	}
 	select {
-	case <-w.done:
-		return w.rows, w.err
+	case <-qc.done:
+		return qc.rows, qc.err
 	default:
-		c.meter.count(w.cause, countUnknown, 1)
-		return nil, errors.Annotate(ErrOutcomeUnknown, w.ctx.Err().Error())
+		c.meter.count(qc.cause, counterUnknown, 1)
+		return nil, errors.Annotate(ErrOutcomeUnknown, qc.ctx.Err().Error())
 	}
 }
 
@@ -218,13 +218,13 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "reading row %q", keys[0])
 	}
-	found, err := c.learn(rows)
+	found, err := c.decodeAndCache(rows)
 	if err != nil {
 		return nil, err
 	}
 	out := make([]Row, len(found))
 	for i, s := range found {
-		out[i] = s.row()
+		out[i] = s.visibleRow()
 	}
 	return out, nil
 }
@@ -240,8 +240,8 @@
 		}
 		for _, s := range page {
 			after = s.key
-			if !s.absent() {
-				out = append(out, s.row())
+			if !s.isAbsent() {
+				out = append(out, s.visibleRow())
 			}
 		}
 		if len(page) < want {
@@ -251,7 +251,7 @@
 	return out, nil
 }
 
-func (c *Client) scanPage(ctx context.Context, cause Cause, prefix, after string, limit int) ([]stored, error) {
+func (c *Client) scanPage(ctx context.Context, cause Cause, prefix, after string, limit int) ([]storedRow, error) {
 	var rows []external.Row
 	err := c.read(ctx, cause, func(ctx context.Context) (err error) {
 		rows, err = c.table.Scan(ctx, prefix, after, limit)
@@ -260,19 +260,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.learn(rows)
+	return c.decodeAndCache(rows)
 }
 
-// learn opens the rows and remembers their tokens and tombstones.
-func (c *Client) learn(rows []external.Row) ([]stored, error) {
-	found, err := openAll(rows)
+// decodeAndCache opens the rows and remembers their tokens and tombstones.
+func (c *Client) decodeAndCache(rows []external.Row) ([]storedRow, error) {
+	found, err := decodeRows(rows)
 	if err != nil {
 		return nil, err
 	}
 	for _, s := range found {
-		c.tokens.put(s)
+		c.histories.put(s)
 		if s.Deleted {
-			c.graves.add(s.key, s.version, c.cfg.Clock())
+			c.tombstones.add(s.key, s.version, c.cfg.Clock())
 		}
 	}
 	return found, nil
@@ -280,30 +280,30 @@
 
 // read runs one read within budget, breaker and bounds.
 func (c *Client) read(ctx context.Context, cause Cause, call func(context.Context) error) error {
-	if err := c.spend(ctx, cause, c.meter.readLimit(cause)); err != nil {
+	if err := c.spendBudget(ctx, cause, c.meter.readLimiter(cause)); err != nil {
 		return err
 	}
 	select {
-	case c.reads <- struct{}{}:
-		defer func() { <-c.reads }()
+	case c.readSlots <- struct{}{}:
+		defer func() { <-c.readSlots }()
 	default:
-		c.meter.count(cause, countRefused, 1)
+		c.meter.count(cause, counterRefused, 1)
 		return errors.Annotatef(ErrOverloaded, "%d reads in progress", c.cfg.MaxReads)
 	}
 	if !c.breaker.allow(c.cfg.Clock()) {
-		c.meter.count(cause, countRefused, 1)
+		c.meter.count(cause, counterRefused, 1)
 		return errors.Trace(ErrDown)
 	}
-	c.meter.count(cause, countReads, 1)
-	return c.call(ctx, call)
+	c.meter.count(cause, counterReads, 1)
+	return c.callStore(ctx, call)
 }
 
-// call makes one allowed read of the store and notes how it went.
-func (c *Client) call(ctx context.Context, call func(context.Context) error) error {
+// callStore makes one allowed read of the store and notes how it went.
+func (c *Client) callStore(ctx context.Context, call func(context.Context) error) error {
 	start := c.cfg.Clock()
-	err := c.callWithin(ctx, c.cfg.OpTimeout, call)
+	err := c.callStoreWithin(ctx, c.cfg.OpTimeout, call)
 	if err == nil {
-		c.readTook.Store(int64(c.cfg.Clock() - start))
+		c.lastReadDuration.Store(int64(c.cfg.Clock() - start))
 	}
 	return err
 }
@@ -311,12 +311,12 @@
 // commitTimeout bounds one transaction: a transaction that is given up while it
 // waits in a slow store is sent again and makes the others wait longer.
 func (c *Client) commitTimeout() time.Duration {
-	slow := slowCommit * time.Duration(c.readTook.Load())
-	return max(c.cfg.OpTimeout, min(slow, maxSlowCommit*c.cfg.OpTimeout))
+	slow := commitReadFactor * time.Duration(c.lastReadDuration.Load())
+	return max(c.cfg.OpTimeout, min(slow, maxCommitTimeouts*c.cfg.OpTimeout))
 }
 
-// callWithin makes one allowed call to the store and notes how it went.
-func (c *Client) callWithin(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
+// callStoreWithin makes one allowed call to the store and notes how it went.
+func (c *Client) callStoreWithin(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
 	opCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	start := c.cfg.Clock()
@@ -324,33 +324,33 @@
 	now := c.cfg.Clock()
 	switch {
 	case err == nil:
-		c.health.answer(start, now)
-		if c.breaker.succeeded() {
+		c.health.recordAnswer(start, now)
+		if c.breaker.recordSuccess() {
 			c.cfg.Log.Info().Msg("store answers again")
 		}
-	case ctx.Err() != nil || now-start > maxCallFactor*timeout:
-		c.breaker.abandoned()
+	case ctx.Err() != nil || now-start > maxCallTimeouts*timeout:
+		c.breaker.recordInconclusive()
 	default:
-		c.health.failure(start, now)
-		if c.breaker.failed(now) {
+		c.health.recordFailure(start, now)
+		if c.breaker.recordFailure(now) {
 			c.cfg.Log.Warn().Err(err).Msg("store does not answer")
 		}
 	}
 	return err
 }
 
-// spend takes one operation from the budget, waiting up to maxBudgetWait.
-func (c *Client) spend(ctx context.Context, cause Cause, l *rate.Limiter) error {
-	r := l.Reserve()
-	d := r.Delay()
-	if d == 0 {
+// spendBudget takes one operation from the budget, waiting up to maxBudgetWait.
+func (c *Client) spendBudget(ctx context.Context, cause Cause, limiter *rate.Limiter) error {
+	reservation := limiter.Reserve()
+	delay := reservation.Delay()
+	if delay == 0 {
 		return nil
 	}
-	c.meter.count(cause, countOverBudget, 1)
-	if d > maxBudgetWait {
-		r.Cancel()
+	c.meter.count(cause, counterOverBudget, 1)
+	if delay > maxBudgetWait {
+		reservation.Cancel()
 		return errors.Annotatef(ErrOverloaded, "budget of cause %q is used up", cause)
 	}
-	c.cfg.Sleep(ctx, d)
+	c.cfg.Sleep(ctx, delay)
 	return nil
 }
--- a/internal/ledger/client_test.go
+++ b/internal/ledger/client_test.go
@@ -52,7 +52,7 @@
 	waitFor(t, "the first transaction is in flight", func() bool {
 		lane.mu.Lock()
 		defer lane.mu.Unlock()
-		return lane.running > 0 && len(lane.queue) == 0
+		return lane.activeSenders > 0 && len(lane.queue) == 0
 	})
 	for i := range callers {
 		commit(fmt.Sprintf("k%d", i))
@@ -133,7 +133,7 @@
 			}
 		}()
 	}
-	waitFor(t, "reads are in progress", func() bool { return len(c.reads) == 2 })
+	waitFor(t, "reads are in progress", func() bool { return len(c.readSlots) == 2 })
 	if _, err := c.Get(ctx, CauseJob, "a"); !errors.Is(err, ErrOverloaded) {
 		t.Errorf("error %v", err)
 	}
--- a/internal/ledger/config.go
+++ b/internal/ledger/config.go
@@ -21,8 +21,8 @@
 	defaultMaxQueueBytes = 8 << 20
 	defaultMaxReads      = 64
 	defaultOpTimeout     = time.Second
-	defaultTombstoneAge  = 5 * time.Minute
-	defaultUngrouped     = 16
+	defaultTombstoneTTL  = 5 * time.Minute
+	ungroupedSenders     = 16
 )
 
 // Budget is the number of store operations per second that a cause may use.
@@ -78,16 +78,16 @@
 }
 
 func (c Config) withDefaults() Config {
-	setInt(&c.MaxGroupRows, defaultMaxGroupRows)
-	setInt(&c.MaxGroupBytes, defaultMaxGroupBytes)
-	setInt(&c.MaxQueue, defaultMaxQueue)
-	setInt(&c.MaxQueueBytes, defaultMaxQueueBytes)
-	setInt(&c.MaxReads, defaultMaxReads)
+	setDefault(&c.MaxGroupRows, defaultMaxGroupRows)
+	setDefault(&c.MaxGroupBytes, defaultMaxGroupBytes)
+	setDefault(&c.MaxQueue, defaultMaxQueue)
+	setDefault(&c.MaxQueueBytes, defaultMaxQueueBytes)
+	setDefault(&c.MaxReads, defaultMaxReads)
 	if c.OpTimeout == 0 {
 		c.OpTimeout = defaultOpTimeout
 	}
 	if c.TombstoneTTL == 0 {
-		c.TombstoneTTL = defaultTombstoneAge
+		c.TombstoneTTL = defaultTombstoneTTL
 	}
 	if c.Budgets == nil {
 		c.Budgets = DefaultBudgets()
@@ -95,11 +95,11 @@
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewRegistry()
 	}
-	c.setHooks()
+	c.setDefaultHooks()
 	return c
 }
 
-func (c *Config) setHooks() {
+func (c *Config) setDefaultHooks() {
 	if c.Clock == nil {
 		c.Clock = NewMonotonicClock()
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-func setInt(v *int, def int) {
+func setDefault(v *int, def int) {
 	if *v == 0 {
 		*v = def
 	}
@@ -126,13 +126,13 @@
 // NewMonotonicClock returns a clock that counts from now on, never goes back and goes
 // on while the host is suspended.
 func NewMonotonicClock() func() time.Duration {
-	start := sinceBoot()
-	return func() time.Duration { return sinceBoot() - start }
+	start := timeSinceBoot()
+	return func() time.Duration { return timeSinceBoot() - start }
 }
 
-// sinceBoot is the time since the host's boot, with the time that it was
+// timeSinceBoot is the time since the host's boot, with the time that it was
 // suspended.
-func sinceBoot() time.Duration {
+func timeSinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		// The call fails only for clocks that the system does not have.
--- a/internal/ledger/dump.go
+++ b/internal/ledger/dump.go
@@ -22,8 +22,8 @@
 		Down:          c.BreakerOpen(),
 		OutageMS:      c.Outage().Milliseconds(),
 		Queues:        map[laneName]int{},
-		ReadsInFlight: len(c.reads),
-		Tombstones:    c.graves.len(),
+		ReadsInFlight: len(c.readSlots),
+		Tombstones:    c.tombstones.len(),
 		Counters:      map[string]int64{},
 	}
 	for name, l := range c.lanes {
--- a/internal/ledger/envelope.go
+++ b/internal/ledger/envelope.go
@@ -9,13 +9,13 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// maxTokens is the number of writes that a row remembers.
-const maxTokens = 8
+// maxHistory is the number of writes that a row remembers.
+const maxHistory = 8
 
-// stamp marks one write of a row: its token and the version that it replaced.
+// writeRecord marks one write of a row: its token and the version that it replaced.
 // Versions of a row grow, but not by one: a table may count all its writes
 // with one counter.
-type stamp struct {
+type writeRecord struct {
 	Token    string `json:"t"`
 	Replaced uint64 `json:"r,omitempty"`
 }
@@ -24,20 +24,20 @@
 // writes of the row, the newest last. A deleted row stays as a tombstone for a
 // while, so that a lost answer of its delete can be settled like any other.
 type envelope struct {
-	Stamps  []stamp         `json:"stamps"`
+	History []writeRecord   `json:"stamps"`
 	Deleted bool            `json:"deleted,omitempty"`
 	Data    json.RawMessage `json:"data,omitempty"`
 }
 
-// stored is a row of the table with its envelope opened.
-type stored struct {
+// storedRow is a row of the table with its envelope opened.
+type storedRow struct {
 	key     string
 	version uint64
 	envelope
 }
 
-func open(r external.Row) (stored, error) {
-	s := stored{key: r.Key, version: r.Version}
+func decodeRow(r external.Row) (storedRow, error) {
+	s := storedRow{key: r.Key, version: r.Version}
 	if r.Version == 0 || len(r.Value) == 0 {
 		return s, nil
 	}
@@ -47,10 +47,10 @@
 	return s, nil
 }
 
-func openAll(rows []external.Row) ([]stored, error) {
-	out := make([]stored, 0, len(rows))
+func decodeRows(rows []external.Row) ([]storedRow, error) {
+	out := make([]storedRow, 0, len(rows))
 	for _, r := range rows {
-		s, err := open(r)
+		s, err := decodeRow(r)
 		if err != nil {
 			return nil, err
 		}
@@ -59,18 +59,18 @@
 	return out, nil
 }
 
-// row returns what callers see: a tombstone is an absent row.
-func (s stored) row() Row {
-	if s.absent() {
+// visibleRow returns what callers see: a tombstone is an absent visibleRow.
+func (s storedRow) visibleRow() Row {
+	if s.isAbsent() {
 		return Row{Key: s.key}
 	}
 	return Row{Key: s.key, Version: s.version, Data: s.Data}
 }
 
-func (s stored) absent() bool { return s.version == 0 || s.Deleted }
+func (s storedRow) isAbsent() bool { return s.version == 0 || s.Deleted }
 
-func (s stored) has(token string) bool {
-	for _, t := range s.Stamps {
+func (s storedRow) hasToken(token string) bool {
+	for _, t := range s.History {
 		if t.Token == token {
 			return true
 		}
@@ -78,14 +78,14 @@
 	return false
 }
 
-// covers reports whether the stamps reach back to the write that replaced the
+// historyReaches reports whether the stamps reach back to the write that replaced the
 // given version, so that a token that is missing has certainly not been
 // written in its place.
-func (s stored) covers(replaced uint64) bool {
+func (s storedRow) historyReaches(replaced uint64) bool {
 	if s.version <= replaced {
 		return true
 	}
-	for _, t := range s.Stamps {
+	for _, t := range s.History {
 		if t.Replaced == replaced {
 			return true
 		}
@@ -93,12 +93,12 @@
 	return false
 }
 
-func appendStamp(stamps []stamp, next stamp) []stamp {
-	if n := len(stamps) - (maxTokens - 1); n > 0 {
-		stamps = stamps[n:]
+func appendRecord(history []writeRecord, next writeRecord) []writeRecord {
+	if n := len(history) - (maxHistory - 1); n > 0 {
+		history = history[n:]
 	}
-	out := make([]stamp, 0, len(stamps)+1)
-	out = append(out, stamps...)
+	out := make([]writeRecord, 0, len(history)+1)
+	out = append(out, history...)
 	return append(out, next)
 }
 
--- a/internal/ledger/feed.go
+++ b/internal/ledger/feed.go
@@ -9,9 +9,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// feedSlack is how long the answer of a feed may take beyond the time that the
+// feedTimeoutMargin is how long the answer of a feed may take beyond the time that the
 // table was asked to wait.
-const feedSlack = 600 * time.Millisecond
+const feedTimeoutMargin = 600 * time.Millisecond
 
 // Feed returns the rows with a prefix that were written after a version, and
 // the version up to which that is all; deleted ones have version 0. The table
@@ -21,19 +21,19 @@
 	if !ok {
 		return nil, 0, errors.NotSupportedf("feed of table %T", c.table)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+feedSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+feedTimeoutMargin)
 	defer cancel()
 	rows, upTo, err := feeder.Feed(ctx, prefix, after, wait)
 	if err != nil {
 		return nil, 0, errors.Annotatef(err, "feed of rows %q after %d", prefix, after)
 	}
-	found, err := c.learn(rows)
+	found, err := c.decodeAndCache(rows)
 	if err != nil {
 		return nil, 0, err
 	}
 	out := make([]Row, len(found))
 	for i, s := range found {
-		out[i] = s.row()
+		out[i] = s.visibleRow()
 	}
 	return out, upTo, nil
 }
--- a/internal/ledger/group.go
+++ b/internal/ledger/group.go
@@ -17,8 +17,8 @@
 	stepDone
 )
 
-// part is one caller's commit within a group.
-type part struct {
+// commitRequest is one caller's commit within a group.
+type commitRequest struct {
 	token  string
 	writes []Write
 	bytes  int
@@ -26,33 +26,33 @@
 	// conds are the versions in the table; they differ from those of writes
 	// where a row is a tombstone.
 	conds []uint64
-	// stamps are the earlier stamps of each row, as far as known.
-	stamps [][]stamp
-	// versions are those that the writes have given, once the part has committed.
-	versions []uint64
-	// blind is set while the stamps of a row are not known.
-	blind bool
-	// doubt is set once an answer that concerns the part was lost.
-	doubt bool
+	// histories are the earlier histories of each row, as far as known.
+	histories [][]writeRecord
+	// newVersions are those that the writes have given, once the part has committed.
+	newVersions []uint64
+	// historyMissing is set while the stamps of a row are not known.
+	historyMissing bool
+	// inDoubt is set once an answer that concerns the part was lost.
+	inDoubt bool
 
 	ended bool
 	rows  []Row
 	err   error
 }
 
-func newPart(token string, writes []Write) *part {
-	p := &part{token: token, writes: writes, conds: make([]uint64, len(writes)), stamps: make([][]stamp, len(writes))}
+func newCommitRequest(token string, writes []Write) *commitRequest {
+	req := &commitRequest{token: token, writes: writes, conds: make([]uint64, len(writes)), histories: make([][]writeRecord, len(writes))}
 	for i, w := range writes {
-		p.conds[i] = w.Version
-		p.bytes += len(w.Key) + len(w.Data)
+		req.conds[i] = w.Version
+		req.bytes += len(w.Key) + len(w.Data)
 	}
-	return p
+	return req
 }
 
-func (p *part) end(rows []Row, err error) {
-	p.ended = true
-	p.rows = rows
-	p.err = err
+func (req *commitRequest) end(rows []Row, err error) {
+	req.ended = true
+	req.rows = rows
+	req.err = err
 }
 
 // group merges the commits of independent callers into one transaction. It is
@@ -62,33 +62,33 @@
 // again under the same conditions, so that it takes effect at most once even
 // if the first transaction arrives late; any other has conflicted.
 type group struct {
-	parts []*part
-	next  step
+	requests []*commitRequest
+	next     step
 }
 
-func newGroup(parts []*part) *group {
-	g := &group{parts: parts}
-	for _, p := range parts {
-		if p.blind {
+func newGroup(requests []*commitRequest) *group {
+	g := &group{requests: requests}
+	for _, req := range requests {
+		if req.historyMissing {
 			g.next = stepRead
 		}
 	}
 	return g
 }
 
-// open returns the parts that have not ended.
-func (g *group) open() []*part {
-	var out []*part
-	for _, p := range g.parts {
-		if !p.ended {
-			out = append(out, p)
+// pending returns the parts that have not ended.
+func (g *group) pending() []*commitRequest {
+	var out []*commitRequest
+	for _, req := range g.requests {
+		if !req.ended {
+			out = append(out, req)
 		}
 	}
 	return out
 }
 
-func (g *group) step() step {
-	if len(g.open()) == 0 {
+func (g *group) nextStep() step {
+	if len(g.pending()) == 0 {
 		return stepDone
 	}
 	return g.next
@@ -97,8 +97,8 @@
 func (g *group) keys() []string {
 	var keys []string
 	seen := map[string]bool{}
-	for _, p := range g.open() {
-		for _, w := range p.writes {
+	for _, req := range g.pending() {
+		for _, w := range req.writes {
 			if !seen[w.Key] {
 				seen[w.Key] = true
 				keys = append(keys, w.Key)
@@ -112,24 +112,24 @@
 func (g *group) txn() external.Txn {
 	var txn external.Txn
 	seen := map[external.Cond]bool{}
-	for _, p := range g.open() {
-		for i, w := range p.writes {
-			cond := external.Cond{Key: w.Key, Version: p.conds[i]}
+	for _, req := range g.pending() {
+		for i, w := range req.writes {
+			cond := external.Cond{Key: w.Key, Version: req.conds[i]}
 			if !seen[cond] {
 				seen[cond] = true
 				txn.Conds = append(txn.Conds, cond)
 			}
 			if !w.Check {
-				txn.Puts = append(txn.Puts, external.Row{Key: w.Key, Value: p.value(i)})
+				txn.Puts = append(txn.Puts, external.Row{Key: w.Key, Value: req.encodeValue(i)})
 			}
 		}
 	}
 	return txn
 }
 
-func (p *part) value(i int) json.RawMessage {
-	w := p.writes[i]
-	e := envelope{Stamps: appendStamp(p.stamps[i], stamp{p.token, p.conds[i]}), Deleted: w.Delete, Data: w.Data}
+func (req *commitRequest) encodeValue(i int) json.RawMessage {
+	w := req.writes[i]
+	e := envelope{History: appendRecord(req.histories[i], writeRecord{req.token, req.conds[i]}), Deleted: w.Delete, Data: w.Data}
 	if w.Delete {
 		e.Data = nil
 	}
@@ -138,30 +138,30 @@
 	return v
 }
 
-// lost says that the transaction got no answer.
-func (g *group) lost() {
-	for _, p := range g.open() {
-		p.doubt = true
+// recordLostAnswer says that the transaction got no answer.
+func (g *group) recordLostAnswer() {
+	for _, req := range g.pending() {
+		req.inDoubt = true
 	}
 	g.next = stepRead
 }
 
-// committed brings the written rows.
-func (g *group) committed(rows []external.Row) {
+// recordCommitted brings the written rows.
+func (g *group) recordCommitted(rows []external.Row) {
 	versions := make(map[string]uint64, len(rows))
 	for _, r := range rows {
 		versions[r.Key] = r.Version
 	}
-	for _, p := range g.open() {
-		p.end(p.written(versions), nil)
+	for _, req := range g.pending() {
+		req.end(req.committedRows(versions), nil)
 	}
 }
 
-func (p *part) written(versions map[string]uint64) []Row {
-	out := make([]Row, len(p.writes))
-	p.versions = make([]uint64, len(p.writes))
-	for i, w := range p.writes {
-		p.versions[i] = versions[w.Key]
+func (req *commitRequest) committedRows(versions map[string]uint64) []Row {
+	out := make([]Row, len(req.writes))
+	req.newVersions = make([]uint64, len(req.writes))
+	for i, w := range req.writes {
+		req.newVersions[i] = versions[w.Key]
 		out[i] = Row{Key: w.Key}
 		switch {
 		case w.Check:
@@ -173,98 +173,98 @@
 	return out
 }
 
-// current brings the rows of all keys as they are now, after a failed
+// reconcile brings the rows of all keys as they are now, after a failed
 // condition or a read-back.
-func (g *group) current(rows []stored) {
-	byKey := make(map[string]stored, len(rows))
+func (g *group) reconcile(rows []storedRow) {
+	byKey := make(map[string]storedRow, len(rows))
 	for _, r := range rows {
 		byKey[r.key] = r
 	}
-	for _, p := range g.open() {
-		p.judge(byKey)
+	for _, req := range g.pending() {
+		req.reconcile(byKey)
 	}
 	g.next = stepSend
 }
 
-// judge ends the part if the rows tell its outcome.
-func (p *part) judge(rows map[string]stored) {
-	if p.doubt && p.found(rows) {
-		p.end(p.settledRows(rows), nil)
+// reconcile ends the part if the rows tell its outcome.
+func (req *commitRequest) reconcile(rows map[string]storedRow) {
+	if req.inDoubt && req.tokenFound(rows) {
+		req.end(req.rowsFromHistory(rows), nil)
 		return
 	}
 	changed, unclear := false, false
-	for i, w := range p.writes {
+	for i, w := range req.writes {
 		r := rows[w.Key]
-		if r.version == p.conds[i] {
-			p.stamps[i] = r.Stamps
+		if r.version == req.conds[i] {
+			req.histories[i] = r.History
 			continue
 		}
-		unclear = unclear || p.doubt && !w.Check && !r.covers(p.conds[i])
-		if w.Version == 0 && r.absent() {
-			p.conds[i], p.stamps[i] = r.version, r.Stamps
+		unclear = unclear || req.inDoubt && !w.Check && !r.historyReaches(req.conds[i])
+		if w.Version == 0 && r.isAbsent() {
+			req.conds[i], req.histories[i] = r.version, r.History
 			continue
 		}
 		changed = true
 	}
 	switch {
 	case unclear:
-		p.end(nil, errors.Annotatef(ErrOutcomeUnknown, "row %q has had more writes than it remembers", p.writes[0].Key))
+		req.end(nil, errors.Annotatef(ErrOutcomeUnknown, "row %q has had more writes than it remembers", req.writes[0].Key))
 	case changed:
-		p.end(p.currentRows(rows), errors.Annotatef(ErrConflict, "row %q", p.firstChanged(rows)))
+		req.end(req.currentRows(rows), errors.Annotatef(ErrConflict, "row %q", req.firstChangedKey(rows)))
 	}
 }
 
-// found reports whether any row shows the part's token. A transaction writes
+// tokenFound reports whether any row shows the part's token. A transaction writes
 // all rows or none, so one is enough.
-func (p *part) found(rows map[string]stored) bool {
-	for _, w := range p.writes {
-		if !w.Check && rows[w.Key].has(p.token) {
+func (req *commitRequest) tokenFound(rows map[string]storedRow) bool {
+	for _, w := range req.writes {
+		if !w.Check && rows[w.Key].hasToken(req.token) {
 			return true
 		}
 	}
 	return false
 }
 
-// settledRows returns the versions that the part's own write has given.
-func (p *part) settledRows(rows map[string]stored) []Row {
-	versions := make(map[string]uint64, len(p.writes))
-	for i, w := range p.writes {
-		versions[w.Key] = rows[w.Key].versionOf(p.token, p.conds[i])
+// rowsFromHistory returns the versions that the part's own write has given.
+func (req *commitRequest) rowsFromHistory(rows map[string]storedRow) []Row {
+	versions := make(map[string]uint64, len(req.writes))
+	for i, w := range req.writes {
+		versions[w.Key] = rows[w.Key].versionWrittenBy(req.token, req.conds[i])
 	}
-	return p.written(versions)
+	return req.committedRows(versions)
 }
 
-// versionOf returns the version at which the token was written, or def if the
+// versionWrittenBy returns the version at which the token was written, or def if the
 // row no longer remembers it. A version that is too old lets the next write of
 // the row conflict, which brings the current one.
-func (s stored) versionOf(token string, def uint64) uint64 {
-	for i, t := range s.Stamps {
+func (s storedRow) versionWrittenBy(token string, fallback uint64) uint64 {
+	for i, t := range s.History {
 		switch {
 		case t.Token != token:
 			continue
-		case i+1 < len(s.Stamps):
-			return s.Stamps[i+1].Replaced
+		case i+1 < len(s.History):
+			return s.History[i+1].Replaced
 		default:
 			return s.version
 		}
 	}
-	return def
+	return fallback
 }
 
-func (p *part) currentRows(rows map[string]stored) []Row {
-	out := make([]Row, len(p.writes))
-	for i, w := range p.writes {
-		out[i] = rows[w.Key].row()
+func (req *commitRequest) currentRows(rows map[string]storedRow) []Row {
+	out := make([]Row, len(req.writes))
+	for i, w := range req.writes {
+		out[i] = rows[w.Key].visibleRow()
 		out[i].Key = w.Key
 	}
 	return out
 }
 
-func (p *part) firstChanged(rows map[string]stored) string {
-	for i, w := range p.writes {
-		if rows[w.Key].version != p.conds[i] {
+func (req *commitRequest) firstChangedKey(rows map[string]storedRow) string {
+	for i, w := range req.writes {
+		if rows[w.Key].version != req.conds[i] {
 			return w.Key
 		}
 	}
-	return p.writes[0].Key
+	return req.writes[0].Key
 }
--- a/internal/ledger/group_machine_test.go
+++ b/internal/ledger/group_machine_test.go
@@ -18,8 +18,8 @@
 type groupMachine struct {
 	table  *fakeTable
 	groups []*group
-	all    []*part
-	ids    map[*part]string
+	all    []*commitRequest
+	ids    map[*commitRequest]string
 	// wrote holds, for each part and key, the versions that were replaced.
 	wrote map[string][]uint64
 }
@@ -48,24 +48,24 @@
 		panic(err)
 	}
 	if e.Deleted {
-		return e.Stamps[len(e.Stamps)-1].Token
+		return e.History[len(e.History)-1].Token
 	}
 	return string(e.Data)
 }
 
 func (m *groupMachine) visible(key string) Row {
-	s, err := open(m.table.get([]string{key})[0])
+	s, err := decodeRow(m.table.get([]string{key})[0])
 	if err != nil {
 		panic(err)
 	}
-	return s.row()
+	return s.visibleRow()
 }
 
 // newPart draws a commit of one to three rows under versions that are mostly
 // the present ones. It knows the rows' tokens, as after a read.
-func (m *groupMachine) newPart(t *rapid.T, used map[string]bool) *part {
+func (m *groupMachine) newPart(t *rapid.T, used map[string]bool) *commitRequest {
 	var writes []Write
-	var stamps [][]stamp
+	var stamps [][]writeRecord
 	var conds []uint64
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 4), 1, 3, rapid.ID).Draw(t, "rows") {
 		key := fmt.Sprintf("k%d", i)
@@ -73,29 +73,29 @@
 			continue
 		}
 		used[key] = true
-		s, err := open(m.table.get([]string{key})[0])
+		s, err := decodeRow(m.table.get([]string{key})[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := Write{Key: key, Version: s.row().Version, Data: json.RawMessage(strconv.Itoa(len(m.all)))}
+		w := Write{Key: key, Version: s.visibleRow().Version, Data: json.RawMessage(strconv.Itoa(len(m.all)))}
 		w.Delete = w.Version > 0 && rapid.IntRange(0, 4).Draw(t, "delete") == 0
 		if len(writes) > 0 && rapid.IntRange(0, 3).Draw(t, "check") == 0 {
 			w = Write{Key: key, Version: s.version, Check: true}
 		}
-		writes, stamps, conds = append(writes, w), append(stamps, s.Stamps), append(conds, s.version)
+		writes, stamps, conds = append(writes, w), append(stamps, s.History), append(conds, s.version)
 	}
 	if len(writes) == 0 {
 		return nil
 	}
-	p := newPart(strconv.Itoa(len(m.all)), writes)
+	p := newCommitRequest(strconv.Itoa(len(m.all)), writes)
 	m.ids[p] = p.token
-	p.stamps, p.conds = stamps, conds
+	p.histories, p.conds = stamps, conds
 	m.all = append(m.all, p)
 	return p
 }
 
 func (m *groupMachine) open(t *rapid.T) {
-	var parts []*part
+	var parts []*commitRequest
 	used := map[string]bool{}
 	for range rapid.IntRange(1, 4).Draw(t, "parts") {
 		if p := m.newPart(t, used); p != nil {
@@ -117,7 +117,7 @@
 // advance lets a group take its next step, with one of the faults.
 func (m *groupMachine) advance(t *rapid.T) {
 	g := m.pick(t)
-	switch g.step() {
+	switch g.nextStep() {
 	case stepSend:
 		m.send(t, g)
 	case stepRead:
@@ -136,18 +136,18 @@
 		m.answer(t, g, m.apply(txn))
 	case faultLost:
 		m.apply(txn)
-		g.lost()
+		g.recordLostAnswer()
 	case faultLate:
 		m.table.late = append(m.table.late, txn)
-		g.lost()
+		g.recordLostAnswer()
 	case faultDown:
-		g.lost()
+		g.recordLostAnswer()
 	}
 }
 
 func (m *groupMachine) answer(t *rapid.T, g *group, res external.TxnResult) {
 	if res.Committed {
-		g.committed(res.Rows)
+		g.recordCommitted(res.Rows)
 		return
 	}
 	m.bring(t, g, res.Rows)
@@ -158,11 +158,11 @@
 }
 
 func (m *groupMachine) bring(t *rapid.T, g *group, rows []external.Row) {
-	found, err := openAll(rows)
+	found, err := decodeRows(rows)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.current(found)
+	g.reconcile(found)
 }
 
 // arrive applies one late transaction.
@@ -179,12 +179,12 @@
 // overwrite lets another client write one row several times.
 func (m *groupMachine) overwrite(t *rapid.T) {
 	key := fmt.Sprintf("k%d", rapid.IntRange(0, 4).Draw(t, "row"))
-	for range rapid.IntRange(1, maxTokens+1).Draw(t, "times") {
-		s, err := open(m.table.get([]string{key})[0])
+	for range rapid.IntRange(1, maxHistory+1).Draw(t, "times") {
+		s, err := decodeRow(m.table.get([]string{key})[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := envelope{Stamps: appendStamp(s.Stamps, stamp{"other", s.version}), Data: json.RawMessage(`"other"`)}
+		e := envelope{History: appendRecord(s.History, writeRecord{"other", s.version}), Data: json.RawMessage(`"other"`)}
 		value, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
@@ -202,7 +202,7 @@
 	}
 }
 
-func (m *groupMachine) checkWrite(t *rapid.T, p *part, w Write) {
+func (m *groupMachine) checkWrite(t *rapid.T, p *commitRequest, w Write) {
 	if w.Check {
 		return
 	}
@@ -224,8 +224,8 @@
 // arrive.
 func (m *groupMachine) finish(t *rapid.T) {
 	for _, g := range m.groups {
-		for g.step() != stepDone {
-			if g.step() == stepRead {
+		for g.nextStep() != stepDone {
+			if g.nextStep() == stepRead {
 				m.readBack(t, g)
 				continue
 			}
@@ -243,7 +243,7 @@
 // once and every refused one never, whichever answers are lost or late.
 func TestGroupMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &groupMachine{table: newFakeTable(), ids: map[*part]string{}, wrote: map[string][]uint64{}}
+		m := &groupMachine{table: newFakeTable(), ids: map[*commitRequest]string{}, wrote: map[string][]uint64{}}
 		m.table.oneCounter = rapid.Bool().Draw(t, "one counter")
 		t.Repeat(map[string]func(*rapid.T){
 			"open":      m.open,
--- a/internal/ledger/health_test.go
+++ b/internal/ledger/health_test.go
@@ -37,7 +37,7 @@
 	table.down = true
 	fail(3 * time.Second)
 	expect("after failures", 3*time.Second)
-	sim.now += 2 * watchGap
+	sim.now += 2 * maxObservationGap
 	expect("right after a pause", 0)
 	fail(3 * time.Second)
 	expect("after failures with a pause between", 0)
--- a/internal/ledger/lane.go
+++ b/internal/ledger/lane.go
@@ -8,17 +8,17 @@
 	"github.com/juju/errors"
 )
 
-// The states of a waiting commit. Its caller withdraws it or the lane sends
+// The states of a stateQueued commit. Its caller withdraws it or the lane sends
 // it, never both.
 const (
-	waiting int32 = iota
-	taken
-	withdrawn
+	stateQueued int32 = iota
+	stateTaken
+	stateWithdrawn
 )
 
-// waiter is a caller's commit in a lane.
-type waiter struct {
-	*part
+// queuedCommit is a caller's commit in a lane.
+type queuedCommit struct {
+	*commitRequest
 	ctx   context.Context
 	cause Cause
 	state atomic.Int32
@@ -58,121 +58,121 @@
 	client  *Client
 	senders int
 
-	mu      sync.Mutex
-	queue   []*waiter
-	bytes   int
-	running int
+	mu            sync.Mutex
+	queue         []*queuedCommit
+	bytes         int
+	activeSenders int
 }
 
-// add queues a waiter and starts a sender if one is free.
-func (l *lane) add(w *waiter) error {
+// enqueue queues a waiter and starts a sender if one is free.
+func (l *lane) enqueue(qc *queuedCommit) error {
 	l.mu.Lock()
 	cfg := &l.client.cfg
-	if len(l.queue) >= cfg.MaxQueue || l.bytes+w.bytes > cfg.MaxQueueBytes {
+	if len(l.queue) >= cfg.MaxQueue || l.bytes+qc.bytes > cfg.MaxQueueBytes {
 		l.mu.Unlock()
 		return errors.Annotatef(ErrOverloaded, "%d commits wait", cfg.MaxQueue)
 	}
-	l.queue = append(l.queue, w)
-	l.bytes += w.bytes
-	start := l.running < l.senders
+	l.queue = append(l.queue, qc)
+	l.bytes += qc.bytes
+	start := l.activeSenders < l.senders
 	if start {
-		l.running++
+		l.activeSenders++
 	}
 	l.mu.Unlock()
 	if start {
-		cfg.Spawn(l.run)
+		cfg.Spawn(l.runSender)
 	}
 	return nil
 }
 
-func (l *lane) run() {
+func (l *lane) runSender() {
 	for {
-		ws := l.take()
-		if ws == nil {
+		commits := l.nextGroup()
+		if commits == nil {
 			return
 		}
-		l.client.send(l, ws)
+		l.client.sendGroup(l, commits)
 	}
 }
 
-// take removes the next group from the queue. With an empty queue it ends the
+// nextGroup removes the next group from the queue. With an empty queue it ends the
 // sender and returns nil. A second write of the same key, or a check of a key
 // that is written, waits for the next group.
-func (l *lane) take() []*waiter {
+func (l *lane) nextGroup() []*queuedCommit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cfg := &l.client.cfg
-	keys := map[string]use{}
+	keys := map[string]keyUse{}
 	rows, bytes := 0, 0
-	var ws, rest []*waiter
-	for i, w := range l.queue {
-		if len(ws) > 0 && (rows+len(w.writes) > cfg.MaxGroupRows || bytes+w.bytes > cfg.MaxGroupBytes) {
-			rest = append(rest, l.queue[i:]...)
+	var commits, remaining []*queuedCommit
+	for i, qc := range l.queue {
+		if len(commits) > 0 && (rows+len(qc.writes) > cfg.MaxGroupRows || bytes+qc.bytes > cfg.MaxGroupBytes) {
+			remaining = append(remaining, l.queue[i:]...)
 			break
 		}
-		if overlaps(keys, w.writes) {
-			rest = append(rest, w)
+		if overlaps(keys, qc.writes) {
+			remaining = append(remaining, qc)
 			continue
 		}
-		rows += len(w.writes)
-		bytes += w.bytes
-		ws = append(ws, w)
+		rows += len(qc.writes)
+		bytes += qc.bytes
+		commits = append(commits, qc)
 	}
-	l.queue = rest
+	l.queue = remaining
 	l.bytes -= bytes
-	if len(ws) == 0 {
-		l.running--
+	if len(commits) == 0 {
+		l.activeSenders--
 		return nil
 	}
-	return ws
+	return commits
 }
 
-// use is how the commits of a group use a key.
-type use int
+// keyUse is how the commits of a group keyUse a key.
+type keyUse int
 
 const (
-	unused use = iota
-	checked
-	written
+	keyUnused keyUse = iota
+	keyChecked
+	keyWritten
 )
 
-func useOf(w Write) use {
+func keyUseOf(w Write) keyUse {
 	if w.Check {
-		return checked
+		return keyChecked
 	}
-	return written
+	return keyWritten
 }
 
 // overlaps reports whether writes cannot join a group that uses keys already;
 // otherwise their keys are added.
-func overlaps(keys map[string]use, writes []Write) bool {
+func overlaps(keys map[string]keyUse, writes []Write) bool {
 	for _, w := range writes {
-		if have := keys[w.Key]; have == written || have == checked && !w.Check {
+		if have := keys[w.Key]; have == keyWritten || have == keyChecked && !w.Check {
 			return true
 		}
 	}
 	for _, w := range writes {
-		keys[w.Key] = useOf(w)
+		keys[w.Key] = keyUseOf(w)
 	}
 	return false
 }
 
-// refuse fails all waiting commits; none of them has been sent.
-func (l *lane) refuse(err error) {
+// refuseQueued fails all waiting commits; none of them has been sent.
+func (l *lane) refuseQueued(err error) {
 	l.mu.Lock()
 	queue := l.queue
 	l.queue, l.bytes = nil, 0
 	l.mu.Unlock()
-	for _, w := range queue {
-		if w.state.CompareAndSwap(waiting, taken) {
-			w.finish(err)
+	for _, qc := range queue {
+		if qc.state.CompareAndSwap(stateQueued, stateTaken) {
+			qc.fail(err)
 		}
 	}
 }
 
-func (w *waiter) finish(err error) {
-	w.end(nil, err)
-	close(w.done)
+func (qc *queuedCommit) fail(err error) {
+	qc.end(nil, err)
+	close(qc.done)
 }
 
 func (l *lane) len() int {
@@ -184,5 +184,5 @@
 func (l *lane) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.running == 0 && len(l.queue) == 0
+	return l.activeSenders == 0 && len(l.queue) == 0
 }
--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -130,16 +130,16 @@
 	c := s.client(name)
 	l := c.lanes[laneBulk]
 	ctx := simCtx{context.Background(), s.time, s.time.now + time.Minute}
-	var ws []*waiter
+	var ws []*queuedCommit
 	for _, line := range strings.Split(text, "\n") {
-		w := &waiter{part: newPart(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
-		c.prepare(w.part)
+		w := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
+		c.loadHistories(w.commitRequest)
 		ws = append(ws, w)
 		l.queue = append(l.queue, w)
 	}
 	before := s.table.commits
-	l.running++
-	l.run()
+	l.activeSenders++
+	l.runSender()
 	var b strings.Builder
 	for _, w := range ws {
 		fmt.Fprintln(&b, outcome(w.rows, w.err))
@@ -198,7 +198,7 @@
 		wait, _ := time.ParseDuration(arg("for"))
 		s.time.now += wait
 	case "clean":
-		s.client(arg("client")).clean(context.Background())
+		s.client(arg("client")).removeTombstones(context.Background())
 	case "table":
 		return s.dump()
 	case "state":
--- a/internal/ledger/send.go
+++ b/internal/ledger/send.go
@@ -9,130 +9,130 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// send carries a group of commits through to the end of each.
-func (c *Client) send(l *lane, ws []*waiter) {
-	ws = c.begin(ws)
-	if len(ws) == 0 {
+// sendGroup carries a group of commits through to the end of each.
+func (c *Client) sendGroup(l *lane, commits []*queuedCommit) {
+	commits = c.takeQueued(commits)
+	if len(commits) == 0 {
 		return
 	}
-	g := newGroup(partsOf(ws))
+	g := newGroup(requestsOf(commits))
 	for {
-		c.dropAbandoned(ws)
-		ws = c.release(ws)
-		next := g.step()
+		c.endAbandoned(commits)
+		commits = c.releaseEnded(commits)
+		next := g.nextStep()
 		if next == stepDone {
 			return
 		}
 		if !c.breaker.allow(c.cfg.Clock()) {
-			c.whileDown(l, g)
+			c.waitWhileDown(l, g)
 			continue
 		}
 		// A store that has failed is probed by reading, so that commits which
 		// have not been sent do not come into doubt.
-		if next == stepRead || c.breaker.open() {
+		if next == stepRead || c.breaker.isOpen() {
 			c.readBack(l, g)
 			continue
 		}
-		c.sendTxn(g, ws)
+		c.sendTxn(g, commits)
 	}
 }
 
-// begin marks the commits as taken and leaves out those that were withdrawn.
-func (c *Client) begin(ws []*waiter) []*waiter {
-	var out []*waiter
-	for _, w := range ws {
-		if w.state.CompareAndSwap(waiting, taken) {
-			out = append(out, w)
+// takeQueued marks the commits as taken and leaves out those that were withdrawn.
+func (c *Client) takeQueued(commits []*queuedCommit) []*queuedCommit {
+	var out []*queuedCommit
+	for _, qc := range commits {
+		if qc.state.CompareAndSwap(stateQueued, stateTaken) {
+			out = append(out, qc)
 		}
 	}
 	return out
 }
 
-func partsOf(ws []*waiter) []*part {
-	out := make([]*part, len(ws))
-	for i, w := range ws {
-		out[i] = w.part
+func requestsOf(commits []*queuedCommit) []*commitRequest {
+	out := make([]*commitRequest, len(commits))
+	for i, qc := range commits {
+		out[i] = qc.commitRequest
 	}
 	return out
 }
 
-// dropAbandoned ends the commits whose caller waits no longer.
-func (c *Client) dropAbandoned(ws []*waiter) {
-	for _, w := range ws {
-		if w.ended || w.ctx.Err() == nil {
+// endAbandoned ends the commits whose caller waits no longer.
+func (c *Client) endAbandoned(commits []*queuedCommit) {
+	for _, qc := range commits {
+		if qc.ended || qc.ctx.Err() == nil {
 			continue
 		}
-		if w.doubt {
-			w.end(nil, errors.Annotate(ErrOutcomeUnknown, w.ctx.Err().Error()))
+		if qc.inDoubt {
+			qc.end(nil, errors.Annotate(ErrOutcomeUnknown, qc.ctx.Err().Error()))
 			continue
 		}
-		w.end(nil, errors.Annotate(ErrDown, w.ctx.Err().Error()))
+		qc.end(nil, errors.Annotate(ErrDown, qc.ctx.Err().Error()))
 	}
 }
 
-// release answers the callers of commits that have ended and returns the others.
-func (c *Client) release(ws []*waiter) []*waiter {
-	var open []*waiter
-	for _, w := range ws {
-		if !w.ended {
-			open = append(open, w)
+// releaseEnded answers the callers of commits that have ended and returns the others.
+func (c *Client) releaseEnded(commits []*queuedCommit) []*queuedCommit {
+	var remaining []*queuedCommit
+	for _, qc := range commits {
+		if !qc.ended {
+			remaining = append(remaining, qc)
 			continue
 		}
-		c.countEnd(w)
-		close(w.done)
+		c.recordOutcome(qc)
+		close(qc.done)
 	}
-	return open
+	return remaining
 }
 
-func (c *Client) countEnd(w *waiter) {
+func (c *Client) recordOutcome(qc *queuedCommit) {
 	switch {
-	case w.err == nil:
-		c.meter.count(w.cause, countWrites, len(w.writes))
-		c.remember(w)
-	case errors.Is(w.err, ErrConflict):
-		c.meter.count(w.cause, countConflicts, 1)
-	case errors.Is(w.err, ErrOutcomeUnknown):
-		c.meter.count(w.cause, countUnknown, 1)
+	case qc.err == nil:
+		c.meter.count(qc.cause, counterWrites, len(qc.writes))
+		c.cacheWritten(qc)
+	case errors.Is(qc.err, ErrConflict):
+		c.meter.count(qc.cause, counterConflicts, 1)
+	case errors.Is(qc.err, ErrOutcomeUnknown):
+		c.meter.count(qc.cause, counterUnknown, 1)
 	default:
-		c.meter.count(w.cause, countRefused, 1)
+		c.meter.count(qc.cause, counterRefused, 1)
 	}
 }
 
-// remember keeps the tokens of the rows that a commit has written.
-func (c *Client) remember(w *waiter) {
-	for i, wr := range w.writes {
-		if wr.Check {
+// cacheWritten keeps the tokens of the rows that a commit has written.
+func (c *Client) cacheWritten(qc *queuedCommit) {
+	for i, write := range qc.writes {
+		if write.Check {
 			continue
 		}
-		s := stored{key: wr.Key, version: w.versions[i]}
-		s.Stamps = appendStamp(w.stamps[i], stamp{w.token, w.conds[i]})
-		s.Deleted = wr.Delete
-		c.tokens.put(s)
-		if wr.Delete {
-			c.graves.add(wr.Key, s.version, c.cfg.Clock())
+		s := storedRow{key: write.Key, version: qc.newVersions[i]}
+		s.History = appendRecord(qc.histories[i], writeRecord{qc.token, qc.conds[i]})
+		s.Deleted = write.Delete
+		c.histories.put(s)
+		if write.Delete {
+			c.tombstones.add(write.Key, s.version, c.cfg.Clock())
 		}
 	}
 }
 
-// whileDown refuses what has not been sent; commits in doubt wait on.
-func (c *Client) whileDown(l *lane, g *group) {
-	l.refuse(errors.Trace(ErrDown))
-	for _, p := range g.open() {
-		if !p.doubt {
-			p.end(nil, errors.Trace(ErrDown))
+// waitWhileDown refuses what has not been sent; commits in doubt wait on.
+func (c *Client) waitWhileDown(l *lane, g *group) {
+	l.refuseQueued(errors.Trace(ErrDown))
+	for _, req := range g.pending() {
+		if !req.inDoubt {
+			req.end(nil, errors.Trace(ErrDown))
 		}
 	}
-	if g.step() != stepDone {
-		c.cfg.Sleep(context.Background(), c.breaker.delay(c.cfg.Clock()))
+	if g.nextStep() != stepDone {
+		c.cfg.Sleep(context.Background(), c.breaker.retryDelay(c.cfg.Clock()))
 	}
 }
 
 // sendTxn sends the group's transaction once. The breaker has allowed it.
-func (c *Client) sendTxn(g *group, ws []*waiter) {
-	c.spendWrites(ws)
+func (c *Client) sendTxn(g *group, commits []*queuedCommit) {
+	c.spendWriteBudgets(commits)
 	txn := g.txn()
 	var res external.TxnResult
-	err := c.callWithin(context.Background(), c.commitTimeout(), func(ctx context.Context) (err error) {
+	err := c.callStoreWithin(context.Background(), c.commitTimeout(), func(ctx context.Context) (err error) {
 		res, err = c.table.Commit(ctx, txn)
 		return err
 	})
@@ -140,68 +140,68 @@
 		return // not in doubt; sent again until the breaker opens
 	}
 	if err != nil {
-		g.lost()
-		c.countLost(ws)
+		g.recordLostAnswer()
+		c.countLostAnswers(commits)
 		return
 	}
 	if res.Committed {
-		g.committed(res.Rows)
+		g.recordCommitted(res.Rows)
 		return
 	}
-	c.judge(g, res.Rows)
+	c.reconcile(g, res.Rows)
 }
 
-func (c *Client) judge(g *group, rows []external.Row) {
-	found, err := c.learn(rows)
+func (c *Client) reconcile(g *group, rows []external.Row) {
+	found, err := c.decodeAndCache(rows)
 	if err != nil {
-		for _, p := range g.open() {
-			p.end(nil, errors.Trace(err))
+		for _, req := range g.pending() {
+			req.end(nil, errors.Trace(err))
 		}
 		return
 	}
-	g.current(found)
+	g.reconcile(found)
 }
 
 // readBack reads the group's rows as they are now, which settles a lost answer.
 // The breaker has allowed it.
 func (c *Client) readBack(l *lane, g *group) {
 	var rows []external.Row
-	err := c.call(context.Background(), func(ctx context.Context) (err error) {
+	err := c.callStore(context.Background(), func(ctx context.Context) (err error) {
 		rows, err = c.table.Get(ctx, g.keys()...)
 		return err
 	})
 	switch {
 	case err == nil:
-		c.judge(g, rows)
-	case c.breaker.open():
-		c.whileDown(l, g)
+		c.reconcile(g, rows)
+	case c.breaker.isOpen():
+		c.waitWhileDown(l, g)
 	default:
-		c.cfg.Sleep(context.Background(), c.breaker.delay(c.cfg.Clock()))
+		c.cfg.Sleep(context.Background(), c.breaker.retryDelay(c.cfg.Clock()))
 	}
 }
 
 // causesOf returns the causes in a group, each once, in order of appearance.
-func causesOf(ws []*waiter) []Cause {
+func causesOf(commits []*queuedCommit) []Cause {
 	seen := map[Cause]bool{}
 	var out []Cause
-	for _, w := range ws {
-		if !seen[w.cause] {
-			seen[w.cause] = true
-			out = append(out, w.cause)
+	for _, qc := range commits {
+		if !seen[qc.cause] {
+			seen[qc.cause] = true
+			out = append(out, qc.cause)
 		}
 	}
 	return out
 }
 
-// spendWrites takes one write from the budget of each cause in the group and
+// spendWriteBudgets takes one write from the budget of each cause in the group and
 // waits as long as the budgets ask for.
-func (c *Client) spendWrites(ws []*waiter) {
+func (c *Client) spendWriteBudgets(commits []*queuedCommit) {
 	var wait time.Duration
-	for _, cause := range causesOf(ws) {
-		c.meter.count(cause, countTxns, 1)
-		d := c.meter.writeLimit(cause).Reserve().Delay()
+	for _, cause := range causesOf(commits) {
+		c.meter.count(cause, counterTxns, 1)
+		d := c.meter.writeLimiter(cause).Reserve().Delay()
 		if d > 0 {
-			c.meter.count(cause, countOverBudget, 1)
+			c.meter.count(cause, counterOverBudget, 1)
 		}
 		wait = max(wait, d)
 	}
@@ -210,8 +210,8 @@
 	}
 }
 
-func (c *Client) countLost(ws []*waiter) {
-	for _, cause := range causesOf(ws) {
-		c.meter.count(cause, countLost, 1)
+func (c *Client) countLostAnswers(commits []*queuedCommit) {
+	for _, cause := range causesOf(commits) {
+		c.meter.count(cause, counterLostAnswers, 1)
 	}
 }
