--- a/internal/confstate/edit.go
+++ b/internal/confstate/edit.go
@@ -10,9 +10,9 @@
 // already the new one, and returns ErrLostRace if the item is not as expected.
 type edit func(c *api.Config) error
 
-// editedFrom returns the configuration that an edit makes of base. The new
+// applyEdit returns the configuration that an edit makes of base. The new
 // version is above both base and floor.
-func editedFrom(base *api.Config, floor uint64, e edit) (*api.Config, error) {
+func applyEdit(base *api.Config, floor uint64, e edit) (*api.Config, error) {
 	next := base.Clone()
 	next.Version = max(base.Version, floor) + 1
 	if err := e(next); err != nil {
--- /dev/null
+++ b/internal/confstate/notifier.go
@@ -0,0 +1,60 @@
+package confstate
+
+import (
+	"context"
+	"sync"
+
+	"github.com/coltsfootlug/coltsfootlug/internal/api"
+)
+
+// notifier calls subscribers from one goroutine with ever newer configurations.
+type notifier struct {
+	mu          sync.Mutex
+	subscribers []*subscriber
+	signal      chan struct{}
+}
+
+type subscriber struct {
+	fn          func(*api.Config)
+	lastVersion uint64
+}
+
+func newNotifier() *notifier { return &notifier{signal: make(chan struct{}, 1)} }
+
+func (n *notifier) add(fn func(*api.Config)) {
+	n.mu.Lock()
+	n.subscribers = append(n.subscribers, &subscriber{fn: fn})
+	n.mu.Unlock()
+	n.wake()
+}
+
+func (n *notifier) wake() {
+	select {
+	case n.signal <- struct{}{}:
+	default:
+	}
+}
+
+func (n *notifier) run(ctx context.Context, current func() *api.Config) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-n.signal:
+			n.deliver(current())
+		}
+	}
+}
+
+// deliver calls each subscriber that has not had this version yet.
+func (n *notifier) deliver(c *api.Config) {
+	n.mu.Lock()
+	subs := append([]*subscriber(nil), n.subscribers...)
+	n.mu.Unlock()
+	for _, s := range subs {
+		if s.lastVersion < c.Version {
+			s.lastVersion = c.Version
+			s.fn(c)
+		}
+	}
+}
--- a/internal/confstate/permit.go
+++ b/internal/confstate/permit.go
@@ -5,14 +5,14 @@
 const (
 	// MaxPeerReportAge is the age up to which a peer's report counts.
 	MaxPeerReportAge = 2 * time.Second
-	// listSlack is how much older than the last contact with the store the list
+	// maxPeerListLag is how much older than the last contact with the store the list
 	// of entries may be.
-	listSlack = 2500 * time.Millisecond
+	maxPeerListLag = 2500 * time.Millisecond
 	// SettleTime is how long an entry has announced itself before it accepts
 	// changes. By then every entry that reads the store knows of it.
 	SettleTime = 4 * time.Second
-	// settlePoll is the time between two looks at whether the entry has settled.
-	settlePoll = 50 * time.Millisecond
+	// settlePollInterval is the time between two looks at whether the entry has settled.
+	settlePollInterval = 50 * time.Millisecond
 )
 
 // Peer is another entry as this one knows it.
@@ -42,7 +42,7 @@
 		return false
 	}
 	peers, listed, known := view.Peers()
-	if !known || now-listed > outage+listSlack {
+	if !known || now-listed > outage+maxPeerListLag {
 		return false
 	}
 	for _, p := range peers {
--- a/internal/confstate/rows.go
+++ b/internal/confstate/rows.go
@@ -20,11 +20,11 @@
 	Version uint64 `json:"version"`
 }
 
-// base is a configuration with the versions of the rows that hold it.
-type base struct {
-	config  *api.Config
-	headRow uint64
-	docRow  uint64
+// storedConfig is a configuration with the versions of the rows that hold it.
+type storedConfig struct {
+	config      *api.Config
+	headVersion uint64
+	docVersion  uint64
 }
 
 func decodeHead(r ledger.Row) (uint64, error) {
@@ -38,12 +38,12 @@
 	return h.Version, nil
 }
 
-// decodeBase reads the rows of head and document, in this order.
-func decodeBase(rows []ledger.Row) (*base, error) {
+// decodeStoredConfig reads the rows of head and document, in this order.
+func decodeStoredConfig(rows []ledger.Row) (*storedConfig, error) {
 	if len(rows) != 2 {
 		return nil, errors.NotValidf("answer with %d rows (want 2)", len(rows))
 	}
-	b := &base{config: &api.Config{}, headRow: rows[0].Version, docRow: rows[1].Version}
+	b := &storedConfig{config: &api.Config{}, headVersion: rows[0].Version, docVersion: rows[1].Version}
 	if rows[1].Version != 0 {
 		if err := json.Unmarshal(rows[1].Data, b.config); err != nil {
 			return nil, errors.Annotatef(err, "row %q", docKey)
@@ -54,7 +54,7 @@
 }
 
 // writes returns the writes that replace the base by a configuration.
-func (b *base) writes(c *api.Config) ([]ledger.Write, error) {
+func (b *storedConfig) writes(c *api.Config) ([]ledger.Write, error) {
 	h, err := json.Marshal(head{c.Version})
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -64,7 +64,7 @@
 		return nil, errors.Trace(err)
 	}
 	return []ledger.Write{
-		{Key: headKey, Version: b.headRow, Data: h},
-		{Key: docKey, Version: b.docRow, Data: doc},
+		{Key: headKey, Version: b.headVersion, Data: h},
+		{Key: docKey, Version: b.docVersion, Data: doc},
 	}, nil
 }
--- a/internal/confstate/service.go
+++ b/internal/confstate/service.go
@@ -30,13 +30,13 @@
 	clock  func() time.Duration
 	cfg    Config
 
-	mu   sync.Mutex
-	view *view
-	base *base // rows as last seen, nil if unknown
+	mu     sync.Mutex
+	view   *view
+	stored *storedConfig // rows as last seen, nil if unknown
 
-	editing chan struct{} // holds one token while an edit is in progress
-	feed    *feed
-	loops   kernel.Loops
+	editSlot chan struct{} // holds one token while an edit is in progress
+	notifier *notifier
+	loops    kernel.Loops
 }
 
 var _ Store = (*Service)(nil)
@@ -53,13 +53,13 @@
 		cfg.Sleep = kernel.Sleep
 	}
 	return &Service{
-		ledger:  l,
-		peers:   peers,
-		clock:   clock,
-		cfg:     cfg,
-		view:    newView(),
-		editing: make(chan struct{}, 1),
-		feed:    newFeed(),
+		ledger:   l,
+		peers:    peers,
+		clock:    clock,
+		cfg:      cfg,
+		view:     newView(),
+		editSlot: make(chan struct{}, 1),
+		notifier: newNotifier(),
 	}
 }
 
@@ -67,7 +67,7 @@
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(s.cfg.PollInterval, s.Poll)
-	s.loops.Go(func(ctx context.Context) { s.feed.run(ctx, s.Current) })
+	s.loops.Go(func(ctx context.Context) { s.notifier.run(ctx, s.Current) })
 	return nil
 }
 
@@ -94,7 +94,7 @@
 	switch {
 	case version > have:
 		// An error leaves the version unconfirmed; the next poll tries again.
-		_, _ = s.readBase(ctx)
+		_, _ = s.readStored(ctx)
 	case version < have:
 		s.count("config.store_behind")
 	default:
@@ -102,33 +102,33 @@
 	}
 }
 
-// readBase reads head and document and applies what is newer.
-func (s *Service) readBase(ctx context.Context) (*base, error) {
+// readStored reads head and document and applies what is newer.
+func (s *Service) readStored(ctx context.Context) (*storedConfig, error) {
 	start := s.clock()
 	have := s.Current().Version
 	rows, err := s.ledger.Get(ctx, ledger.CauseConfig, headKey, docKey)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	b, err := decodeBase(rows)
+	b, err := decodeStoredConfig(rows)
 	if err != nil {
 		s.cfg.Log.Error().Err(err).Msg("configuration cannot be read")
 		return nil, err
 	}
-	s.learn(b, start, b.config.Version >= have)
+	s.applyStored(b, start, b.config.Version >= have)
 	return b, nil
 }
 
-// learn takes over rows that were read by a call that began at start.
-func (s *Service) learn(b *base, start time.Duration, confirms bool) {
+// applyStored takes over rows that were read by a call that began at start.
+func (s *Service) applyStored(b *storedConfig, start time.Duration, confirms bool) {
 	s.mu.Lock()
-	s.base = b
+	s.stored = b
 	applied := s.view.apply(b.config)
 	if confirms {
 		s.view.confirm(b.config.Version, start)
 	}
 	s.mu.Unlock()
-	s.announce(applied, b.config)
+	s.notifyApplied(applied, b.config)
 }
 
 func (s *Service) confirm(version uint64, start time.Duration) {
@@ -137,14 +137,14 @@
 	s.view.confirm(version, start)
 }
 
-// announce tells the subscribers of an applied configuration.
-func (s *Service) announce(applied bool, c *api.Config) {
+// notifyApplied tells the subscribers of an applied configuration.
+func (s *Service) notifyApplied(applied bool, c *api.Config) {
 	if !applied {
 		return
 	}
 	metrics.GetOrRegisterGauge("config.version", s.cfg.Metrics).Update(int64(c.Version))
 	s.cfg.Log.Info().Uint64("version", c.Version).Msg("configuration in force")
-	s.feed.wake()
+	s.notifier.wake()
 }
 
 // Current returns the configuration in force. It must not be changed.
@@ -159,7 +159,7 @@
 func (s *Service) Snapshot() (c *api.Config, age time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.view.current, s.clock() - s.view.confirmed, s.view.known
+	return s.view.current, s.clock() - s.view.confirmedAt, s.view.everConfirmed
 }
 
 // StoreFailing reports whether the store has answered no call of this entry
@@ -176,8 +176,8 @@
 // within FreshLimit, or the store is down for every entry.
 func (s *Service) Permit() bool {
 	s.mu.Lock()
-	fresh := s.view.fresh(s.clock())
-	known := s.view.known
+	fresh := s.view.isFresh(s.clock())
+	known := s.view.everConfirmed
 	s.mu.Unlock()
 	return fresh || known && s.StoreDownEverywhere()
 }
@@ -188,7 +188,7 @@
 	applied := s.view.apply(c)
 	s.view.confirm(c.Version, s.clock()-age)
 	s.mu.Unlock()
-	s.announce(applied, c)
+	s.notifyApplied(applied, c)
 }
 
 // Confirm says that the store's version was the given one age ago, according
@@ -200,7 +200,7 @@
 }
 
 // Subscribe calls fn with the present and each newer configuration.
-func (s *Service) Subscribe(fn func(*api.Config)) { s.feed.add(fn) }
+func (s *Service) Subscribe(fn func(*api.Config)) { s.notifier.add(fn) }
 
 func (s *Service) count(name string) {
 	metrics.GetOrRegisterCounter(name, s.cfg.Metrics).Inc(1)
--- a/internal/confstate/service_test.go
+++ b/internal/confstate/service_test.go
@@ -25,20 +25,20 @@
 // fakeLedger is one entry's ledger over the shared rows.
 type fakeLedger struct {
 	ledger.Ledger
-	store    *fakeStore
-	down     bool
-	unknown  bool // the next commit takes effect and is not answered
-	answered time.Duration
-	commits  int
-	reads    int
-	before   func() // runs once, before the next commit
+	store        *fakeStore
+	down         bool
+	loseAnswer   bool // the next commit takes effect and is not answered
+	lastAnswer   time.Duration
+	commits      int
+	reads        int
+	beforeCommit func() // runs once, before the next commit
 }
 
 func (l *fakeLedger) Outage() time.Duration {
 	if !l.down {
 		return 0
 	}
-	return l.store.now - l.answered
+	return l.store.now - l.lastAnswer
 }
 
 func (l *fakeLedger) Get(_ context.Context, _ ledger.Cause, keys ...string) ([]ledger.Row, error) {
@@ -46,7 +46,7 @@
 		return nil, ledger.ErrDown
 	}
 	l.reads++
-	l.answered = l.store.now
+	l.lastAnswer = l.store.now
 	return l.store.get(keys), nil
 }
 
@@ -60,16 +60,16 @@
 }
 
 func (l *fakeLedger) Commit(_ context.Context, _ ledger.Cause, ws ...ledger.Write) ([]ledger.Row, error) {
-	if l.before != nil {
-		fn := l.before
-		l.before = nil
+	if l.beforeCommit != nil {
+		fn := l.beforeCommit
+		l.beforeCommit = nil
 		fn()
 	}
 	if l.down {
 		return nil, ledger.ErrDown
 	}
 	l.commits++
-	l.answered = l.store.now
+	l.lastAnswer = l.store.now
 	var keys []string
 	for _, w := range ws {
 		keys = append(keys, w.Key)
@@ -84,8 +84,8 @@
 		rows[i] = ledger.Row{Key: w.Key, Version: w.Version + 1}
 		l.store.rows[w.Key] = ledger.Row{Key: w.Key, Version: w.Version + 1, Data: w.Data}
 	}
-	if l.unknown {
-		l.unknown = false
+	if l.loseAnswer {
+		l.loseAnswer = false
 		return nil, ledger.ErrOutcomeUnknown
 	}
 	return rows, nil
@@ -157,22 +157,22 @@
 	case "delete":
 		c, err = e.DeleteProfile(ctx, f[1], expect)
 	}
-	return result(c, err)
+	return formatResult(c, err)
 }
 
-func result(c *api.Config, err error) string {
-	for _, known := range []error{ErrVersionConflict, ErrStoreDown, ledger.ErrOutcomeUnknown} {
-		if errors.Is(err, known) {
-			return fmt.Sprintf("%v\n%s", err, describe(c))
+func formatResult(c *api.Config, err error) string {
+	for _, expected := range []error{ErrVersionConflict, ErrStoreDown, ledger.ErrOutcomeUnknown} {
+		if errors.Is(err, expected) {
+			return fmt.Sprintf("%v\n%s", err, formatConfig(c))
 		}
 	}
 	if err != nil {
 		return err.Error()
 	}
-	return describe(c)
+	return formatConfig(c)
 }
 
-func describe(c *api.Config) string {
+func formatConfig(c *api.Config) string {
 	if c == nil {
 		return "no configuration"
 	}
@@ -200,17 +200,17 @@
 		var by string
 		d.ScanArgs(t, "by", &by)
 		line := d.Input
-		e.ledger.before = func() { s.edit(s.entry(by), line) }
+		e.ledger.beforeCommit = func() { s.edit(s.entry(by), line) }
 	case "ledger":
-		e.ledger.down, e.ledger.unknown = d.HasArg("down"), d.HasArg("unknown")
+		e.ledger.down, e.ledger.loseAnswer = d.HasArg("down"), d.HasArg("unknown")
 	case "poll":
 		e.Poll(context.Background())
-		return describe(e.Current())
+		return formatConfig(e.Current())
 	case "sleep":
 		s.store.now += wait
 	case "offer":
 		e.Offer(s.entry("other").Current(), wait)
-		return describe(e.Current())
+		return formatConfig(e.Current())
 	case "peers":
 		s.setPeers(e, d.Input)
 		e.peers.listed -= wait
--- a/internal/confstate/update.go
+++ b/internal/confstate/update.go
@@ -39,8 +39,8 @@
 // outage then asks this one, which knows of the change.
 func (s *Service) update(ctx context.Context, e edit) (*api.Config, error) {
 	select {
-	case s.editing <- struct{}{}:
-		defer func() { <-s.editing }()
+	case s.editSlot <- struct{}{}:
+		defer func() { <-s.editSlot }()
 	case <-ctx.Done():
 		return nil, errors.Annotate(ErrStoreDown, ctx.Err().Error())
 	}
@@ -63,7 +63,7 @@
 		if err := ctx.Err(); err != nil {
 			return errors.Annotate(err, "the other entries do not know this one yet")
 		}
-		s.cfg.Sleep(ctx, settlePoll)
+		s.cfg.Sleep(ctx, settlePollInterval)
 	}
 	return nil
 }
@@ -72,16 +72,16 @@
 // refuse is judged again on rows that were just read. A transaction that loses
 // to a change of another item is made again on the newer rows.
 func (s *Service) compareAndSet(ctx context.Context, e edit) (*api.Config, error) {
-	b, fresh := s.lastBase(), false
+	b, fresh := s.lastStored(), false
 	for {
 		if b == nil {
 			var err error
-			if b, err = s.readBase(ctx); err != nil {
+			if b, err = s.readStored(ctx); err != nil {
 				return nil, errors.Annotate(ErrStoreDown, err.Error())
 			}
 			fresh = true
 		}
-		next, err := editedFrom(b.config, s.Current().Version, e)
+		next, err := applyEdit(b.config, s.Current().Version, e)
 		if err != nil && !fresh {
 			b = nil
 			continue
@@ -100,15 +100,15 @@
 	}
 }
 
-func (s *Service) lastBase() *base {
+func (s *Service) lastStored() *storedConfig {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.base
+	return s.stored
 }
 
 // commit writes a configuration over the base. After a conflict it returns the
 // rows to try again on, otherwise nil and the outcome.
-func (s *Service) commit(ctx context.Context, b *base, next *api.Config) (*base, error) {
+func (s *Service) commit(ctx context.Context, b *storedConfig, next *api.Config) (*storedConfig, error) {
 	writes, err := b.writes(next)
 	if err != nil {
 		return nil, err
@@ -117,31 +117,31 @@
 	rows, err := s.ledger.Commit(ctx, ledger.CauseConfig, writes...)
 	switch {
 	case err == nil:
-		s.learn(&base{next, rows[0].Version, rows[1].Version}, start, true)
+		s.applyStored(&storedConfig{next, rows[0].Version, rows[1].Version}, start, true)
 		s.count("config.changes")
 		return nil, nil
 	case errors.Is(err, ledger.ErrConflict):
-		return s.conflict(rows, start)
+		return s.handleConflict(rows, start)
 	case errors.Is(err, ledger.ErrDown), errors.Is(err, ledger.ErrOverloaded):
 		return nil, errors.Annotate(ErrStoreDown, err.Error())
 	default:
-		s.forgetBase()
+		s.forgetStored()
 		return nil, errors.Trace(err)
 	}
 }
 
-func (s *Service) conflict(rows []ledger.Row, start time.Duration) (*base, error) {
+func (s *Service) handleConflict(rows []ledger.Row, start time.Duration) (*storedConfig, error) {
 	s.count("config.conflicts")
-	b, err := decodeBase(rows)
+	b, err := decodeStoredConfig(rows)
 	if err != nil {
 		return nil, err
 	}
-	s.learn(b, start, b.config.Version >= s.Current().Version)
+	s.applyStored(b, start, b.config.Version >= s.Current().Version)
 	return b, nil
 }
 
-func (s *Service) forgetBase() {
+func (s *Service) forgetStored() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.base = nil
+	s.stored = nil
 }
--- a/internal/confstate/view.go
+++ b/internal/confstate/view.go
@@ -10,11 +10,11 @@
 // on the process's monotonic clock.
 type view struct {
 	current *api.Config
-	// confirmed is the time at which current was certainly not older than the
+	// confirmedAt is the time at which current was certainly not older than the
 	// store's configuration.
-	confirmed time.Duration
-	// known is set once any configuration was read or relayed.
-	known bool
+	confirmedAt time.Duration
+	// everConfirmed is set once any configuration was read or relayed.
+	everConfirmed bool
 }
 
 func newView() *view {
@@ -36,13 +36,13 @@
 	if version > v.current.Version {
 		return
 	}
-	if !v.known || at > v.confirmed {
-		v.confirmed = at
+	if !v.everConfirmed || at > v.confirmedAt {
+		v.confirmedAt = at
 	}
-	v.known = true
+	v.everConfirmed = true
 }
 
-// fresh reports whether the configuration was confirmed within FreshLimit.
-func (v *view) fresh(now time.Duration) bool {
-	return v.known && now-v.confirmed <= MaxConfigAge
+// isFresh reports whether the configuration was confirmed within FreshLimit.
+func (v *view) isFresh(now time.Duration) bool {
+	return v.everConfirmed && now-v.confirmedAt <= MaxConfigAge
 }
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -29,15 +29,15 @@
 
 // Client is the Ledger over the platform's table.
 type Client struct {
-	table      external.Table
-	cfg        Config
-	breaker    *breaker
-	health     health
-	meter      *meter
-	histories  *historyCache
-	tombstones *tombstoneSet
-	lanes      map[laneName]*lane
-	readSlots  chan struct{}
+	table        external.Table
+	cfg          Config
+	breaker      *breaker
+	health       health
+	meter        *meter
+	historyCache *historyCache
+	tombstones   *tombstoneSet
+	lanes        map[laneName]*lane
+	readSlots    chan struct{}
 	// lastReadDuration is how long the last read that was answered has taken.
 	lastReadDuration atomic.Int64
 
@@ -52,14 +52,14 @@
 func New(table external.Table, cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	c := &Client{
-		table:      table,
-		cfg:        cfg,
-		breaker:    &breaker{jitter: cfg.Jitter},
-		meter:      newMeter(cfg),
-		histories:  newHistoryCache(),
-		tombstones: newTombstoneSet(),
-		lanes:      map[laneName]*lane{},
-		readSlots:  make(chan struct{}, cfg.MaxReads),
+		table:        table,
+		cfg:          cfg,
+		breaker:      &breaker{jitter: cfg.Jitter},
+		meter:        newMeter(cfg),
+		historyCache: newHistoryCache(),
+		tombstones:   newTombstoneSet(),
+		lanes:        map[laneName]*lane{},
+		readSlots:    make(chan struct{}, cfg.MaxReads),
 	}
 	senders := 1
 	if cfg.DisableGroupCommit {
@@ -134,7 +134,7 @@
 			continue
 		}
 		var ok bool
-		req.conds[i], req.histories[i], ok = c.histories.lookup(w.Key, w.Version)
+		req.conds[i], req.histories[i], ok = c.historyCache.lookup(w.Key, w.Version)
 		req.historyMissing = req.historyMissing || !ok
 	}
 }
@@ -270,7 +270,7 @@
 		return nil, err
 	}
 	for _, s := range found {
-		c.histories.put(s)
+		c.historyCache.put(s)
 		if s.Deleted {
 			c.tombstones.add(s.key, s.version, c.cfg.Clock())
 		}
--- a/internal/ledger/client_test.go
+++ b/internal/ledger/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/kernel"
 )
 
-func put(key string, version uint64, data string) Write {
+func newWrite(key string, version uint64, data string) Write {
 	return Write{Key: key, Version: version, Data: json.RawMessage(data)}
 }
 
@@ -41,7 +41,7 @@
 	var wg sync.WaitGroup
 	commit := func(key string) {
 		wg.Go(func() {
-			rows, err := c.Commit(context.Background(), CauseJob, put(key, 0, `1`))
+			rows, err := c.Commit(context.Background(), CauseJob, newWrite(key, 0, `1`))
 			if err != nil || rows[0].Version != 1 {
 				t.Errorf("rows %v, error %v", rows, err)
 			}
@@ -71,7 +71,7 @@
 func TestStalledStoreIsBounded(t *testing.T) {
 	const limit, callers = 50, 400
 	table := newFakeTable()
-	table.stall = true
+	table.stalled = true
 	registry := metrics.NewRegistry()
 	c := New(table, Config{
 		Budgets:       map[Cause]Budget{},
@@ -91,7 +91,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_, err := c.Commit(ctx, CauseJob, put(fmt.Sprintf("k%d", i), 0, `1`))
+			_, err := c.Commit(ctx, CauseJob, newWrite(fmt.Sprintf("k%d", i), 0, `1`))
 			mu.Lock()
 			defer mu.Unlock()
 			counts[errors.Cause(err).Error()]++
@@ -105,7 +105,7 @@
 	if n := runtime.NumGoroutine(); n > base+callers+len(laneNames) {
 		t.Errorf("%d goroutines for %d callers, %d before", n, callers, base)
 	}
-	if _, err := c.Commit(ctx, CauseJob, put("late", 0, `1`)); err == nil {
+	if _, err := c.Commit(ctx, CauseJob, newWrite("late", 0, `1`)); err == nil {
 		t.Error("commit succeeded while the store stalls")
 	}
 	cancel()
@@ -120,7 +120,7 @@
 // TestReadsAreBounded shows that reads beyond the bound are refused at once.
 func TestReadsAreBounded(t *testing.T) {
 	table := newFakeTable()
-	table.stall = true
+	table.stalled = true
 	c := New(table, Config{Budgets: map[Cause]Budget{}, MaxReads: 2, OpTimeout: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -170,33 +170,33 @@
 	if err := c.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Commit(context.Background(), CauseJob, put("a", 0, `1`)); err != nil {
+	if _, err := c.Commit(context.Background(), CauseJob, newWrite("a", 0, `1`)); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Commit(context.Background(), CauseJob, put("a", 1, `1`)); !errors.Is(err, ErrDown) {
+	if _, err := c.Commit(context.Background(), CauseJob, newWrite("a", 1, `1`)); !errors.Is(err, ErrDown) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// lateTable answers after fixed times; a call that is given up before has no
+// slowTable answers after fixed times; a call that is given up before has no
 // effect.
-type lateTable struct {
+type slowTable struct {
 	*fakeTable
-	read, commit time.Duration
+	readTime, commitTime time.Duration
 }
 
-func (s *lateTable) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
-	if kernel.Sleep(ctx, s.read); ctx.Err() != nil {
+func (s *slowTable) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
+	if kernel.Sleep(ctx, s.readTime); ctx.Err() != nil {
 		return nil, external.ErrUnavailable
 	}
 	return s.fakeTable.Get(ctx, keys...)
 }
 
-func (s *lateTable) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
-	if kernel.Sleep(ctx, s.commit); ctx.Err() != nil {
+func (s *slowTable) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
+	if kernel.Sleep(ctx, s.commitTime); ctx.Err() != nil {
 		return external.TxnResult{}, external.ErrUnavailable
 	}
 	return s.fakeTable.Commit(ctx, txn)
@@ -206,12 +206,12 @@
 // than the timeout of a call, while reads take long too, are waited for.
 func TestSlowTransactionsAreWaitedFor(t *testing.T) {
 	const timeout = 200 * time.Millisecond
-	table := &lateTable{newFakeTable(), timeout / 2, timeout * 3 / 2}
+	table := &slowTable{newFakeTable(), timeout / 2, timeout * 3 / 2}
 	c := New(table, Config{Budgets: map[Cause]Budget{}, OpTimeout: timeout})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*timeout)
 	defer cancel()
 	for i := range 3 {
-		if _, err := c.Commit(ctx, CauseJob, put(fmt.Sprint("k", i), 0, `1`)); err != nil {
+		if _, err := c.Commit(ctx, CauseJob, newWrite(fmt.Sprint("k", i), 0, `1`)); err != nil {
 			t.Fatalf("commit %d: %v", i, err)
 		}
 	}
--- a/internal/ledger/group_machine_test.go
+++ b/internal/ledger/group_machine_test.go
@@ -16,12 +16,12 @@
 // are lost and transactions arrive late, in any order. The oracle is the
 // table's own history: which part wrote which key, and over which version.
 type groupMachine struct {
-	table  *fakeTable
-	groups []*group
-	all    []*commitRequest
-	ids    map[*commitRequest]string
-	// wrote holds, for each part and key, the versions that were replaced.
-	wrote map[string][]uint64
+	table    *fakeTable
+	groups   []*group
+	requests []*commitRequest
+	ids      map[*commitRequest]string
+	// replacedVersions holds, for each part and key, the versions that were replaced.
+	replacedVersions map[string][]uint64
 }
 
 func (m *groupMachine) apply(txn external.Txn) external.TxnResult {
@@ -35,7 +35,7 @@
 	}
 	for _, p := range txn.Puts {
 		id := writerOf(p)
-		m.wrote[id+" "+p.Key] = append(m.wrote[id+" "+p.Key], replaced[p.Key])
+		m.replacedVersions[id+" "+p.Key] = append(m.replacedVersions[id+" "+p.Key], replaced[p.Key])
 	}
 	return res
 }
@@ -61,9 +61,9 @@
 	return s.visibleRow()
 }
 
-// newPart draws a commit of one to three rows under versions that are mostly
+// newCommitRequest draws a commit of one to three rows under versions that are mostly
 // the present ones. It knows the rows' tokens, as after a read.
-func (m *groupMachine) newPart(t *rapid.T, used map[string]bool) *commitRequest {
+func (m *groupMachine) newCommitRequest(t *rapid.T, used map[string]bool) *commitRequest {
 	var writes []Write
 	var stamps [][]writeRecord
 	var conds []uint64
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := Write{Key: key, Version: s.visibleRow().Version, Data: json.RawMessage(strconv.Itoa(len(m.all)))}
+		w := Write{Key: key, Version: s.visibleRow().Version, Data: json.RawMessage(strconv.Itoa(len(m.requests)))}
 		w.Delete = w.Version > 0 && rapid.IntRange(0, 4).Draw(t, "delete") == 0
 		if len(writes) > 0 && rapid.IntRange(0, 3).Draw(t, "check") == 0 {
 			w = Write{Key: key, Version: s.version, Check: true}
@@ -87,27 +87,27 @@
 	if len(writes) == 0 {
 		return nil
 	}
-	p := newCommitRequest(strconv.Itoa(len(m.all)), writes)
-	m.ids[p] = p.token
-	p.histories, p.conds = stamps, conds
-	m.all = append(m.all, p)
-	return p
+	req := newCommitRequest(strconv.Itoa(len(m.requests)), writes)
+	m.ids[req] = req.token
+	req.histories, req.conds = stamps, conds
+	m.requests = append(m.requests, req)
+	return req
 }
 
-func (m *groupMachine) open(t *rapid.T) {
-	var parts []*commitRequest
+func (m *groupMachine) openGroup(t *rapid.T) {
+	var requests []*commitRequest
 	used := map[string]bool{}
 	for range rapid.IntRange(1, 4).Draw(t, "parts") {
-		if p := m.newPart(t, used); p != nil {
-			parts = append(parts, p)
+		if p := m.newCommitRequest(t, used); p != nil {
+			requests = append(requests, p)
 		}
 	}
-	if len(parts) > 0 {
-		m.groups = append(m.groups, newGroup(parts))
+	if len(requests) > 0 {
+		m.groups = append(m.groups, newGroup(requests))
 	}
 }
 
-func (m *groupMachine) pick(t *rapid.T) *group {
+func (m *groupMachine) pickGroup(t *rapid.T) *group {
 	if len(m.groups) == 0 {
 		t.Skip("no group")
 	}
@@ -116,7 +116,7 @@
 
 // advance lets a group take its next step, with one of the faults.
 func (m *groupMachine) advance(t *rapid.T) {
-	g := m.pick(t)
+	g := m.pickGroup(t)
 	switch g.nextStep() {
 	case stepSend:
 		m.send(t, g)
@@ -150,14 +150,14 @@
 		g.recordCommitted(res.Rows)
 		return
 	}
-	m.bring(t, g, res.Rows)
+	m.reconcile(t, g, res.Rows)
 }
 
 func (m *groupMachine) readBack(t *rapid.T, g *group) {
-	m.bring(t, g, m.table.get(g.keys()))
+	m.reconcile(t, g, m.table.get(g.keys()))
 }
 
-func (m *groupMachine) bring(t *rapid.T, g *group, rows []external.Row) {
+func (m *groupMachine) reconcile(t *rapid.T, g *group, rows []external.Row) {
 	found, err := decodeRows(rows)
 	if err != nil {
 		t.Fatal(err)
@@ -165,8 +165,8 @@
 	g.reconcile(found)
 }
 
-// arrive applies one late transaction.
-func (m *groupMachine) arrive(t *rapid.T) {
+// applyLate applies one late transaction.
+func (m *groupMachine) applyLate(t *rapid.T) {
 	if len(m.table.late) == 0 {
 		t.Skip("nothing is late")
 	}
@@ -195,7 +195,7 @@
 
 // check compares each outcome with what took effect.
 func (m *groupMachine) check(t *rapid.T) {
-	for _, p := range m.all {
+	for _, p := range m.requests {
 		for _, w := range p.writes {
 			m.checkWrite(t, p, w)
 		}
@@ -206,7 +206,7 @@
 	if w.Check {
 		return
 	}
-	replaced := m.wrote[m.ids[p]+" "+w.Key]
+	replaced := m.replacedVersions[m.ids[p]+" "+w.Key]
 	n := len(replaced)
 	switch {
 	case n > 1:
@@ -243,13 +243,13 @@
 // once and every refused one never, whichever answers are lost or late.
 func TestGroupMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &groupMachine{table: newFakeTable(), ids: map[*commitRequest]string{}, wrote: map[string][]uint64{}}
+		m := &groupMachine{table: newFakeTable(), ids: map[*commitRequest]string{}, replacedVersions: map[string][]uint64{}}
 		m.table.oneCounter = rapid.Bool().Draw(t, "one counter")
 		t.Repeat(map[string]func(*rapid.T){
-			"open":      m.open,
+			"open":      m.openGroup,
 			"advance":   m.advance,
 			"advance2":  m.advance,
-			"arrive":    m.arrive,
+			"arrive":    m.applyLate,
 			"overwrite": m.overwrite,
 			"":          m.check,
 		})
--- a/internal/ledger/health_test.go
+++ b/internal/ledger/health_test.go
@@ -49,13 +49,13 @@
 	expect("after another answer", 2*time.Second)
 }
 
-// slowTable answers no call, each after the process was paused.
-type slowTable struct {
+// pausingTable answers no call, each after the process was paused.
+type pausingTable struct {
 	external.Table
 	sim *simTime
 }
 
-func (s slowTable) Get(context.Context, ...string) ([]external.Row, error) {
+func (s pausingTable) Get(context.Context, ...string) ([]external.Row, error) {
 	s.sim.now += time.Minute
 	return nil, external.ErrUnavailable
 }
@@ -64,7 +64,7 @@
 // paused open no breaker.
 func TestPausedCallsTellNothing(t *testing.T) {
 	sim := &simTime{}
-	c := New(slowTable{sim: sim}, Config{Budgets: map[Cause]Budget{}, Clock: sim.clock, Sleep: sim.sleep})
+	c := New(pausingTable{sim: sim}, Config{Budgets: map[Cause]Budget{}, Clock: sim.clock, Sleep: sim.sleep})
 	for range 2 * breakerThreshold {
 		_, _ = c.Get(context.Background(), CauseConfig, "a")
 	}
--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -78,7 +78,7 @@
 	return out
 }
 
-func outcome(rows []Row, err error) string {
+func formatOutcome(rows []Row, err error) string {
 	var b strings.Builder
 	switch {
 	case err == nil:
@@ -94,11 +94,11 @@
 	default:
 		b.WriteString(err.Error())
 	}
-	b.WriteString(list(rows))
+	b.WriteString(formatRows(rows))
 	return b.String()
 }
 
-func list(rows []Row) string {
+func formatRows(rows []Row) string {
 	var b strings.Builder
 	for _, r := range rows {
 		fmt.Fprintf(&b, " %s@%d", r.Key, r.Version)
@@ -109,46 +109,46 @@
 	return b.String()
 }
 
-func found(rows []Row, err error) string {
+func formatResult(rows []Row, err error) string {
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprintf("%d rows%s", len(rows), list(rows))
+	return fmt.Sprintf("%d rows%s", len(rows), formatRows(rows))
 }
 
-func (s *scenario) commit(name, patience, text string) string {
+func (s *scenario) commit(name, timeout, text string) string {
 	limit := time.Minute
-	if patience != "" {
-		limit, _ = time.ParseDuration(patience)
+	if timeout != "" {
+		limit, _ = time.ParseDuration(timeout)
 	}
 	ctx := simCtx{context.Background(), s.time, s.time.now + limit}
-	return outcome(s.client(name).Commit(ctx, CauseJob, parseWrites(text)...))
+	return formatOutcome(s.client(name).Commit(ctx, CauseJob, parseWrites(text)...))
 }
 
-// group puts commits into one lane before its sender runs.
-func (s *scenario) group(name, text string) string {
+// commitGroup puts commits into one lane before its sender runs.
+func (s *scenario) commitGroup(name, text string) string {
 	c := s.client(name)
 	l := c.lanes[laneBulk]
 	ctx := simCtx{context.Background(), s.time, s.time.now + time.Minute}
-	var ws []*queuedCommit
+	var commits []*queuedCommit
 	for _, line := range strings.Split(text, "\n") {
 		w := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
 		c.loadHistories(w.commitRequest)
-		ws = append(ws, w)
+		commits = append(commits, w)
 		l.queue = append(l.queue, w)
 	}
 	before := s.table.commits
 	l.activeSenders++
 	l.runSender()
 	var b strings.Builder
-	for _, w := range ws {
-		fmt.Fprintln(&b, outcome(w.rows, w.err))
+	for _, w := range commits {
+		fmt.Fprintln(&b, formatOutcome(w.rows, w.err))
 	}
 	fmt.Fprintf(&b, "%d transactions", s.table.commits-before)
 	return b.String()
 }
 
-func (s *scenario) dump() string {
+func (s *scenario) dumpTable() string {
 	var keys []string
 	for k := range s.table.rows {
 		keys = append(keys, k)
@@ -185,22 +185,22 @@
 	case "commit":
 		return s.commit(arg("client"), arg("patience"), d.Input)
 	case "intrude":
-		s.intrude(arg("on"), arg("client"), d.Input)
+		s.interleave(arg("on"), arg("client"), d.Input)
 	case "group":
-		return s.group(arg("client"), d.Input)
+		return s.commitGroup(arg("client"), d.Input)
 	case "get":
-		return found(s.client(arg("client")).Get(context.Background(), CauseJob, strings.Fields(d.Input)...))
+		return formatResult(s.client(arg("client")).Get(context.Background(), CauseJob, strings.Fields(d.Input)...))
 	case "scan":
-		return found(s.client(arg("client")).Scan(context.Background(), CauseJob, arg("prefix"), "", 10))
+		return formatResult(s.client(arg("client")).Scan(context.Background(), CauseJob, arg("prefix"), "", 10))
 	case "release":
-		s.table.release()
+		s.table.applyLate()
 	case "sleep":
 		wait, _ := time.ParseDuration(arg("for"))
 		s.time.now += wait
 	case "clean":
 		s.client(arg("client")).removeTombstones(context.Background())
 	case "table":
-		return s.dump()
+		return s.dumpTable()
 	case "state":
 		return fmt.Sprintf("down=%v time=%v", s.client(arg("client")).BreakerOpen(), s.time.now)
 	default:
@@ -209,12 +209,12 @@
 	return ""
 }
 
-// intrude lets another client commit right before the next transaction, or the
+// interleave lets another client commit right before the next transaction, or the
 // next read, takes effect.
-func (s *scenario) intrude(on, name, text string) {
-	hook := &s.table.before
+func (s *scenario) interleave(on, name, text string) {
+	hook := &s.table.beforeCommit
 	if on == "read" {
-		hook = &s.table.reading
+		hook = &s.table.beforeRead
 	}
 	*hook = func() {
 		*hook = nil
--- a/internal/ledger/send.go
+++ b/internal/ledger/send.go
@@ -107,7 +107,7 @@
 		s := storedRow{key: write.Key, version: qc.newVersions[i]}
 		s.History = appendRecord(qc.histories[i], writeRecord{qc.token, qc.conds[i]})
 		s.Deleted = write.Delete
-		c.histories.put(s)
+		c.historyCache.put(s)
 		if write.Delete {
 			c.tombstones.add(write.Key, s.version, c.cfg.Clock())
 		}
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -25,26 +25,26 @@
 	mu      sync.Mutex
 	rows    map[string]external.Row
 	latency time.Duration
-	stall   bool // calls hang until their context ends
+	stalled bool // calls hang until their context ends
 
 	faults []fault // for the next calls, reads and writes alike
 	down   bool
 	late   []external.Txn
 	// oneCounter counts the versions of all rows together.
-	oneCounter bool
-	counter    uint64
-	commits    int
-	reads      int
-	before     func() // runs before a transaction is applied
-	reading    func() // runs before a read
+	oneCounter   bool
+	counter      uint64
+	commits      int
+	reads        int
+	beforeCommit func() // runs before a transaction is applied
+	beforeRead   func() // runs before a read
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]external.Row{}} }
 
-// enter waits and returns the fault of a call.
-func (t *fakeTable) enter(ctx context.Context) fault {
+// startCall waits and returns the fault of a call.
+func (t *fakeTable) startCall(ctx context.Context) fault {
 	t.mu.Lock()
-	latency, stall := t.latency, t.stall
+	latency, stall := t.latency, t.stalled
 	f := noFault
 	if len(t.faults) > 0 {
 		f, t.faults = t.faults[0], t.faults[1:]
@@ -64,9 +64,9 @@
 }
 
 func (t *fakeTable) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
-	f := t.enter(ctx)
-	if t.reading != nil {
-		t.reading()
+	f := t.startCall(ctx)
+	if t.beforeRead != nil {
+		t.beforeRead()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,7 @@
 }
 
 func (t *fakeTable) Scan(ctx context.Context, prefix, after string, limit int) ([]external.Row, error) {
-	f := t.enter(ctx)
+	f := t.startCall(ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
@@ -113,9 +113,9 @@
 }
 
 func (t *fakeTable) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
-	f := t.enter(ctx)
-	if t.before != nil {
-		t.before()
+	f := t.startCall(ctx)
+	if t.beforeCommit != nil {
+		t.beforeCommit()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +156,8 @@
 	return res
 }
 
-// release applies the transactions that are late.
-func (t *fakeTable) release() {
+// applyLate applies the transactions that are late.
+func (t *fakeTable) applyLate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, txn := range t.late {
