--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Sizes of the measurements.
+// Parameters of the benchmarks.
 const (
 	benchLatency  = 2 * time.Millisecond
 	benchBurst    = 2000
@@ -20,7 +20,8 @@
 
 var benchData = json.RawMessage(`"` + strings.Repeat("x", benchJobBytes) + `"`)
 
-// burst commits a row of each of many jobs at once, each by its own caller.
+// burst commits one row for each of benchBurst jobs concurrently, each from its own
+// goroutine.
 func burst(b *testing.B, c *Client, round int) {
 	var wg sync.WaitGroup
 	for i := range benchBurst {
@@ -36,8 +37,8 @@
 	wg.Wait()
 }
 
-// BenchmarkJobBurst measures the store operations for a burst of job writes,
-// with and without group commit, over a table with a fixed latency.
+// BenchmarkJobBurst measures the store operations of a burst of job writes with and
+// without group commit, on a table with a fixed latency.
 func BenchmarkJobBurst(b *testing.B) {
 	for _, ungrouped := range []bool{false, true} {
 		b.Run(fmt.Sprintf("grouped=%v", !ungrouped), func(b *testing.B) {
@@ -54,8 +55,8 @@
 	}
 }
 
-// BenchmarkSteadyJobs measures the operations of one job after the other, which
-// grouping does not help.
+// BenchmarkSteadyJobs measures the store operations of jobs that run one after the
+// other, where group commit has no effect.
 func BenchmarkSteadyJobs(b *testing.B) {
 	table := newFakeTable()
 	c := New(table, Config{Budgets: map[Cause]Budget{}})
@@ -72,8 +73,8 @@
 	b.ReportMetric(float64(table.commits+table.reads)/float64(b.N), "store-ops/job")
 }
 
-// BenchmarkRecoveryScan measures the read of all job rows after a takeover at
-// the size of the target.
+// BenchmarkRecoveryScan measures reading all job rows after a takeover, at the
+// target number of jobs.
 func BenchmarkRecoveryScan(b *testing.B) {
 	const page = 500
 	table := newFakeTable()
--- a/internal/ledger/breaker.go
+++ b/internal/ledger/breaker.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Limits of the breaker.
+// Parameters of the breaker.
 const (
 	breakerThreshold = 3
 	backoffMin       = 100 * time.Millisecond
 	backoffMax       = 600 * time.Millisecond
 )
 
-// breaker stops calls to a store that fails. After breakerThreshold failures
-// in a row it opens; then one probe at a time is let through, after a jittered
-// wait that doubles up to backoffMax. Any success closes it.
+// breaker is a circuit breaker for calls to the store. It opens after
+// breakerThreshold consecutive failures. While it is open it permits one probe at a
+// time, after a jittered backoff that doubles up to backoffMax. Any success closes
+// it.
 type breaker struct {
 	mu       sync.Mutex
 	jitter   func() float64
@@ -30,8 +31,8 @@
 	return b.failures >= breakerThreshold
 }
 
-// allow reports whether a call may be made now. Every allowed call must be
-// followed by succeeded, failed or abandoned.
+// allow reports whether a call may be made now. Every allowed call must be followed
+// by recordSuccess, recordFailure or recordInconclusive.
 func (b *breaker) allow(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,7 +53,7 @@
 	return !b.probing && now >= b.retryAt
 }
 
-// retryDelay returns how long a caller should wait before it asks again.
+// retryDelay returns how long a caller should wait before calling allow again.
 func (b *breaker) retryDelay(now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,8 +69,8 @@
 	return wasOpen
 }
 
-// recordFailure counts a failure and reports whether the breaker has just opened. A
-// call that was in flight when the breaker opened changes nothing.
+// recordFailure counts a failure and reports whether it has opened the breaker. The
+// failure of a call that was in flight when the breaker opened is ignored.
 func (b *breaker) recordFailure(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +85,7 @@
 	return b.failures == breakerThreshold
 }
 
-// recordInconclusive ends a call that tells nothing about the store.
+// recordInconclusive ends a call whose result does not show the store's state.
 func (b *breaker) recordInconclusive() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/ledger/cache.go
+++ b/internal/ledger/cache.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// maxCachedRows bounds the rows whose tokens a client remembers.
+// maxCachedRows bounds the rows whose histories a client caches.
 const maxCachedRows = 16384
 
-// historyCache remembers the tokens and tombstones of rows that the client has
-// read or written lately, so that a write needs no read to carry on a row's
-// list of tokens.
+// historyCache caches the histories of rows that the client has read or written
+// recently, so that a write can extend a row's history without reading it first.
+// The oldest entries are evicted first.
 type historyCache struct {
 	mu   sync.Mutex
 	rows map[string]cachedHistory
@@ -38,7 +38,8 @@
 	h.rows[s.key] = cachedHistory{s.version, s.Deleted, s.History}
 }
 
-// addToRing enters a key into the ring, in place of the oldest if it is full.
+// addToRing adds a key to the ring. If the ring is full, the key replaces the
+// oldest one, which is evicted.
 func (h *historyCache) addToRing(key string) {
 	if len(h.ring) < maxCachedRows {
 		h.ring = append(h.ring, key)
@@ -49,7 +50,7 @@
 	h.next = (h.next + 1) % maxCachedRows
 }
 
-// lookup returns the version in the table and the stamps for a write that
+// lookup returns the row's version in the table and its history for a write that
 // expects the given version; ok is false if the row must be read first.
 func (h *historyCache) lookup(key string, version uint64) (tableVersion uint64, history []writeRecord, ok bool) {
 	h.mu.Lock()
--- a/internal/ledger/cleanup.go
+++ b/internal/ledger/cleanup.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// maxTombstones bounds the tombstones that a client remembers.
+	// maxTombstones bounds the tombstones that a client tracks.
 	maxTombstones = 8192
-	// cleanupInterval is the time between two removals of tombstones.
+	// cleanupInterval is the time between two removals of expired tombstones.
 	cleanupInterval = 15 * time.Second
 )
 
-// tombstoneSet remembers tombstones and since when each has been seen unchanged.
+// tombstoneSet tracks tombstones and when this client first saw each of them at
+// its present version.
 type tombstoneSet struct {
 	mu   sync.Mutex
 	rows map[string]tombstone
@@ -40,7 +41,8 @@
 	t.rows[key] = tombstone{key, version, now}
 }
 
-// takeExpired removes and returns up to limit tombstones seen at or before a time.
+// takeExpired removes and returns up to limit tombstones, in key order, that were
+// first seen at or before seenBy.
 func (t *tombstoneSet) takeExpired(seenBy time.Duration, limit int) []tombstone {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,9 +66,10 @@
 	return len(t.rows)
 }
 
-// removeTombstones removes the rows of tombstones that are old enough that no late write
-// can still refer to them. A tombstone that has been written again is left; a
-// scan finds what a failed removal leaves.
+// removeTombstones deletes the rows of tombstones that are older than
+// TombstoneTTL; by then no late write can refer to them. A tombstone whose row has
+// been written again is left in place. Tombstones that a failed removal leaves
+// behind are found again by a scan.
 func (c *Client) removeTombstones(ctx context.Context) {
 	now := c.cfg.Clock()
 	if now < c.cfg.TombstoneTTL || c.breaker.isOpen() {
@@ -81,8 +84,8 @@
 	}
 }
 
-// deleteTombstones deletes rows in one transaction. If some of them have changed, nothing
-// is deleted and the others are returned.
+// deleteTombstones deletes rows in one transaction. If some of them have changed,
+// it deletes nothing and returns the unchanged ones.
 func (c *Client) deleteTombstones(ctx context.Context, expired []tombstone) []tombstone {
 	var txn external.Txn
 	for _, v := range expired {
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// maxBudgetWait is how long a read waits for its cause's budget.
+	// maxBudgetWait bounds the time that a read waits for the budget of its cause.
 	maxBudgetWait = time.Second
-	// maxCallTimeouts is how many timeouts a call may take; one that has taken
-	// longer tells that this process was paused, and nothing about the store.
+	// maxCallTimeouts is the duration of a call, in multiples of its timeout, above
+	// which a failure is ignored: the process was paused, so the failure does not
+	// show that the store is down.
 	maxCallTimeouts = 2
-	// commitReadFactor is how many times as long as the last read a transaction may
-	// take: a store that is slow has others waiting before it. maxSlowCommit
-	// bounds that, in timeouts.
+	// commitReadFactor is the timeout of a transaction in multiples of the duration
+	// of the last read: a slow store has other transactions queued ahead.
+	// maxCommitTimeouts bounds that timeout, in multiples of OpTimeout.
 	commitReadFactor  = 4
 	maxCommitTimeouts = 3
 )
 
-// Client is the Ledger over the platform's table.
+// Client implements Ledger over the platform's table.
 type Client struct {
 	table        external.Table
 	cfg          Config
@@ -38,7 +39,8 @@
 	tombstones   *tombstoneSet
 	lanes        map[laneName]*lane
 	readSlots    chan struct{}
-	// lastReadDuration is how long the last read that was answered has taken.
+	// lastReadDuration is the duration, in nanoseconds, of the last successful call
+	// made through callStore.
 	lastReadDuration atomic.Int64
 
 	mu      sync.Mutex
@@ -48,7 +50,7 @@
 
 var _ Ledger = (*Client)(nil)
 
-// New returns a client of the table.
+// New returns a client of the table. Tombstones are removed only after Start.
 func New(table external.Table, cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	c := &Client{
@@ -72,14 +74,14 @@
 	return c
 }
 
-// Start starts the removal of tombstones.
+// Start starts the periodic removal of tombstones.
 func (c *Client) Start(context.Context) error {
 	c.loops.Begin()
 	c.loops.Every(cleanupInterval, c.removeTombstones)
 	return nil
 }
 
-// Stop refuses new commits and waits until those in progress have ended.
+// Stop rejects new commits and waits until those in progress have ended.
 func (c *Client) Stop(ctx context.Context) error {
 	c.mu.Lock()
 	c.stopped = true
@@ -94,14 +96,16 @@
 	return nil
 }
 
-// BreakerOpen reports whether the breaker is open.
+// BreakerOpen reports whether the circuit breaker is open.
 func (c *Client) BreakerOpen() bool { return c.breaker.isOpen() }
 
-// Outage returns for how long the store has answered no call, or 0 when it
-// answers or when the outage was not observed without a gap.
+// Outage returns the time since the start of the last call that the store
+// answered. It is 0 if no call has failed since, before the first answer, and if
+// the calls since then had a gap in which the store's state was not observed.
 func (c *Client) Outage() time.Duration { return c.health.outage(c.cfg.Clock()) }
 
-// Rejected returns for how long the store has rejected every call at once.
+// Rejected returns the duration of an outage in which the store has rejected
+// every call immediately. It is 0 in any other state.
 func (c *Client) Rejected() time.Duration { return c.health.rejectionTime(c.cfg.Clock()) }
 
 func (c *Client) idle() bool {
@@ -113,7 +117,7 @@
 	return true
 }
 
-// Commit applies all writes or none.
+// Commit applies all writes or none. See Ledger for the results.
 func (c *Client) Commit(ctx context.Context, cause Cause, writes ...Write) ([]Row, error) {
 	if err := c.admit(cause, writes); err != nil {
 		return nil, err
@@ -127,7 +131,8 @@
 	return c.awaitOutcome(qc)
 }
 
-// loadHistories sets the conditions of a part and the tokens to carry on.
+// loadHistories takes the table versions and the histories of the rows that a
+// request writes from the cache, as far as they are cached.
 func (c *Client) loadHistories(req *commitRequest) {
 	for i, w := range req.writes {
 		if w.Check {
@@ -139,6 +144,8 @@
 	}
 }
 
+// admit validates the writes of a commit. It returns ErrDown if the client is
+// stopped, or if the breaker is open and no probe is due.
 func (c *Client) admit(cause Cause, writes []Write) error {
 	if len(writes) == 0 {
 		return errors.NotValidf("commit without writes")
@@ -193,7 +200,8 @@
 	return qc.rows, qc.err
 }
 
-// giveUp ends the wait of a caller whose context has ended.
+// giveUp returns the result for a caller whose context has ended. A commit that
+// is still queued is withdrawn, so that it is certainly not written.
 func (c *Client) giveUp(qc *queuedCommit) ([]Row, error) {
 	if qc.state.CompareAndSwap(stateQueued, stateWithdrawn) {
 		c.meter.count(qc.cause, counterRefused, 1)
@@ -208,7 +216,7 @@
 	}
 }
 
-// Get returns a row for each key, in order.
+// Get returns a row for each key, in the order of keys.
 func (c *Client) Get(ctx context.Context, cause Cause, keys ...string) ([]Row, error) {
 	var rows []external.Row
 	err := c.read(ctx, cause, func(ctx context.Context) (err error) {
@@ -229,7 +237,8 @@
 	return out, nil
 }
 
-// Scan returns up to limit rows with the prefix and keys above after.
+// Scan returns up to limit rows with the prefix and keys greater than after.
+// Tombstones are skipped and do not count.
 func (c *Client) Scan(ctx context.Context, cause Cause, prefix, after string, limit int) ([]Row, error) {
 	var out []Row
 	for len(out) < limit {
@@ -263,7 +272,7 @@
 	return c.decodeAndCache(rows)
 }
 
-// decodeAndCache opens the rows and remembers their tokens and tombstones.
+// decodeAndCache decodes rows and records their histories and tombstones.
 func (c *Client) decodeAndCache(rows []external.Row) ([]storedRow, error) {
 	found, err := decodeRows(rows)
 	if err != nil {
@@ -278,7 +287,8 @@
 	return found, nil
 }
 
-// read runs one read within budget, breaker and bounds.
+// read makes one read if the budget, the bound on concurrent reads and the
+// breaker permit it.
 func (c *Client) read(ctx context.Context, cause Cause, call func(context.Context) error) error {
 	if err := c.spendBudget(ctx, cause, c.meter.readLimiter(cause)); err != nil {
 		return err
@@ -298,7 +308,8 @@
 	return c.callStore(ctx, call)
 }
 
-// callStore makes one allowed read of the store and notes how it went.
+// callStore makes one call within OpTimeout and records its duration if it
+// succeeds. The breaker must have allowed the call.
 func (c *Client) callStore(ctx context.Context, call func(context.Context) error) error {
 	start := c.cfg.Clock()
 	err := c.callStoreWithin(ctx, c.cfg.OpTimeout, call)
@@ -308,14 +319,16 @@
 	return err
 }
 
-// commitTimeout bounds one transaction: a transaction that is given up while it
-// waits in a slow store is sent again and makes the others wait longer.
+// commitTimeout returns the timeout of one transaction. It grows with the
+// duration of reads, because a transaction that times out while it is queued in
+// a slow store is sent again and delays the others further.
 func (c *Client) commitTimeout() time.Duration {
 	slow := commitReadFactor * time.Duration(c.lastReadDuration.Load())
 	return max(c.cfg.OpTimeout, min(slow, maxCommitTimeouts*c.cfg.OpTimeout))
 }
 
-// callStoreWithin makes one allowed call to the store and notes how it went.
+// callStoreWithin makes one call within a timeout and reports the result to the
+// breaker and to the outage detection. The breaker must have allowed the call.
 func (c *Client) callStoreWithin(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
 	opCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -326,20 +339,21 @@
 	case err == nil:
 		c.health.recordAnswer(start, now)
 		if c.breaker.recordSuccess() {
-			c.cfg.Log.Info().Msg("store answers again")
+			c.cfg.Log.Info().Msg("store calls succeed again; circuit breaker closed")
 		}
 	case ctx.Err() != nil || now-start > maxCallTimeouts*timeout:
 		c.breaker.recordInconclusive()
 	default:
 		c.health.recordFailure(start, now)
 		if c.breaker.recordFailure(now) {
-			c.cfg.Log.Warn().Err(err).Msg("store does not answer")
+			c.cfg.Log.Warn().Err(err).Msg("store calls fail; circuit breaker opened")
 		}
 	}
 	return err
 }
 
-// spendBudget takes one operation from the budget, waiting up to maxBudgetWait.
+// spendBudget takes one operation from the budget of a cause. It waits up to
+// maxBudgetWait and returns ErrOverloaded if that is not enough.
 func (c *Client) spendBudget(ctx context.Context, cause Cause, limiter *rate.Limiter) error {
 	reservation := limiter.Reserve()
 	delay := reservation.Delay()
--- a/internal/ledger/client_test.go
+++ b/internal/ledger/client_test.go
@@ -20,7 +20,7 @@
 	return Write{Key: key, Version: version, Data: json.RawMessage(data)}
 }
 
-// waitFor polls a condition for a bounded time.
+// waitFor polls a condition and fails the test if it does not hold in time.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -31,8 +31,8 @@
 	t.Fatalf("timeout waiting until %s", what)
 }
 
-// TestConcurrentCallersShareTransactions lets commits gather while one
-// transaction is in flight.
+// TestConcurrentCallersShareTransactions guards against one transaction per commit:
+// commits that queue up while a transaction is in flight must be grouped.
 func TestConcurrentCallersShareTransactions(t *testing.T) {
 	const callers = 300
 	table := newFakeTable()
@@ -65,9 +65,8 @@
 	}
 }
 
-// TestStalledStoreIsBounded shows that a store which never answers takes no
-// goroutines besides those of the callers, bounds what waits, and lets every
-// caller end.
+// TestStalledStoreIsBounded guards against unbounded goroutines or queues while the
+// store answers no call, and against callers that never return.
 func TestStalledStoreIsBounded(t *testing.T) {
 	const limit, callers = 50, 400
 	table := newFakeTable()
@@ -117,7 +116,7 @@
 	waitFor(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= base })
 }
 
-// TestReadsAreBounded shows that reads beyond the bound are refused at once.
+// TestReadsAreBounded checks that reads above MaxReads are rejected immediately.
 func TestReadsAreBounded(t *testing.T) {
 	table := newFakeTable()
 	table.stalled = true
@@ -141,7 +140,8 @@
 	wg.Wait()
 }
 
-// TestBudgetRefusesReads shows that one cause's reads cannot use up the store.
+// TestBudgetRefusesReads checks that a cause that has used up its read budget is
+// rejected while other causes can still read.
 func TestBudgetRefusesReads(t *testing.T) {
 	sim := &simTime{}
 	c := New(newFakeTable(), Config{
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestStopEndsCommits shows that Stop waits for what is in progress and that
-// nothing is accepted after it.
+// TestStopEndsCommits checks that Stop returns after a commit and that commits are
+// rejected afterwards.
 func TestStopEndsCommits(t *testing.T) {
 	table := newFakeTable()
 	c := New(table, Config{})
@@ -181,7 +181,7 @@
 	}
 }
 
-// slowTable answers after fixed times; a call that is given up before has no
+// slowTable answers after fixed times. A call whose context ends earlier has no
 // effect.
 type slowTable struct {
 	*fakeTable
@@ -202,8 +202,8 @@
 	return s.fakeTable.Commit(ctx, txn)
 }
 
-// TestSlowTransactionsAreWaitedFor shows that transactions which take longer
-// than the timeout of a call, while reads take long too, are waited for.
+// TestSlowTransactionsAreWaitedFor guards against giving up transactions that take
+// longer than OpTimeout in a store whose reads are slow as well.
 func TestSlowTransactionsAreWaitedFor(t *testing.T) {
 	const timeout = 200 * time.Millisecond
 	table := &slowTable{newFakeTable(), timeout / 2, timeout * 3 / 2}
--- a/internal/ledger/config.go
+++ b/internal/ledger/config.go
@@ -13,7 +13,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/kernel"
 )
 
-// Limits of a client that its Config leaves at zero.
+// Defaults for the fields of Config that are zero.
 const (
 	defaultMaxGroupRows  = 128
 	defaultMaxGroupBytes = 512 << 10
@@ -22,19 +22,21 @@
 	defaultMaxReads      = 64
 	defaultOpTimeout     = time.Second
 	defaultTombstoneTTL  = 5 * time.Minute
-	ungroupedSenders     = 16
+
+	// ungroupedSenders is the number of senders per lane without group commit.
+	ungroupedSenders = 16
 )
 
-// Budget is the number of store operations per second that a cause may use.
-// A transaction that carries writes of several causes counts once for each.
+// Budget is the number of store operations per second that a cause may use. A
+// transaction with writes of several causes counts once for each of them.
 type Budget struct {
 	Reads  float64
 	Writes float64
 	Burst  int
 }
 
-// DefaultBudgets returns the budgets that apply when a Config has none. Their
-// sum stays below what the platform's table carries.
+// DefaultBudgets returns the budgets used if Config.Budgets is nil. Their sum
+// stays below the capacity of the platform's table.
 func DefaultBudgets() map[Cause]Budget {
 	return map[Cause]Budget{
 		CauseConfig:   {Reads: 20, Writes: 20, Burst: 40},
@@ -47,19 +49,23 @@
 	}
 }
 
-// Config sets the limits of a client. Zero values take the defaults.
+// Config configures a client. Zero values take the defaults.
 type Config struct {
-	// DisableGroupCommit sends every commit in a transaction of its own.
+	// DisableGroupCommit sends every commit in its own transaction.
 	DisableGroupCommit bool
-	MaxGroupRows       int
-	MaxGroupBytes      int
-	// MaxQueue and MaxQueueBytes bound the commits that wait in one lane.
+	// MaxGroupRows and MaxGroupBytes bound one transaction. A single commit that
+	// exceeds them is sent alone.
+	MaxGroupRows  int
+	MaxGroupBytes int
+	// MaxQueue and MaxQueueBytes bound the commits queued in one lane.
 	MaxQueue      int
 	MaxQueueBytes int
-	// MaxReads bounds the reads in progress.
-	MaxReads  int
+	// MaxReads bounds the concurrent reads.
+	MaxReads int
+	// OpTimeout bounds one call to the store. A transaction may take longer if
+	// the store is slow.
 	OpTimeout time.Duration
-	// TombstoneTTL is how long the row of a deleted key stays as a tombstone.
+	// TombstoneTTL is how long a deleted row is kept as a tombstone.
 	TombstoneTTL time.Duration
 	Budgets      map[Cause]Budget
 	Metrics      metrics.Registry
@@ -67,13 +73,13 @@
 
 	// Clock is the process's monotonic clock.
 	Clock func() time.Duration
-	// Sleep waits for a duration or the end of ctx.
+	// Sleep waits for d or until ctx ends.
 	Sleep func(ctx context.Context, d time.Duration)
-	// Spawn runs a lane's sender, in a goroutine of its own by default.
+	// Spawn runs the sender of a lane, by default in a new goroutine.
 	Spawn func(func())
-	// Token returns a token that no other write has.
+	// Token returns a token that is unique among all writes.
 	Token func() string
-	// Jitter returns a factor from the range [0,1).
+	// Jitter returns a random factor in [0,1).
 	Jitter func() float64
 }
 
@@ -123,25 +129,25 @@
 	}
 }
 
-// NewMonotonicClock returns a clock that counts from now on, never goes back and goes
-// on while the host is suspended.
+// NewMonotonicClock returns a clock that starts at 0, never goes back, and
+// continues to advance while the host is suspended.
 func NewMonotonicClock() func() time.Duration {
 	start := timeSinceBoot()
 	return func() time.Duration { return timeSinceBoot() - start }
 }
 
-// timeSinceBoot is the time since the host's boot, with the time that it was
-// suspended.
+// timeSinceBoot returns the time since the host's boot, including the time
+// during which the host was suspended.
 func timeSinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// The call fails only for clocks that the system does not have.
+		// The call fails only if the system does not provide this clock.
 		panic(err)
 	}
 	return time.Duration(t.Nano())
 }
 
-// tokenBytes is the size of the random part of a token.
+// tokenBytes is the number of random bytes in a token.
 const tokenBytes = 12
 
 func newToken() string {
--- a/internal/ledger/counters.go
+++ b/internal/ledger/counters.go
@@ -7,7 +7,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Counter names, each under ledger.<cause>.
+// Names of the counters, each registered as ledger.<cause>.<name>.
 const (
 	counterReads       = "reads"
 	counterWrites      = "writes"
@@ -19,7 +19,7 @@
 	counterOverBudget  = "over_budget"
 )
 
-// meter holds the counters and budgets of each cause.
+// meter holds the counters and budgets of all causes.
 type meter struct {
 	registry metrics.Registry
 	budgets  map[Cause]Budget
--- a/internal/ledger/dump.go
+++ b/internal/ledger/dump.go
@@ -6,7 +6,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// State is the dump of a client.
+// State is the state dump of a client.
 type State struct {
 	Down          bool             `json:"down"`
 	OutageMS      int64            `json:"outage_ms"`
@@ -16,7 +16,7 @@
 	Counters      map[string]int64 `json:"counters"`
 }
 
-// DumpState returns the client's state.
+// DumpState returns the state dump of the client.
 func (c *Client) DumpState() any {
 	s := State{
 		Down:          c.BreakerOpen(),
--- a/internal/ledger/encode.go
+++ b/internal/ledger/encode.go
@@ -2,8 +2,7 @@
 
 import "encoding/json"
 
-// Encode returns the data of a row. It panics on a value of a type that has no
-// JSON form.
+// Encode returns v as the data of a row. It panics if v cannot be encoded as JSON.
 func Encode(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/ledger/envelope.go
+++ b/internal/ledger/envelope.go
@@ -9,27 +9,28 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// maxHistory is the number of writes that a row remembers.
+// maxHistory is the number of writes that a row's history holds.
 const maxHistory = 8
 
-// writeRecord marks one write of a row: its token and the version that it replaced.
-// Versions of a row grow, but not by one: a table may count all its writes
-// with one counter.
+// writeRecord identifies one write of a row by its token and the version that it
+// replaced. Versions of a row increase, but not necessarily by one: a table may use
+// one counter for the writes of all rows.
 type writeRecord struct {
 	Token    string `json:"t"`
 	Replaced uint64 `json:"r,omitempty"`
 }
 
-// envelope is a row's value in the table. Stamps holds the stamps of the last
-// writes of the row, the newest last. A deleted row stays as a tombstone for a
-// while, so that a lost answer of its delete can be settled like any other.
+// envelope is the value of a row in the table. History holds the records of the
+// last writes, newest last. A deleted row is kept as a tombstone for a while, so
+// that the outcome of a delete whose answer was lost can be determined like that
+// of any other write.
 type envelope struct {
 	History []writeRecord   `json:"stamps"`
 	Deleted bool            `json:"deleted,omitempty"`
 	Data    json.RawMessage `json:"data,omitempty"`
 }
 
-// storedRow is a row of the table with its envelope opened.
+// storedRow is a row of the table with its envelope decoded.
 type storedRow struct {
 	key     string
 	version uint64
@@ -59,7 +60,7 @@
 	return out, nil
 }
 
-// visibleRow returns what callers see: a tombstone is an absent visibleRow.
+// visibleRow returns the row as callers see it: a tombstone is an absent row.
 func (s storedRow) visibleRow() Row {
 	if s.isAbsent() {
 		return Row{Key: s.key}
@@ -78,9 +79,9 @@
 	return false
 }
 
-// historyReaches reports whether the stamps reach back to the write that replaced the
-// given version, so that a token that is missing has certainly not been
-// written in its place.
+// historyReaches reports whether the history includes the write that replaced the
+// given version. If it does, a token that is not in the history has certainly not
+// been written over that version.
 func (s storedRow) historyReaches(replaced uint64) bool {
 	if s.version <= replaced {
 		return true
--- a/internal/ledger/feed.go
+++ b/internal/ledger/feed.go
@@ -9,13 +9,13 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// feedTimeoutMargin is how long the answer of a feed may take beyond the time that the
-// table was asked to wait.
+// feedTimeoutMargin is the time that a feed may take beyond the wait that was
+// requested from the table.
 const feedTimeoutMargin = 600 * time.Millisecond
 
-// Feed returns the rows with a prefix that were written after a version, and
-// the version up to which that is all; deleted ones have version 0. The table
-// has to be an external.Feeder.
+// Feed returns the rows with the prefix that were written after version after, and
+// the version up to which they are complete. It waits up to wait for such a row.
+// Deleted rows have version 0. The table must implement external.Feeder.
 func (c *Client) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Row, uint64, error) {
 	feeder, ok := c.table.(external.Feeder)
 	if !ok {
@@ -38,8 +38,8 @@
 	return out, upTo, nil
 }
 
-// Newest returns the version that the table has reached, from which a feed can
-// go on after its history is gone.
+// Newest returns the latest version of the table. A feed continues from it if the
+// history that the feed needs is gone.
 func (c *Client) Newest(ctx context.Context) (uint64, error) {
 	feeder, ok := c.table.(external.Feeder)
 	if !ok {
--- a/internal/ledger/group.go
+++ b/internal/ledger/group.go
@@ -8,12 +8,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// step is what a group needs next.
+// step is the next operation that a group needs.
 type step int
 
 const (
 	stepSend step = iota // send the transaction
-	stepRead             // read the rows, as the answer was lost or tokens are not known
+	stepRead             // read the rows: an answer was lost or a history is missing
 	stepDone
 )
 
@@ -23,16 +23,18 @@
 	writes []Write
 	bytes  int
 
-	// conds are the versions in the table; they differ from those of writes
-	// where a row is a tombstone.
+	// conds are the versions that the rows must have in the table. They differ from
+	// the versions of writes where a row is a tombstone.
 	conds []uint64
-	// histories are the earlier histories of each row, as far as known.
+	// histories are the histories of the rows before the commit, as far as known.
 	histories [][]writeRecord
-	// newVersions are those that the writes have given, once the part has committed.
+	// newVersions are the versions that the writes were given, set once the request
+	// has committed.
 	newVersions []uint64
-	// historyMissing is set while the stamps of a row are not known.
+	// historyMissing is set if the history of some row was not known when the
+	// request was made.
 	historyMissing bool
-	// inDoubt is set once an answer that concerns the part was lost.
+	// inDoubt is set once the answer of a transaction with this request was lost.
 	inDoubt bool
 
 	ended bool
@@ -55,12 +57,13 @@
 	req.err = err
 }
 
-// group merges the commits of independent callers into one transaction. It is
-// pure: the sender carries out its steps. A part that conflicts is dropped and
-// the rest is sent again. After a lost answer the rows are read back: a part
-// whose token is there has committed; one whose rows are unchanged is sent
-// again under the same conditions, so that it takes effect at most once even
-// if the first transaction arrives late; any other has conflicted.
+// group merges the commits of independent callers into one transaction. It makes no
+// calls itself: the sender carries out its steps. A request that conflicts is
+// dropped and the others are sent again. After a lost answer the rows are read
+// back. A request whose token is found has committed. A request whose rows are
+// unchanged is sent again under the same conditions, so that it takes effect at
+// most once even if the first transaction arrives late. Any other request has
+// conflicted.
 type group struct {
 	requests []*commitRequest
 	next     step
@@ -76,7 +79,7 @@
 	return g
 }
 
-// pending returns the parts that have not ended.
+// pending returns the requests that have not ended.
 func (g *group) pending() []*commitRequest {
 	var out []*commitRequest
 	for _, req := range g.requests {
@@ -108,7 +111,7 @@
 	return keys
 }
 
-// txn returns the transaction to send.
+// txn returns the transaction that carries all pending requests.
 func (g *group) txn() external.Txn {
 	var txn external.Txn
 	seen := map[external.Cond]bool{}
@@ -133,12 +136,12 @@
 	if w.Delete {
 		e.Data = nil
 	}
-	// An envelope of valid JSON data always encodes; Commit checks the data.
+	// Encoding cannot fail: Client.admit has checked that the data is valid JSON.
 	v, _ := json.Marshal(e)
 	return v
 }
 
-// recordLostAnswer says that the transaction got no answer.
+// recordLostAnswer records that the transaction got no answer.
 func (g *group) recordLostAnswer() {
 	for _, req := range g.pending() {
 		req.inDoubt = true
@@ -146,7 +149,7 @@
 	g.next = stepRead
 }
 
-// recordCommitted brings the written rows.
+// recordCommitted ends the pending requests with the rows that were written.
 func (g *group) recordCommitted(rows []external.Row) {
 	versions := make(map[string]uint64, len(rows))
 	for _, r := range rows {
@@ -173,7 +176,7 @@
 	return out
 }
 
-// reconcile brings the rows of all keys as they are now, after a failed
+// reconcile updates the group with the current rows of all its keys, after a failed
 // condition or a read-back.
 func (g *group) reconcile(rows []storedRow) {
 	byKey := make(map[string]storedRow, len(rows))
@@ -186,7 +189,8 @@
 	g.next = stepSend
 }
 
-// reconcile ends the part if the rows tell its outcome.
+// reconcile ends the request if the rows show its outcome. Otherwise it updates the
+// conditions and histories with which the request is sent again.
 func (req *commitRequest) reconcile(rows map[string]storedRow) {
 	if req.inDoubt && req.tokenFound(rows) {
 		req.end(req.rowsFromHistory(rows), nil)
@@ -214,8 +218,8 @@
 	}
 }
 
-// tokenFound reports whether any row shows the part's token. A transaction writes
-// all rows or none, so one is enough.
+// tokenFound reports whether the history of any row has the request's token. A
+// transaction writes all rows or none, so one row is enough.
 func (req *commitRequest) tokenFound(rows map[string]storedRow) bool {
 	for _, w := range req.writes {
 		if !w.Check && rows[w.Key].hasToken(req.token) {
@@ -225,7 +229,8 @@
 	return false
 }
 
-// rowsFromHistory returns the versions that the part's own write has given.
+// rowsFromHistory returns the rows with the versions that the request's own write
+// gave them.
 func (req *commitRequest) rowsFromHistory(rows map[string]storedRow) []Row {
 	versions := make(map[string]uint64, len(req.writes))
 	for i, w := range req.writes {
@@ -234,9 +239,10 @@
 	return req.committedRows(versions)
 }
 
-// versionWrittenBy returns the version at which the token was written, or def if the
-// row no longer remembers it. A version that is too old lets the next write of
-// the row conflict, which brings the current one.
+// versionWrittenBy returns the version that the write with the token gave the row,
+// or fallback if that write is no longer in the history. The fallback is older than
+// the row's version, so the caller's next write of the row conflicts and returns
+// the current version.
 func (s storedRow) versionWrittenBy(token string, fallback uint64) uint64 {
 	for i, t := range s.History {
 		switch {
--- a/internal/ledger/group_machine_test.go
+++ b/internal/ledger/group_machine_test.go
@@ -12,15 +12,15 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// groupMachine steps the groups of several clients against one table. Answers
-// are lost and transactions arrive late, in any order. The oracle is the
-// table's own history: which part wrote which key, and over which version.
+// groupMachine advances the groups of several clients on one table. Answers are lost
+// and transactions take effect late, in any order. Outcomes are checked against the
+// table's own record: which request wrote which key, and over which version.
 type groupMachine struct {
 	table    *fakeTable
 	groups   []*group
 	requests []*commitRequest
 	ids      map[*commitRequest]string
-	// replacedVersions holds, for each part and key, the versions that were replaced.
+	// replacedVersions holds the replaced versions by request ID and key.
 	replacedVersions map[string][]uint64
 }
 
@@ -40,8 +40,8 @@
 	return res
 }
 
-// writerOf names the part that wrote a row: by its data, or by its token when
-// it is a tombstone.
+// writerOf returns the ID of the request that wrote a row: its data, or its token if
+// the row is a tombstone.
 func writerOf(r external.Row) string {
 	var e envelope
 	if err := json.Unmarshal(r.Value, &e); err != nil {
@@ -61,8 +61,9 @@
 	return s.visibleRow()
 }
 
-// newCommitRequest draws a commit of one to three rows under versions that are mostly
-// the present ones. It knows the rows' tokens, as after a read.
+// newCommitRequest draws a commit of up to three rows at their current versions, or
+// nil if all drawn rows are in use. The request has the rows' histories, as after a
+// read.
 func (m *groupMachine) newCommitRequest(t *rapid.T, used map[string]bool) *commitRequest {
 	var writes []Write
 	var stamps [][]writeRecord
@@ -114,7 +115,7 @@
 	return m.groups[rapid.IntRange(0, len(m.groups)-1).Draw(t, "group")]
 }
 
-// advance lets a group take its next step, with one of the faults.
+// advance carries out the next step of a group, possibly with a fault.
 func (m *groupMachine) advance(t *rapid.T) {
 	g := m.pickGroup(t)
 	switch g.nextStep() {
@@ -165,7 +166,7 @@
 	g.reconcile(found)
 }
 
-// applyLate applies one late transaction.
+// applyLate applies one of the late transactions.
 func (m *groupMachine) applyLate(t *rapid.T) {
 	if len(m.table.late) == 0 {
 		t.Skip("nothing is late")
@@ -176,7 +177,7 @@
 	m.apply(txn)
 }
 
-// overwrite lets another client write one row several times.
+// overwrite writes one row several times as another client.
 func (m *groupMachine) overwrite(t *rapid.T) {
 	key := fmt.Sprintf("k%d", rapid.IntRange(0, 4).Draw(t, "row"))
 	for range rapid.IntRange(1, maxHistory+1).Draw(t, "times") {
@@ -193,7 +194,7 @@
 	}
 }
 
-// check compares each outcome with what took effect.
+// check compares the outcome of each request with what took effect in the table.
 func (m *groupMachine) check(t *rapid.T) {
 	for _, p := range m.requests {
 		for _, w := range p.writes {
@@ -220,8 +221,7 @@
 	}
 }
 
-// finish lets all groups end without faults and then all late transactions
-// arrive.
+// finish ends all groups without faults and then applies all late transactions.
 func (m *groupMachine) finish(t *rapid.T) {
 	for _, g := range m.groups {
 		for g.nextStep() != stepDone {
@@ -239,8 +239,8 @@
 	m.check(t)
 }
 
-// TestGroupMachine shows that every acknowledged write takes effect exactly
-// once and every refused one never, whichever answers are lost or late.
+// TestGroupMachine checks that each acknowledged write takes effect exactly once and
+// each rejected write never, whichever answers are lost or transactions are late.
 func TestGroupMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &groupMachine{table: newFakeTable(), ids: map[*commitRequest]string{}, replacedVersions: map[string][]uint64{}}
--- a/internal/ledger/health.go
+++ b/internal/ledger/health.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// maxObservationGap is the longest time between the ends of two calls in which an
-// outage still counts as observed without a gap.
+// maxObservationGap is the longest time between the ends of two calls for which an
+// outage counts as observed without a gap.
 const maxObservationGap = 2500 * time.Millisecond
 
-// health follows whether the store answers. An outage counts only as long as
-// calls were made, and failed, all the time since the last answer: a process
-// that was paused, or made no calls, cannot tell what the others could do
-// meanwhile.
+// health tracks whether the store answers. An outage counts only while calls have
+// been made, and have failed, continuously since the last answer: a process that
+// was paused or made no calls cannot know whether the store answered other
+// processes in the meantime.
 type health struct {
 	mu              sync.Mutex
-	lastAnswerStart time.Duration // start of the last call that was answered
-	hasAnswered     bool          // there was an answer
-	hasFailed       bool          // a call has failed since
-	hasGap          bool          // the calls since then had a gap
-	hasSlowFailure  bool          // a failure since then was not an immediate one
+	lastAnswerStart time.Duration // start of the last answered call
+	hasAnswered     bool          // some call has been answered
+	hasFailed       bool          // a call has failed since the last answer
+	hasGap          bool          // more than maxObservationGap passed between two calls since then
+	hasSlowFailure  bool          // a failure since then took longer than maxRejectionTime
 	lastCallEnd     time.Duration
 }
 
-// maxRejectionTime is the time up to which a failure counts as a rejection: nothing
-// was waited for.
+// maxRejectionTime is the longest duration of a failed call that counts as an
+// immediate rejection rather than as a call without an answer.
 const maxRejectionTime = 200 * time.Millisecond
 
 func (h *health) recordAnswer(start, now time.Duration) {
@@ -53,8 +53,8 @@
 	return now - h.lastAnswerStart
 }
 
-// rejectionTime returns for how long every call has been rejectionTime at once, 0 if the
-// store answers or some call was left without an answer.
+// rejectionTime returns the duration of an outage in which every call was rejected
+// immediately. It is 0 if the store answers or if some call got no answer.
 func (h *health) rejectionTime(now time.Duration) time.Duration {
 	h.mu.Lock()
 	slow := h.hasSlowFailure
--- a/internal/ledger/health_test.go
+++ b/internal/ledger/health_test.go
@@ -8,8 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// TestOutageIsObservedWithoutGaps shows that only failures seen all the time
-// since the last answer count as an outage.
+// TestOutageIsObservedWithoutGaps checks that an outage is reported only if calls
+// have failed continuously since the last answer, and not after a pause.
 func TestOutageIsObservedWithoutGaps(t *testing.T) {
 	sim := &simTime{}
 	table := newFakeTable()
@@ -49,7 +49,8 @@
 	expect("after another answer", 2*time.Second)
 }
 
-// pausingTable answers no call, each after the process was paused.
+// pausingTable answers no call and advances the clock by a minute during each call,
+// as if the process had been paused.
 type pausingTable struct {
 	external.Table
 	sim *simTime
@@ -60,8 +61,8 @@
 	return nil, external.ErrUnavailable
 }
 
-// TestPausedCallsTellNothing shows that calls which fail because the process was
-// paused open no breaker.
+// TestPausedCallsTellNothing checks that calls that fail because the process was
+// paused do not open the breaker.
 func TestPausedCallsTellNothing(t *testing.T) {
 	sim := &simTime{}
 	c := New(pausingTable{sim: sim}, Config{Budgets: map[Cause]Budget{}, Clock: sim.clock, Sleep: sim.sleep})
--- a/internal/ledger/lane.go
+++ b/internal/ledger/lane.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// The states of a stateQueued commit. Its caller withdraws it or the lane sends
-// it, never both.
+// States of a queued commit. It is either withdrawn by its caller or taken by the
+// lane's sender, never both.
 const (
 	stateQueued int32 = iota
 	stateTaken
@@ -25,11 +25,11 @@
 	done  chan struct{}
 }
 
-// laneName names a queue of commits.
+// laneName identifies a lane.
 type laneName string
 
-// The lanes. Ownership has one of its own, so that neither a burst of jobs nor
-// a change of the configuration delays a renewal.
+// The lanes. Ownership has its own lane, so that neither a burst of jobs nor a
+// configuration change delays a lease renewal.
 const (
 	laneOwner  laneName = "owner"
 	laneConfig laneName = "config"
@@ -49,11 +49,10 @@
 	}
 }
 
-// lane is a bounded queue of commits with its senders. It has one sender with
-// group commit: a commit is sent at once when the lane is idle, and those that
-// arrive while a transaction is in flight form the next group, as in the
-// BatchingEngine of Balakrishnan et al., "Log-structured Protocols in Delos",
-// SOSP 2021.
+// lane is a bounded queue of commits with its senders. With group commit it has one
+// sender: a commit is sent immediately if the lane is idle, and commits that arrive
+// while a transaction is in flight form the next group, as in the BatchingEngine of
+// Balakrishnan et al., "Log-structured Protocols in Delos", SOSP 2021.
 type lane struct {
 	client  *Client
 	senders int
@@ -64,7 +63,8 @@
 	activeSenders int
 }
 
-// enqueue queues a waiter and starts a sender if one is free.
+// enqueue adds a commit to the queue and starts a sender if one is free. It returns
+// ErrOverloaded if the queue is full.
 func (l *lane) enqueue(qc *queuedCommit) error {
 	l.mu.Lock()
 	cfg := &l.client.cfg
@@ -95,9 +95,9 @@
 	}
 }
 
-// nextGroup removes the next group from the queue. With an empty queue it ends the
-// sender and returns nil. A second write of the same key, or a check of a key
-// that is written, waits for the next group.
+// nextGroup removes the next group from the queue. If the queue is empty it returns
+// nil, and the calling sender counts as ended. A second write of a key, or a check
+// of a key that the group writes, waits for a later group.
 func (l *lane) nextGroup() []*queuedCommit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,7 +127,7 @@
 	return commits
 }
 
-// keyUse is how the commits of a group keyUse a key.
+// keyUse is the use of a key by the commits of a group.
 type keyUse int
 
 const (
@@ -143,8 +143,8 @@
 	return keyWritten
 }
 
-// overlaps reports whether writes cannot join a group that uses keys already;
-// otherwise their keys are added.
+// overlaps reports whether writes cannot join a group because of the keys that it
+// already uses. If they can join, overlaps adds their keys to the group's.
 func overlaps(keys map[string]keyUse, writes []Write) bool {
 	for _, w := range writes {
 		if have := keys[w.Key]; have == keyWritten || have == keyChecked && !w.Check {
@@ -157,7 +157,7 @@
 	return false
 }
 
-// refuseQueued fails all waiting commits; none of them has been sent.
+// refuseQueued fails all queued commits. None of them has been sent.
 func (l *lane) refuseQueued(err error) {
 	l.mu.Lock()
 	queue := l.queue
--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -14,14 +14,14 @@
 	"github.com/juju/errors"
 )
 
-// simTime is a clock that only sleeps move.
+// simTime is a clock that advances only when a test or a sleep advances it.
 type simTime struct{ now time.Duration }
 
 func (s *simTime) clock() time.Duration { return s.now }
 
 func (s *simTime) sleep(_ context.Context, d time.Duration) { s.now += d }
 
-// simCtx ends at a time of a simTime.
+// simCtx is a context that ends at a time of simTime.
 type simCtx struct {
 	context.Context
 	time *simTime
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// scenario runs clients one after the other, each in the caller's goroutine.
+// scenario runs the operations of several clients one after the other, each in the
+// test's goroutine.
 type scenario struct {
 	time    *simTime
 	table   *fakeTable
@@ -62,7 +63,7 @@
 	return c
 }
 
-// parseWrites reads "key@version=data" and "key@version=delete".
+// parseWrites parses writes in the form "key@version=data" or "key@version=delete".
 func parseWrites(text string) []Write {
 	var out []Write
 	for _, f := range strings.Fields(text) {
@@ -125,7 +126,8 @@
 	return formatOutcome(s.client(name).Commit(ctx, CauseJob, parseWrites(text)...))
 }
 
-// commitGroup puts commits into one lane before its sender runs.
+// commitGroup queues commits, one for each line, in one lane and then runs its
+// sender.
 func (s *scenario) commitGroup(name, text string) string {
 	c := s.client(name)
 	l := c.lanes[laneBulk]
@@ -209,8 +211,8 @@
 	return ""
 }
 
-// interleave lets another client commit right before the next transaction, or the
-// next read, takes effect.
+// interleave makes another client commit immediately before the next transaction or,
+// if on is "read", the next read takes effect.
 func (s *scenario) interleave(on, name, text string) {
 	hook := &s.table.beforeCommit
 	if on == "read" {
--- a/internal/ledger/send.go
+++ b/internal/ledger/send.go
@@ -9,7 +9,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// sendGroup carries a group of commits through to the end of each.
+// sendGroup carries out the steps of a group until all its commits have ended.
 func (c *Client) sendGroup(l *lane, commits []*queuedCommit) {
 	commits = c.takeQueued(commits)
 	if len(commits) == 0 {
@@ -27,8 +27,8 @@
 			c.waitWhileDown(l, g)
 			continue
 		}
-		// A store that has failed is probed by reading, so that commits which
-		// have not been sent do not come into doubt.
+		// While the breaker is open the store is probed with a read, so that a
+		// failed probe leaves no unsent commit in doubt.
 		if next == stepRead || c.breaker.isOpen() {
 			c.readBack(l, g)
 			continue
@@ -37,7 +37,7 @@
 	}
 }
 
-// takeQueued marks the commits as taken and leaves out those that were withdrawn.
+// takeQueued marks commits as taken and returns those that were not withdrawn.
 func (c *Client) takeQueued(commits []*queuedCommit) []*queuedCommit {
 	var out []*queuedCommit
 	for _, qc := range commits {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// endAbandoned ends the commits whose caller waits no longer.
+// endAbandoned ends the commits whose callers no longer wait.
 func (c *Client) endAbandoned(commits []*queuedCommit) {
 	for _, qc := range commits {
 		if qc.ended || qc.ctx.Err() == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// releaseEnded answers the callers of commits that have ended and returns the others.
+// releaseEnded wakes the callers of commits that have ended and returns the others.
 func (c *Client) releaseEnded(commits []*queuedCommit) []*queuedCommit {
 	var remaining []*queuedCommit
 	for _, qc := range commits {
@@ -98,7 +98,7 @@
 	}
 }
 
-// cacheWritten keeps the tokens of the rows that a commit has written.
+// cacheWritten caches the histories of the rows that a commit has written.
 func (c *Client) cacheWritten(qc *queuedCommit) {
 	for i, write := range qc.writes {
 		if write.Check {
@@ -114,7 +114,8 @@
 	}
 }
 
-// waitWhileDown refuses what has not been sent; commits in doubt wait on.
+// waitWhileDown fails the commits that have not been sent. If some are in doubt, it
+// waits before the next attempt to determine their outcome.
 func (c *Client) waitWhileDown(l *lane, g *group) {
 	l.refuseQueued(errors.Trace(ErrDown))
 	for _, req := range g.pending() {
@@ -127,7 +128,7 @@
 	}
 }
 
-// sendTxn sends the group's transaction once. The breaker has allowed it.
+// sendTxn sends the group's transaction once. The breaker must have allowed it.
 func (c *Client) sendTxn(g *group, commits []*queuedCommit) {
 	c.spendWriteBudgets(commits)
 	txn := g.txn()
@@ -137,7 +138,7 @@
 		return err
 	})
 	if errors.Is(err, external.ErrRefused) {
-		return // not in doubt; sent again until the breaker opens
+		return // nothing was done, so nothing is in doubt; sent again until the breaker opens
 	}
 	if err != nil {
 		g.recordLostAnswer()
@@ -162,8 +163,8 @@
 	g.reconcile(found)
 }
 
-// readBack reads the group's rows as they are now, which settles a lost answer.
-// The breaker has allowed it.
+// readBack reads the current rows of the group, which shows the outcome of a
+// transaction whose answer was lost. The breaker must have allowed it.
 func (c *Client) readBack(l *lane, g *group) {
 	var rows []external.Row
 	err := c.callStore(context.Background(), func(ctx context.Context) (err error) {
@@ -180,7 +181,7 @@
 	}
 }
 
-// causesOf returns the causes in a group, each once, in order of appearance.
+// causesOf returns the distinct causes of commits in order of first appearance.
 func causesOf(commits []*queuedCommit) []Cause {
 	seen := map[Cause]bool{}
 	var out []Cause
@@ -193,8 +194,8 @@
 	return out
 }
 
-// spendWriteBudgets takes one write from the budget of each cause in the group and
-// waits as long as the budgets ask for.
+// spendWriteBudgets takes one write from the budget of each cause and waits until
+// all budgets permit it.
 func (c *Client) spendWriteBudgets(commits []*queuedCommit) {
 	var wait time.Duration
 	for _, cause := range causesOf(commits) {
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -10,27 +10,27 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// fault is what happens to one call of the fake table.
+// fault is the fault of one call of fakeTable.
 type fault int
 
 const (
 	noFault   fault = iota
 	faultDown       // not applied, no answer
 	faultLost       // applied, no answer
-	faultLate       // applied when release is called, no answer
+	faultLate       // applied by applyLate, no answer
 )
 
-// fakeTable is an in-memory external.Table with faults.
+// fakeTable is an in-memory external.Table that can inject faults.
 type fakeTable struct {
 	mu      sync.Mutex
 	rows    map[string]external.Row
 	latency time.Duration
-	stalled bool // calls hang until their context ends
+	stalled bool // calls block until their context ends
 
 	faults []fault // for the next calls, reads and writes alike
 	down   bool
 	late   []external.Txn
-	// oneCounter counts the versions of all rows together.
+	// oneCounter makes all rows share one version counter.
 	oneCounter   bool
 	counter      uint64
 	commits      int
@@ -41,7 +41,8 @@
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]external.Row{}} }
 
-// startCall waits and returns the fault of a call.
+// startCall waits for the latency or, if the table is stalled, for the end of ctx, and
+// returns the fault of the call.
 func (t *fakeTable) startCall(ctx context.Context) fault {
 	t.mu.Lock()
 	latency, stall := t.latency, t.stalled
@@ -156,7 +157,7 @@
 	return res
 }
 
-// applyLate applies the transactions that are late.
+// applyLate applies all late transactions.
 func (t *fakeTable) applyLate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -1,7 +1,8 @@
-// Package ledger keeps lasting state in the platform's table: conditional
-// updates with a token each, lost answers settled by reading back, group
-// commit, a breaker with jittered backoff, and budgets of operations for each
-// cause.
+// Package ledger stores durable state in the platform's table. Every write is
+// conditional on the row's version and carries a unique token, so that the
+// outcome of a write whose answer was lost can be determined by reading the row
+// back. Commits are grouped into shared transactions. A circuit breaker with
+// jittered backoff and operation budgets per cause protect the store.
 package ledger
 
 import (
@@ -12,10 +13,10 @@
 	"github.com/juju/errors"
 )
 
-// Errors of the ledger. ErrOutcomeUnknown is returned only when ctx ends before a
-// lost answer could be settled, or when so many other writes came between that
-// the row no longer tells; ErrOverloaded and ErrDown mean that nothing has been
-// written.
+// Errors of the ledger. ErrOutcomeUnknown is returned only if ctx ends before
+// the outcome of a commit whose answer was lost has been determined, or if later
+// writes have pushed the commit's token out of the row's history. ErrOverloaded
+// and ErrDown guarantee that nothing was written.
 const (
 	ErrConflict       = errors.ConstError("row has changed")
 	ErrOutcomeUnknown = errors.ConstError("write may have taken effect")
@@ -23,7 +24,8 @@
 	ErrOverloaded     = errors.ConstError("too many writes wait for the store; nothing was written")
 )
 
-// Cause names what an operation is for; budgets and counters are kept by cause.
+// Cause is the purpose of a store operation. Budgets and counters are kept per
+// cause.
 type Cause string
 
 // The causes of store operations.
@@ -38,16 +40,17 @@
 	CauseCleanup Cause = "cleanup"
 )
 
-// Row is a row of the ledger without its envelope.
+// Row is a row as callers see it, without the envelope that is stored around
+// its data.
 type Row struct {
 	Key     string
-	Version uint64 // 0 for an absent row
+	Version uint64 // 0 if the row does not exist
 	Data    json.RawMessage
 }
 
-// Write is one conditional write: Key must have Version (0: be absent).
-// Delete removes the row. Check leaves the row as it is: the others are written
-// only while it has Version.
+// Write is one conditional write. It takes effect only if the row with Key has
+// Version (0: does not exist). Delete removes the row. Check only adds the
+// condition and leaves the row unchanged.
 type Write struct {
 	Key     string
 	Version uint64
@@ -56,16 +59,21 @@
 	Check   bool
 }
 
-// Ledger is the interface to lasting state that the services use.
+// Ledger is the interface through which services access durable state.
 type Ledger interface {
+	// Get returns a row for each key, in the order of keys.
 	Get(ctx context.Context, cause Cause, keys ...string) ([]Row, error)
+	// Scan returns up to limit rows with the prefix and keys greater than after,
+	// in key order.
 	Scan(ctx context.Context, cause Cause, prefix, after string, limit int) ([]Row, error)
-	// Commit applies all writes or none and returns the new rows, without data.
-	// On ErrConflict the current rows of all keys are returned with their data.
+	// Commit applies all writes or none and returns the new rows without data.
+	// On ErrConflict it returns the current rows of all keys with their data.
 	Commit(ctx context.Context, cause Cause, writes ...Write) ([]Row, error)
-	// BreakerOpen reports whether the breaker is open.
+	// BreakerOpen reports whether the circuit breaker is open.
 	BreakerOpen() bool
-	// Outage returns for how long the store has answered no call, or 0 when it
-	// answers or when the outage was not observed without a gap.
+	// Outage returns the time since the start of the last call that the store
+	// answered. It is 0 if no call has failed since, before the first answer, and
+	// if the calls since then had a gap in which the store's state was not
+	// observed.
 	Outage() time.Duration
 }
