--- a/internal/confstate/edit.go
+++ b/internal/confstate/edit.go
@@ -6,12 +6,13 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// edit changes one item of a configuration. It gets a copy whose Version is
-// already the new one, and returns ErrLostRace if the item is not as expected.
+// edit changes one item of a configuration. It gets a copy that already has the new
+// Version, and returns ErrVersionConflict if the item's version is not the expected
+// one.
 type edit func(c *api.Config) error
 
-// applyEdit returns the configuration that an edit makes of base. The new
-// version is above both base and floor.
+// applyEdit returns the configuration that results from an edit of base. Its version
+// is higher than that of base and higher than floor.
 func applyEdit(base *api.Config, floor uint64, e edit) (*api.Config, error) {
 	next := base.Clone()
 	next.Version = max(base.Version, floor) + 1
--- a/internal/confstate/notifier.go
+++ b/internal/confstate/notifier.go
@@ -7,7 +7,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// notifier calls subscribers from one goroutine with ever newer configurations.
+// notifier calls subscribers from a single goroutine with configurations of
+// increasing versions.
 type notifier struct {
 	mu          sync.Mutex
 	subscribers []*subscriber
@@ -46,12 +47,12 @@
 	}
 }
 
-// deliver calls each subscriber that has not had this version yet.
+// deliver calls each subscriber that has not yet received this or a newer version.
 func (n *notifier) deliver(c *api.Config) {
 	n.mu.Lock()
-	subs := append([]*subscriber(nil), n.subscribers...)
+	subscribers := append([]*subscriber(nil), n.subscribers...)
 	n.mu.Unlock()
-	for _, s := range subs {
+	for _, s := range subscribers {
 		if s.lastVersion < c.Version {
 			s.lastVersion = c.Version
 			s.fn(c)
--- a/internal/confstate/rows.go
+++ b/internal/confstate/rows.go
@@ -9,8 +9,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// The rows of the configuration. Both are written in one transaction; the head
-// is small, so that a poll costs little.
+// Keys of the configuration's rows. Both rows are written in one transaction. The
+// head is a separate, small row to keep polling cheap.
 const (
 	headKey = "config/head"
 	docKey  = "config/doc"
@@ -20,7 +20,7 @@
 	Version uint64 `json:"version"`
 }
 
-// storedConfig is a configuration with the versions of the rows that hold it.
+// storedConfig is a configuration with the versions of the rows that store it.
 type storedConfig struct {
 	config      *api.Config
 	headVersion uint64
@@ -38,23 +38,23 @@
 	return h.Version, nil
 }
 
-// decodeStoredConfig reads the rows of head and document, in this order.
+// decodeStoredConfig decodes the rows of head and document, in this order.
 func decodeStoredConfig(rows []ledger.Row) (*storedConfig, error) {
 	if len(rows) != 2 {
 		return nil, errors.NotValidf("answer with %d rows (want 2)", len(rows))
 	}
-	b := &storedConfig{config: &api.Config{}, headVersion: rows[0].Version, docVersion: rows[1].Version}
+	stored := &storedConfig{config: &api.Config{}, headVersion: rows[0].Version, docVersion: rows[1].Version}
 	if rows[1].Version != 0 {
-		if err := json.Unmarshal(rows[1].Data, b.config); err != nil {
+		if err := json.Unmarshal(rows[1].Data, stored.config); err != nil {
 			return nil, errors.Annotatef(err, "row %q", docKey)
 		}
 	}
-	b.config = b.config.Clone()
-	return b, nil
+	stored.config = stored.config.Clone()
+	return stored, nil
 }
 
-// writes returns the writes that replace the base by a configuration.
-func (b *storedConfig) writes(c *api.Config) ([]ledger.Write, error) {
+// writes returns the writes that replace the stored configuration by c.
+func (s *storedConfig) writes(c *api.Config) ([]ledger.Write, error) {
 	h, err := json.Marshal(head{c.Version})
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -64,7 +64,7 @@
 		return nil, errors.Trace(err)
 	}
 	return []ledger.Write{
-		{Key: headKey, Version: b.headVersion, Data: h},
-		{Key: docKey, Version: b.docVersion, Data: doc},
+		{Key: headKey, Version: s.headVersion, Data: h},
+		{Key: docKey, Version: s.docVersion, Data: doc},
 	}, nil
 }
--- a/internal/confstate/service.go
+++ b/internal/confstate/service.go
@@ -14,16 +14,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// Config sets up a service. Zero values take the defaults.
+// Config configures a service. Zero values take the defaults.
 type Config struct {
 	PollInterval time.Duration
-	// Sleep waits for a duration or the end of ctx.
+	// Sleep waits for d or until ctx ends.
 	Sleep   func(ctx context.Context, d time.Duration)
 	Metrics metrics.Registry
 	Log     zerolog.Logger
 }
 
-// Service is the Store over the ledger.
+// Service implements Store over the ledger.
 type Service struct {
 	ledger ledger.Ledger
 	peers  PeerView
@@ -32,7 +32,7 @@
 
 	mu     sync.Mutex
 	view   *view
-	stored *storedConfig // rows as last seen, nil if unknown
+	stored *storedConfig // rows as last seen, nil if not known
 
 	editSlot chan struct{} // holds one token while an edit is in progress
 	notifier *notifier
@@ -41,7 +41,8 @@
 
 var _ Store = (*Service)(nil)
 
-// New returns a service that is not polling yet. The clock is monotonic.
+// New returns a service that polls the store only after Start. The clock is
+// monotonic.
 func New(l ledger.Ledger, peers PeerView, clock func() time.Duration, cfg Config) *Service {
 	if cfg.PollInterval == 0 {
 		cfg.PollInterval = PollInterval
@@ -63,7 +64,7 @@
 	}
 }
 
-// Start starts the polling.
+// Start starts polling and the delivery to subscribers.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(s.cfg.PollInterval, s.Poll)
@@ -71,13 +72,13 @@
 	return nil
 }
 
-// Stop ends the polling.
+// Stop ends polling and the delivery to subscribers.
 func (s *Service) Stop(context.Context) error {
 	s.loops.End()
 	return nil
 }
 
-// Poll reads the head and, if it is newer, the document.
+// Poll reads the head and, if its version is newer, the document.
 func (s *Service) Poll(ctx context.Context) {
 	start := s.clock()
 	have := s.Current().Version
@@ -88,7 +89,7 @@
 	}
 	version, err := decodeHead(rows[0])
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("configuration cannot be read")
+		s.cfg.Log.Error().Err(err).Msg("failed to decode configuration rows")
 		return
 	}
 	switch {
@@ -102,7 +103,7 @@
 	}
 }
 
-// readStored reads head and document and applies what is newer.
+// readStored reads head and document and applies the configuration if it is newer.
 func (s *Service) readStored(ctx context.Context) (*storedConfig, error) {
 	start := s.clock()
 	have := s.Current().Version
@@ -110,25 +111,26 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	b, err := decodeStoredConfig(rows)
+	stored, err := decodeStoredConfig(rows)
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("configuration cannot be read")
+		s.cfg.Log.Error().Err(err).Msg("failed to decode configuration rows")
 		return nil, err
 	}
-	s.applyStored(b, start, b.config.Version >= have)
-	return b, nil
+	s.applyStored(stored, start, stored.config.Version >= have)
+	return stored, nil
 }
 
-// applyStored takes over rows that were read by a call that began at start.
-func (s *Service) applyStored(b *storedConfig, start time.Duration, confirms bool) {
+// applyStored applies the configuration of rows that were read or written by a call
+// that began at start. If confirms is set, it also confirms the version as of start.
+func (s *Service) applyStored(stored *storedConfig, start time.Duration, confirms bool) {
 	s.mu.Lock()
-	s.stored = b
-	applied := s.view.apply(b.config)
+	s.stored = stored
+	applied := s.view.apply(stored.config)
 	if confirms {
-		s.view.confirm(b.config.Version, start)
+		s.view.confirm(stored.config.Version, start)
 	}
 	s.mu.Unlock()
-	s.notifyApplied(applied, b.config)
+	s.notifyApplied(applied, stored.config)
 }
 
 func (s *Service) confirm(version uint64, start time.Duration) {
@@ -137,7 +139,7 @@
 	s.view.confirm(version, start)
 }
 
-// notifyApplied tells the subscribers of an applied configuration.
+// notifyApplied records and announces a configuration if it has been applied.
 func (s *Service) notifyApplied(applied bool, c *api.Config) {
 	if !applied {
 		return
@@ -147,33 +149,34 @@
 	s.notifier.wake()
 }
 
-// Current returns the configuration in force. It must not be changed.
+// Current returns the configuration in force. Callers must not modify it.
 func (s *Service) Current() *api.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view.current
 }
 
-// Snapshot returns the configuration in force and, as one, how long ago it was
-// confirmed; ok is false before the first confirmation.
+// Snapshot returns the configuration in force together with the time since it was
+// last confirmed; ok is false before the first confirmation.
 func (s *Service) Snapshot() (c *api.Config, age time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view.current, s.clock() - s.view.confirmedAt, s.view.everConfirmed
 }
 
-// StoreFailing reports whether the store has answered no call of this entry
-// for longer than FreshLimit.
+// StoreFailing reports whether the store has answered none of this entry's calls
+// for longer than MaxConfigAge.
 func (s *Service) StoreFailing() bool { return s.ledger.Outage() > MaxConfigAge }
 
-// StoreDownEverywhere reports whether this entry and all its peers fail to
-// reach the store.
+// StoreDownEverywhere reports whether neither this entry nor any of its peers
+// reaches the store.
 func (s *Service) StoreDownEverywhere() bool {
 	return downEverywhere(s.clock(), s.ledger.Outage(), s.peers)
 }
 
-// Permit reports whether work may start now: the configuration was confirmed
-// within FreshLimit, or the store is down for every entry.
+// Permit reports whether work may start now: either the configuration was confirmed
+// within MaxConfigAge, or it was confirmed at some time and the store is down for
+// every entry.
 func (s *Service) Permit() bool {
 	s.mu.Lock()
 	fresh := s.view.isFresh(s.clock())
@@ -182,7 +185,7 @@
 	return fresh || known && s.StoreDownEverywhere()
 }
 
-// Offer brings a configuration relayed by a peer, confirmed age ago.
+// Offer applies a configuration that a peer relayed and that was confirmed age ago.
 func (s *Service) Offer(c *api.Config, age time.Duration) {
 	s.mu.Lock()
 	applied := s.view.apply(c)
@@ -191,22 +194,22 @@
 	s.notifyApplied(applied, c)
 }
 
-// Confirm says that the store's version was the given one age ago, according
-// to a peer.
+// Confirm records that, according to a peer, the store had the given version age
+// ago.
 func (s *Service) Confirm(version uint64, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view.confirm(version, s.clock()-age)
 }
 
-// Subscribe calls fn with the present and each newer configuration.
+// Subscribe calls fn with the current configuration and each newer one.
 func (s *Service) Subscribe(fn func(*api.Config)) { s.notifier.add(fn) }
 
 func (s *Service) count(name string) {
 	metrics.GetOrRegisterCounter(name, s.cfg.Metrics).Inc(1)
 }
 
-// State is the dump of a service.
+// State is the state dump of a service.
 type State struct {
 	Version             uint64 `json:"version"`
 	Confirmed           bool   `json:"confirmed"`
@@ -216,7 +219,7 @@
 	Permit              bool   `json:"permit"`
 }
 
-// DumpState returns the service's state.
+// DumpState returns the state dump of the service.
 func (s *Service) DumpState() any {
 	c, age, ok := s.Snapshot()
 	return State{
--- a/internal/confstate/service_test.go
+++ b/internal/confstate/service_test.go
@@ -16,7 +16,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// fakeStore is the rows that several entries share.
+// fakeStore holds the rows that several entries share, and the clock.
 type fakeStore struct {
 	now  time.Duration
 	rows map[string]ledger.Row
@@ -91,7 +91,7 @@
 	return rows, nil
 }
 
-// fakePeers is what an entry knows of the others.
+// fakePeers is an entry's knowledge of its peers.
 type fakePeers struct {
 	peers     []Peer
 	listed    time.Duration
@@ -125,7 +125,7 @@
 	return e
 }
 
-// simCtx ends at a time of the scenario.
+// simCtx is a context that ends at a time of the scenario's clock.
 type simCtx struct {
 	context.Context
 	store *fakeStore
@@ -140,7 +140,7 @@
 }
 
 // edit makes one change: "zone NAME in|out VERSION", "profile NAME VERSION" or
-// "delete NAME VERSION", with "any" for any version.
+// "delete NAME VERSION". VERSION may be "any".
 func (s *scenario) edit(e *entry, line string) string {
 	f := strings.Fields(line)
 	expect, err := strconv.ParseUint(f[len(f)-1], 10, 64)
@@ -226,7 +226,7 @@
 	return ""
 }
 
-// setPeers reads lines "NAME AGE failing|working" or "NAME never".
+// setPeers parses lines "NAME AGE failing|working" or "NAME never".
 func (s *scenario) setPeers(e *entry, text string) {
 	e.peers.peers, e.peers.known, e.peers.listed = nil, true, s.store.now
 	for _, line := range strings.Split(text, "\n") {
@@ -249,8 +249,8 @@
 	})
 }
 
-// TestSubscribersSeeRisingVersions shows that each subscriber gets the present
-// configuration and then only newer ones.
+// TestSubscribersSeeRisingVersions checks that a subscriber gets the current
+// configuration first and then only newer ones, even if an older one is offered.
 func TestSubscribersSeeRisingVersions(t *testing.T) {
 	s := &scenario{store: &fakeStore{rows: map[string]ledger.Row{}}, entries: map[string]*entry{}}
 	e := s.entry("a")
--- a/internal/confstate/update.go
+++ b/internal/confstate/update.go
@@ -23,7 +23,7 @@
 	return s.update(ctx, deleteProfile(name, expect))
 }
 
-// PutZone takes an availability zone out or brings it back.
+// PutZone takes an availability zone out of service or puts it back in.
 func (s *Service) PutZone(ctx context.Context, name string, state api.ZoneState, expect uint64) (*api.Config, error) {
 	if name == "" {
 		return nil, errors.NotValidf("availability zone without name")
@@ -34,9 +34,9 @@
 	return s.update(ctx, putZone(name, state, expect))
 }
 
-// update makes an edit by compare-and-set. It is acknowledged only while the
-// other entries count this one among theirs: an entry that starts work in an
-// outage then asks this one, which knows of the change.
+// update applies an edit by compare-and-set. It is acknowledged only while this entry
+// is in the other entries' lists: an entry that permits starts in an outage then
+// needs the report of this entry, which knows of the change.
 func (s *Service) update(ctx context.Context, e edit) (*api.Config, error) {
 	select {
 	case s.editSlot <- struct{}{}:
@@ -51,7 +51,7 @@
 	if err != nil {
 		return c, err
 	}
-	// This process may have been paused since the first look.
+	// This process may have been paused since the first check, and have dropped out of their lists.
 	if err := s.awaitSettled(ctx); err != nil {
 		return nil, errors.Annotatef(ledger.ErrOutcomeUnknown, "version %d is written, but may not be in force: %v", c.Version, err)
 	}
@@ -68,32 +68,32 @@
 	return nil
 }
 
-// compareAndSet makes an edit. The rows as last seen serve first; what they
-// refuse is judged again on rows that were just read. A transaction that loses
-// to a change of another item is made again on the newer rows.
+// compareAndSet applies an edit. It starts from the rows last seen; an edit that they
+// reject is checked again on freshly read rows. If the transaction conflicts, the
+// edit is applied again to the newer rows.
 func (s *Service) compareAndSet(ctx context.Context, e edit) (*api.Config, error) {
-	b, fresh := s.lastStored(), false
+	stored, fresh := s.lastStored(), false
 	for {
-		if b == nil {
+		if stored == nil {
 			var err error
-			if b, err = s.readStored(ctx); err != nil {
+			if stored, err = s.readStored(ctx); err != nil {
 				return nil, errors.Annotate(ErrStoreDown, err.Error())
 			}
 			fresh = true
 		}
-		next, err := applyEdit(b.config, s.Current().Version, e)
+		next, err := applyEdit(stored.config, s.Current().Version, e)
 		if err != nil && !fresh {
-			b = nil
+			stored = nil
 			continue
 		}
 		if err != nil {
-			return b.config, err
+			return stored.config, err
 		}
-		b, err = s.commit(ctx, b, next)
+		stored, err = s.commit(ctx, stored, next)
 		if err != nil {
 			return nil, err
 		}
-		if b == nil {
+		if stored == nil {
 			return next, nil
 		}
 		fresh = true
@@ -106,10 +106,10 @@
 	return s.stored
 }
 
-// commit writes a configuration over the base. After a conflict it returns the
-// rows to try again on, otherwise nil and the outcome.
-func (s *Service) commit(ctx context.Context, b *storedConfig, next *api.Config) (*storedConfig, error) {
-	writes, err := b.writes(next)
+// commit writes a configuration over the stored one. After a conflict it returns the
+// rows for the next attempt, otherwise nil and the result.
+func (s *Service) commit(ctx context.Context, stored *storedConfig, next *api.Config) (*storedConfig, error) {
+	writes, err := stored.writes(next)
 	if err != nil {
 		return nil, err
 	}
@@ -132,12 +132,12 @@
 
 func (s *Service) handleConflict(rows []ledger.Row, start time.Duration) (*storedConfig, error) {
 	s.count("config.conflicts")
-	b, err := decodeStoredConfig(rows)
+	stored, err := decodeStoredConfig(rows)
 	if err != nil {
 		return nil, err
 	}
-	s.applyStored(b, start, b.config.Version >= s.Current().Version)
-	return b, nil
+	s.applyStored(stored, start, stored.config.Version >= s.Current().Version)
+	return stored, nil
 }
 
 func (s *Service) forgetStored() {
--- a/internal/confstate/view.go
+++ b/internal/confstate/view.go
@@ -6,14 +6,14 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// view is what this process knows of the configuration. It is pure; times are
+// view is this process's knowledge of the configuration. It does no I/O; times are
 // on the process's monotonic clock.
 type view struct {
 	current *api.Config
-	// confirmedAt is the time at which current was certainly not older than the
-	// store's configuration.
+	// confirmedAt is a time at which current was certainly not older than the
+	// configuration in the store.
 	confirmedAt time.Duration
-	// everConfirmed is set once any configuration was read or relayed.
+	// everConfirmed is set once a configuration, read or relayed, was confirmed.
 	everConfirmed bool
 }
 
@@ -21,7 +21,8 @@
 	return &view{current: (&api.Config{}).Clone()}
 }
 
-// apply takes over a configuration with a higher version.
+// apply replaces the current configuration if c has a higher version, and reports
+// whether it did.
 func (v *view) apply(c *api.Config) bool {
 	if c.Version <= v.current.Version {
 		return false
@@ -30,8 +31,8 @@
 	return true
 }
 
-// confirm says that the store's version was the given one at a time. It tells
-// nothing when this process does not have that version yet.
+// confirm records that the store had the given version at a time. It does nothing
+// if this process does not have that version yet.
 func (v *view) confirm(version uint64, at time.Duration) {
 	if version > v.current.Version {
 		return
@@ -42,7 +43,7 @@
 	v.everConfirmed = true
 }
 
-// isFresh reports whether the configuration was confirmed within FreshLimit.
+// isFresh reports whether the configuration was confirmed within MaxConfigAge.
 func (v *view) isFresh(now time.Duration) bool {
 	return v.everConfirmed && now-v.confirmedAt <= MaxConfigAge
 }
