--- a/internal/confstate/update.go
+++ b/internal/confstate/update.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return c, err
 	}
-	// This process may have been paused since the first check, and have dropped out of their lists.
+	// Check again: this process may have been paused since the first check.
 	if err := s.awaitSettled(ctx); err != nil {
 		return nil, errors.Annotatef(ledger.ErrOutcomeUnknown, "version %d is written, but may not be in force: %v", c.Version, err)
 	}
--- a/internal/ledger/lane.go
+++ b/internal/ledger/lane.go
@@ -29,7 +29,7 @@
 type laneName string
 
 // The lanes. Ownership has its own lane, so that neither a burst of jobs nor a
-// configuration change delays a lease renewal.
+// configuration change delays its renewal.
 const (
 	laneOwner  laneName = "owner"
 	laneConfig laneName = "config"
--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -134,17 +134,17 @@
 	ctx := simCtx{context.Background(), s.time, s.time.now + time.Minute}
 	var commits []*queuedCommit
 	for _, line := range strings.Split(text, "\n") {
-		w := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
-		c.loadHistories(w.commitRequest)
-		commits = append(commits, w)
-		l.queue = append(l.queue, w)
+		qc := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
+		c.loadHistories(qc.commitRequest)
+		commits = append(commits, qc)
+		l.queue = append(l.queue, qc)
 	}
 	before := s.table.commits
 	l.activeSenders++
 	l.runSender()
 	var b strings.Builder
-	for _, w := range commits {
-		fmt.Fprintln(&b, formatOutcome(w.rows, w.err))
+	for _, qc := range commits {
+		fmt.Fprintln(&b, formatOutcome(qc.rows, qc.err))
 	}
 	fmt.Fprintf(&b, "%d transactions", s.table.commits-before)
 	return b.String()
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -13,10 +13,10 @@
 	"github.com/juju/errors"
 )
 
-// Errors of the ledger. ErrOutcomeUnknown is returned only if ctx ends before
-// the outcome of a commit whose answer was lost has been determined, or if later
-// writes have pushed the commit's token out of the row's history. ErrOverloaded
-// and ErrDown guarantee that nothing was written.
+// Errors of the ledger. ErrOutcomeUnknown is returned only if ctx ends before the
+// outcome of a commit that may have been sent is known, or if the commit's answer
+// was lost and later writes have pushed its token out of the row's history.
+// ErrOverloaded and ErrDown guarantee that nothing was written.
 const (
 	ErrConflict       = errors.ConstError("row has changed")
 	ErrOutcomeUnknown = errors.ConstError("write may have taken effect")
