--- a/internal/route/machine_test.go
+++ b/internal/route/machine_test.go
@@ -230,7 +230,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		if !a.core.Idle() || a.core.InUse() > 0 {
+		if !a.core.Idle() || a.core.InFlight() > 0 {
 			w.oracle.fail("%v: %s is not idle: %+v", w.now, a.name, a.core.Dump())
 		}
 	}
@@ -265,7 +265,7 @@
 		"gone": func(t *rapid.T) {
 			if open := w.oracle.open(); len(open) > 0 {
 				s := rapid.SampledFrom(open).Draw(t, "who")
-				s.entry.reach(s.gen, func() { w.stepEntry(s.entry, route.Gone{ID: s.id}) })
+				s.entry.reach(s.gen, func() { w.stepEntry(s.entry, route.CallerGone{ID: s.id}) })
 			}
 		},
 		"kill entry": func(t *rapid.T) {
