--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -15,31 +15,33 @@
 )
 
 const (
-	// maxBudgetWait is how long a read waits for its cause's budget.
+	// maxBudgetWait bounds the time that a read waits for the budget of its cause.
 	maxBudgetWait = time.Second
-	// maxCallFactor is how many timeouts a call may take; one that has taken
-	// longer tells that this process was paused, and nothing about the store.
-	maxCallFactor = 2
-	// slowCommit is how many times as long as the last read a transaction may
-	// take: a store that is slow has others waiting before it. maxSlowCommit
-	// bounds that, in timeouts.
-	slowCommit    = 4
-	maxSlowCommit = 3
+	// maxCallTimeouts is the duration of a call, in multiples of its timeout, above
+	// which a failure is ignored: the process was paused, so the failure does not
+	// show that the store is down.
+	maxCallTimeouts = 2
+	// commitReadFactor is the timeout of a transaction in multiples of the duration
+	// of the last read: a slow store has other transactions queued ahead.
+	// maxCommitTimeouts bounds that timeout, in multiples of OpTimeout.
+	commitReadFactor  = 4
+	maxCommitTimeouts = 3
 )
 
-// Client is the Ledger over the platform's table.
+// Client implements Ledger over the platform's table.
 type Client struct {
-	table   external.Table
-	cfg     Config
-	breaker *breaker
-	health  health
-	meter   *meter
-	tokens  *tokenCache
-	graves  *graves
-	lanes   map[laneName]*lane
-	reads   chan struct{}
-	// readTook is how long the last read that was answered has taken.
-	readTook atomic.Int64
+	table        external.Table
+	cfg          Config
+	breaker      *breaker
+	health       health
+	meter        *meter
+	historyCache *historyCache
+	tombstones   *tombstoneSet
+	lanes        map[laneName]*lane
+	readSlots    chan struct{}
+	// lastReadDuration is the duration, in nanoseconds, of the last successful call
+	// made through callStore.
+	lastReadDuration atomic.Int64
 
 	mu      sync.Mutex
 	stopped bool
@@ -48,23 +50,23 @@
 
 var _ Ledger = (*Client)(nil)
 
-// New returns a client of the table.
+// New returns a client of the table. Tombstones are removed only after Start.
 func New(table external.Table, cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	c := &Client{
-		table:   table,
-		cfg:     cfg,
-		breaker: &breaker{jitter: cfg.Jitter},
-		meter:   newMeter(cfg),
-		tokens:  newTokenCache(),
-		graves:  newGraves(),
-		lanes:   map[laneName]*lane{},
-		reads:   make(chan struct{}, cfg.MaxReads),
+		table:        table,
+		cfg:          cfg,
+		breaker:      &breaker{jitter: cfg.Jitter},
+		meter:        newMeter(cfg),
+		historyCache: newHistoryCache(),
+		tombstones:   newTombstoneSet(),
+		lanes:        map[laneName]*lane{},
+		readSlots:    make(chan struct{}, cfg.MaxReads),
 	}
 	senders := 1
 	if cfg.DisableGroupCommit {
 		c.cfg.MaxGroupRows = 1
-		senders = defaultUngrouped
+		senders = ungroupedSenders
 	}
 	for _, name := range laneNames {
 		c.lanes[name] = &lane{client: c, senders: senders}
@@ -72,14 +74,14 @@
 	return c
 }
 
-// Start starts the removal of tombstones.
+// Start starts the periodic removal of tombstones.
 func (c *Client) Start(context.Context) error {
 	c.loops.Begin()
-	c.loops.Every(cleanInterval, c.clean)
+	c.loops.Every(cleanupInterval, c.removeTombstones)
 	return nil
 }
 
-// Stop refuses new commits and waits until those in progress have ended.
+// Stop rejects new commits and waits until those in progress have ended.
 func (c *Client) Stop(ctx context.Context) error {
 	c.mu.Lock()
 	c.stopped = true
@@ -94,15 +96,17 @@
 	return nil
 }
 
-// BreakerOpen reports whether the breaker is open.
-func (c *Client) BreakerOpen() bool { return c.breaker.open() }
+// BreakerOpen reports whether the circuit breaker is open.
+func (c *Client) BreakerOpen() bool { return c.breaker.isOpen() }
 
-// Outage returns for how long the store has answered no call, or 0 when it
-// answers or when the outage was not observed without a gap.
+// Outage returns the time since the start of the last call that the store
+// answered. It is 0 if no call has failed since, before the first answer, and if
+// the calls since then had a gap in which the store's state was not observed.
 func (c *Client) Outage() time.Duration { return c.health.outage(c.cfg.Clock()) }
 
-// Rejected returns for how long the store has rejected every call at once.
-func (c *Client) Rejected() time.Duration { return c.health.rejected(c.cfg.Clock()) }
+// Rejected returns the duration of an outage in which the store has rejected
+// every call immediately. It is 0 in any other state.
+func (c *Client) Rejected() time.Duration { return c.health.rejectionTime(c.cfg.Clock()) }
 
 func (c *Client) idle() bool {
 	for _, l := range c.lanes {
@@ -113,32 +117,35 @@
 	return true
 }
 
-// Commit applies all writes or none.
+// Commit applies all writes or none. See Ledger for the results.
 func (c *Client) Commit(ctx context.Context, cause Cause, writes ...Write) ([]Row, error) {
 	if err := c.admit(cause, writes); err != nil {
 		return nil, err
 	}
-	w := &waiter{part: newPart(c.cfg.Token(), writes), ctx: ctx, cause: cause, done: make(chan struct{})}
-	c.prepare(w.part)
-	if err := c.lanes[laneOf(cause)].add(w); err != nil {
-		c.meter.count(cause, countRefused, 1)
+	qc := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), writes), ctx: ctx, cause: cause, done: make(chan struct{})}
+	c.loadHistories(qc.commitRequest)
+	if err := c.lanes[laneOf(cause)].enqueue(qc); err != nil {
+		c.meter.count(cause, counterRefused, 1)
 		return nil, err
 	}
-	return c.await(w)
+	return c.awaitOutcome(qc)
 }
 
-// prepare sets the conditions of a part and the tokens to carry on.
-func (c *Client) prepare(p *part) {
-	for i, w := range p.writes {
+// loadHistories takes the table versions and the histories of the rows that a
+// request writes from the cache, as far as they are cached.
+func (c *Client) loadHistories(req *commitRequest) {
+	for i, w := range req.writes {
 		if w.Check {
 			continue
 		}
 		var ok bool
-		p.conds[i], p.stamps[i], ok = c.tokens.find(w.Key, w.Version)
-		p.blind = p.blind || !ok
+		req.conds[i], req.histories[i], ok = c.historyCache.lookup(w.Key, w.Version)
+		req.historyMissing = req.historyMissing || !ok
 	}
 }
 
+// admit validates the writes of a commit. It returns ErrDown if the client is
+// stopped, or if the breaker is open and no probe is due.
 func (c *Client) admit(cause Cause, writes []Write) error {
 	if len(writes) == 0 {
 		return errors.NotValidf("commit without writes")
@@ -149,21 +156,21 @@
 			return errors.NotValidf("commit with two writes of row %q", w.Key)
 		}
 		keys[w.Key] = true
-		if err := w.check(); err != nil {
+		if err := w.validate(); err != nil {
 			return err
 		}
 	}
 	c.mu.Lock()
 	stopped := c.stopped
 	c.mu.Unlock()
-	if stopped || c.breaker.open() && !c.probeDue() {
-		c.meter.count(cause, countRefused, 1)
+	if stopped || c.breaker.isOpen() && !c.probeDue() {
+		c.meter.count(cause, counterRefused, 1)
 		return errors.Trace(ErrDown)
 	}
 	return nil
 }
 
-func (w Write) check() error {
+func (w Write) validate() error {
 	if w.Key == "" {
 		return errors.NotValidf("write without key")
 	}
@@ -177,38 +184,39 @@
 }
 
 func (c *Client) probeDue() bool {
-	return c.breaker.due(c.cfg.Clock())
+	return c.breaker.probeDue(c.cfg.Clock())
 }
 
-func (c *Client) await(w *waiter) ([]Row, error) {
+func (c *Client) awaitOutcome(qc *queuedCommit) ([]Row, error) {
 	select {
-	case <-w.done:
+	case <-qc.done:
 	default:
 		select {
-		case <-w.done:
-		case <-w.ctx.Done():
-			return c.giveUp(w)
+		case <-qc.done:
+		case <-qc.ctx.Done():
+			return c.giveUp(qc)
 		}
 	}
-	return w.rows, w.err
+	return qc.rows, qc.err
 }
 
-// giveUp ends the wait of a caller whose context has ended.
-func (c *Client) giveUp(w *waiter) ([]Row, error) {
-	if w.state.CompareAndSwap(waiting, withdrawn) {
-		c.meter.count(w.cause, countRefused, 1)
-		return nil, errors.Annotate(ErrDown, w.ctx.Err().Error())
+// giveUp returns the result for a caller whose context has ended. A commit that
+// is still queued is withdrawn, so that it is certainly not written.
+func (c *Client) giveUp(qc *queuedCommit) ([]Row, error) {
+	if qc.state.CompareAndSwap(stateQueued, stateWithdrawn) {
+		c.meter.count(qc.cause, counterRefused, 1)
+		return nil, errors.Annotate(ErrDown, qc.ctx.Err().Error())
 	}
 	select {
-	case <-w.done:
-		return w.rows, w.err
+	case <-qc.done:
+		return qc.rows, qc.err
 	default:
-		c.meter.count(w.cause, countUnknown, 1)
-		return nil, errors.Annotate(ErrOutcomeUnknown, w.ctx.Err().Error())
+		c.meter.count(qc.cause, counterUnknown, 1)
+		return nil, errors.Annotate(ErrOutcomeUnknown, qc.ctx.Err().Error())
 	}
 }
 
-// Get returns a row for each key, in order.
+// Get returns a row for each key, in the order of keys.
 func (c *Client) Get(ctx context.Context, cause Cause, keys ...string) ([]Row, error) {
 	var rows []external.Row
 	err := c.read(ctx, cause, func(ctx context.Context) (err error) {
@@ -218,18 +226,19 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "reading row %q", keys[0])
 	}
-	found, err := c.learn(rows)
+	found, err := c.decodeAndCache(rows)
 	if err != nil {
 		return nil, err
 	}
 	out := make([]Row, len(found))
 	for i, s := range found {
-		out[i] = s.row()
+		out[i] = s.visibleRow()
 	}
 	return out, nil
 }
 
-// Scan returns up to limit rows with the prefix and keys above after.
+// Scan returns up to limit rows with the prefix and keys greater than after.
+// Tombstones are skipped and do not count.
 func (c *Client) Scan(ctx context.Context, cause Cause, prefix, after string, limit int) ([]Row, error) {
 	var out []Row
 	for len(out) < limit {
@@ -240,8 +249,8 @@
 		}
 		for _, s := range page {
 			after = s.key
-			if !s.absent() {
-				out = append(out, s.row())
+			if !s.isAbsent() {
+				out = append(out, s.visibleRow())
 			}
 		}
 		if len(page) < want {
@@ -251,7 +260,7 @@
 	return out, nil
 }
 
-func (c *Client) scanPage(ctx context.Context, cause Cause, prefix, after string, limit int) ([]stored, error) {
+func (c *Client) scanPage(ctx context.Context, cause Cause, prefix, after string, limit int) ([]storedRow, error) {
 	var rows []external.Row
 	err := c.read(ctx, cause, func(ctx context.Context) (err error) {
 		rows, err = c.table.Scan(ctx, prefix, after, limit)
@@ -260,63 +269,67 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.learn(rows)
+	return c.decodeAndCache(rows)
 }
 
-// learn opens the rows and remembers their tokens and tombstones.
-func (c *Client) learn(rows []external.Row) ([]stored, error) {
-	found, err := openAll(rows)
+// decodeAndCache decodes rows and records their histories and tombstones.
+func (c *Client) decodeAndCache(rows []external.Row) ([]storedRow, error) {
+	found, err := decodeRows(rows)
 	if err != nil {
 		return nil, err
 	}
 	for _, s := range found {
-		c.tokens.put(s)
+		c.historyCache.put(s)
 		if s.Deleted {
-			c.graves.add(s.key, s.version, c.cfg.Clock())
+			c.tombstones.add(s.key, s.version, c.cfg.Clock())
 		}
 	}
 	return found, nil
 }
 
-// read runs one read within budget, breaker and bounds.
+// read makes one read if the budget, the bound on concurrent reads and the
+// breaker permit it.
 func (c *Client) read(ctx context.Context, cause Cause, call func(context.Context) error) error {
-	if err := c.spend(ctx, cause, c.meter.readLimit(cause)); err != nil {
+	if err := c.spendBudget(ctx, cause, c.meter.readLimiter(cause)); err != nil {
 		return err
 	}
 	select {
-	case c.reads <- struct{}{}:
-		defer func() { <-c.reads }()
+	case c.readSlots <- struct{}{}:
+		defer func() { <-c.readSlots }()
 	default:
-		c.meter.count(cause, countRefused, 1)
+		c.meter.count(cause, counterRefused, 1)
 		return errors.Annotatef(ErrOverloaded, "%d reads in progress", c.cfg.MaxReads)
 	}
 	if !c.breaker.allow(c.cfg.Clock()) {
-		c.meter.count(cause, countRefused, 1)
+		c.meter.count(cause, counterRefused, 1)
 		return errors.Trace(ErrDown)
 	}
-	c.meter.count(cause, countReads, 1)
-	return c.call(ctx, call)
+	c.meter.count(cause, counterReads, 1)
+	return c.callStore(ctx, call)
 }
 
-// call makes one allowed read of the store and notes how it went.
-func (c *Client) call(ctx context.Context, call func(context.Context) error) error {
+// callStore makes one call within OpTimeout and records its duration if it
+// succeeds. The breaker must have allowed the call.
+func (c *Client) callStore(ctx context.Context, call func(context.Context) error) error {
 	start := c.cfg.Clock()
-	err := c.callWithin(ctx, c.cfg.OpTimeout, call)
+	err := c.callStoreWithin(ctx, c.cfg.OpTimeout, call)
 	if err == nil {
-		c.readTook.Store(int64(c.cfg.Clock() - start))
+		c.lastReadDuration.Store(int64(c.cfg.Clock() - start))
 	}
 	return err
 }
 
-// commitTimeout bounds one transaction: a transaction that is given up while it
-// waits in a slow store is sent again and makes the others wait longer.
+// commitTimeout returns the timeout of one transaction. It grows with the
+// duration of reads, because a transaction that times out while it is queued in
+// a slow store is sent again and delays the others further.
 func (c *Client) commitTimeout() time.Duration {
-	slow := slowCommit * time.Duration(c.readTook.Load())
-	return max(c.cfg.OpTimeout, min(slow, maxSlowCommit*c.cfg.OpTimeout))
+	slow := commitReadFactor * time.Duration(c.lastReadDuration.Load())
+	return max(c.cfg.OpTimeout, min(slow, maxCommitTimeouts*c.cfg.OpTimeout))
 }
 
-// callWithin makes one allowed call to the store and notes how it went.
-func (c *Client) callWithin(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
+// callStoreWithin makes one call within a timeout and reports the result to the
+// breaker and to the outage detection. The breaker must have allowed the call.
+func (c *Client) callStoreWithin(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
 	opCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	start := c.cfg.Clock()
@@ -324,33 +337,34 @@
 	now := c.cfg.Clock()
 	switch {
 	case err == nil:
-		c.health.answer(start, now)
-		if c.breaker.succeeded() {
-			c.cfg.Log.Info().Msg("store answers again")
+		c.health.recordAnswer(start, now)
+		if c.breaker.recordSuccess() {
+			c.cfg.Log.Info().Msg("store calls succeed again; circuit breaker closed")
 		}
-	case ctx.Err() != nil || now-start > maxCallFactor*timeout:
-		c.breaker.abandoned()
+	case ctx.Err() != nil || now-start > maxCallTimeouts*timeout:
+		c.breaker.recordInconclusive()
 	default:
-		c.health.failure(start, now)
-		if c.breaker.failed(now) {
-			c.cfg.Log.Warn().Err(err).Msg("store does not answer")
+		c.health.recordFailure(start, now)
+		if c.breaker.recordFailure(now) {
+			c.cfg.Log.Warn().Err(err).Msg("store calls fail; circuit breaker opened")
 		}
 	}
 	return err
 }
 
-// spend takes one operation from the budget, waiting up to maxBudgetWait.
-func (c *Client) spend(ctx context.Context, cause Cause, l *rate.Limiter) error {
-	r := l.Reserve()
-	d := r.Delay()
-	if d == 0 {
+// spendBudget takes one operation from the budget of a cause. It waits up to
+// maxBudgetWait and returns ErrOverloaded if that is not enough.
+func (c *Client) spendBudget(ctx context.Context, cause Cause, limiter *rate.Limiter) error {
+	reservation := limiter.Reserve()
+	delay := reservation.Delay()
+	if delay == 0 {
 		return nil
 	}
-	c.meter.count(cause, countOverBudget, 1)
-	if d > maxBudgetWait {
-		r.Cancel()
+	c.meter.count(cause, counterOverBudget, 1)
+	if delay > maxBudgetWait {
+		reservation.Cancel()
 		return errors.Annotatef(ErrOverloaded, "budget of cause %q is used up", cause)
 	}
-	c.cfg.Sleep(ctx, d)
+	c.cfg.Sleep(ctx, delay)
 	return nil
 }
--- a/internal/ledger/envelope.go
+++ b/internal/ledger/envelope.go
@@ -9,35 +9,36 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// maxTokens is the number of writes that a row remembers.
-const maxTokens = 8
+// maxHistory is the number of writes that a row's history holds.
+const maxHistory = 8
 
-// stamp marks one write of a row: its token and the version that it replaced.
-// Versions of a row grow, but not by one: a table may count all its writes
-// with one counter.
-type stamp struct {
+// writeRecord identifies one write of a row by its token and the version that it
+// replaced. Versions of a row increase, but not necessarily by one: a table may use
+// one counter for the writes of all rows.
+type writeRecord struct {
 	Token    string `json:"t"`
 	Replaced uint64 `json:"r,omitempty"`
 }
 
-// envelope is a row's value in the table. Stamps holds the stamps of the last
-// writes of the row, the newest last. A deleted row stays as a tombstone for a
-// while, so that a lost answer of its delete can be settled like any other.
+// envelope is the value of a row in the table. History holds the records of the
+// last writes, newest last. A deleted row is kept as a tombstone for a while, so
+// that the outcome of a delete whose answer was lost can be determined like that
+// of any other write.
 type envelope struct {
-	Stamps  []stamp         `json:"stamps"`
+	History []writeRecord   `json:"stamps"`
 	Deleted bool            `json:"deleted,omitempty"`
 	Data    json.RawMessage `json:"data,omitempty"`
 }
 
-// stored is a row of the table with its envelope opened.
-type stored struct {
+// storedRow is a row of the table with its envelope decoded.
+type storedRow struct {
 	key     string
 	version uint64
 	envelope
 }
 
-func open(r external.Row) (stored, error) {
-	s := stored{key: r.Key, version: r.Version}
+func decodeRow(r external.Row) (storedRow, error) {
+	s := storedRow{key: r.Key, version: r.Version}
 	if r.Version == 0 || len(r.Value) == 0 {
 		return s, nil
 	}
@@ -47,10 +48,10 @@
 	return s, nil
 }
 
-func openAll(rows []external.Row) ([]stored, error) {
-	out := make([]stored, 0, len(rows))
+func decodeRows(rows []external.Row) ([]storedRow, error) {
+	out := make([]storedRow, 0, len(rows))
 	for _, r := range rows {
-		s, err := open(r)
+		s, err := decodeRow(r)
 		if err != nil {
 			return nil, err
 		}
@@ -59,18 +60,18 @@
 	return out, nil
 }
 
-// row returns what callers see: a tombstone is an absent row.
-func (s stored) row() Row {
-	if s.absent() {
+// visibleRow returns the row as callers see it: a tombstone is an absent row.
+func (s storedRow) visibleRow() Row {
+	if s.isAbsent() {
 		return Row{Key: s.key}
 	}
 	return Row{Key: s.key, Version: s.version, Data: s.Data}
 }
 
-func (s stored) absent() bool { return s.version == 0 || s.Deleted }
+func (s storedRow) isAbsent() bool { return s.version == 0 || s.Deleted }
 
-func (s stored) has(token string) bool {
-	for _, t := range s.Stamps {
+func (s storedRow) hasToken(token string) bool {
+	for _, t := range s.History {
 		if t.Token == token {
 			return true
 		}
@@ -78,14 +79,14 @@
 	return false
 }
 
-// covers reports whether the stamps reach back to the write that replaced the
-// given version, so that a token that is missing has certainly not been
-// written in its place.
-func (s stored) covers(replaced uint64) bool {
+// historyReaches reports whether the history includes the write that replaced the
+// given version. If it does, a token that is not in the history has certainly not
+// been written over that version.
+func (s storedRow) historyReaches(replaced uint64) bool {
 	if s.version <= replaced {
 		return true
 	}
-	for _, t := range s.Stamps {
+	for _, t := range s.History {
 		if t.Replaced == replaced {
 			return true
 		}
@@ -93,12 +94,12 @@
 	return false
 }
 
-func appendStamp(stamps []stamp, next stamp) []stamp {
-	if n := len(stamps) - (maxTokens - 1); n > 0 {
-		stamps = stamps[n:]
+func appendRecord(history []writeRecord, next writeRecord) []writeRecord {
+	if n := len(history) - (maxHistory - 1); n > 0 {
+		history = history[n:]
 	}
-	out := make([]stamp, 0, len(stamps)+1)
-	out = append(out, stamps...)
+	out := make([]writeRecord, 0, len(history)+1)
+	out = append(out, history...)
 	return append(out, next)
 }
 
