--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// announceInterval is the time between two looks for entries through the
-	// balancer while at least one link is up, and announceRetry while none is.
-	announceInterval = 3 * time.Second
-	announceRetry    = 300 * time.Millisecond
-	announceTimeout  = time.Second
-	// forgetAfter is how long an address that is no longer listed is tried.
-	forgetAfter = 10 * time.Second
-	maxLinks    = 64
+	// announceInterval is the mean time between requests for the list of entries
+	// through the balancer while at least one link is open, and
+	// announceRetryInterval while none is.
+	announceInterval      = 3 * time.Second
+	announceRetryInterval = 300 * time.Millisecond
+	announceTimeout       = time.Second
+	// unlistedLinkTTL is how long to keep trying an address that is no longer
+	// listed.
+	unlistedLinkTTL = 10 * time.Second
+	maxLinks        = 64
 )
 
-// linkSet keeps one link to each live entry. Entries are learned through the
-// balancer and from the heartbeats of linked entries.
+// linkSet maintains one link to each live entry. Entries are discovered through
+// the balancer and from the heartbeats of linked entries.
 type linkSet struct {
 	agent *Agent
 
 	mu      sync.Mutex
-	links   map[string]*link // by rpc address
+	links   map[string]*link // by RPC address
 	ctx     context.Context
 	upGauge metrics.Gauge
 }
@@ -46,20 +48,21 @@
 	s.mu.Lock()
 	s.ctx = ctx
 	s.mu.Unlock()
-	kernel.Until(ctx, idlePollInterval, s.agent.host().linkable)
+	kernel.Until(ctx, pollInterval, s.agent.host().readyToLink)
 	for ctx.Err() == nil {
 		s.announce(ctx)
-		s.forgetUnlisted()
+		s.dropUnlisted()
 		wait := announceInterval
-		if s.up() == 0 {
-			wait = announceRetry
+		if s.openCount() == 0 {
+			wait = announceRetryInterval
 		}
 		kernel.Sleep(ctx, wait/2+rand.N(wait))
 	}
 }
 
-// announce asks any entry for the list of entries. A new connection is made
-// each time, since the balancer may have tied an old one to a dead entry.
+// announce requests the list of entries from any entry, through the balancer. It
+// opens a new connection each time, since the balancer may still route an old
+// connection to a dead entry.
 func (s *linkSet) announce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -73,11 +76,12 @@
 		metrics.GetOrRegisterCounter("announce.failed", s.agent.registry).Inc(1)
 		return
 	}
-	s.learn(reply.Entries)
+	s.addEntries(reply.Entries)
 }
 
-// learn opens links to entries that are not linked yet.
-func (s *linkSet) learn(entries []*rpc.EntryAddress) {
+// addEntries opens links to entries that have none yet and marks the others as
+// listed. The number of links is bounded by maxLinks.
+func (s *linkSet) addEntries(entries []*rpc.EntryAddress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx == nil || s.ctx.Err() != nil {
@@ -86,38 +90,41 @@
 	now := time.Now()
 	for _, e := range entries {
 		if l, ok := s.links[e.RpcAddress]; ok {
-			l.listed = now
+			l.lastListed = now
 			continue
 		}
 		if len(s.links) >= maxLinks {
 			continue
 		}
 		ctx, cancel := context.WithCancel(s.ctx)
-		l := &link{agent: s.agent, address: e.RpcAddress, listed: now, cancel: cancel}
+		l := &link{agent: s.agent, address: e.RpcAddress, lastListed: now, cancel: cancel}
 		s.links[e.RpcAddress] = l
 		s.agent.loops.Go(func(context.Context) { l.run(ctx) })
 	}
 }
 
-func (s *linkSet) forgetUnlisted() {
+// dropUnlisted closes links without a session whose address has not been listed
+// for unlistedLinkTTL.
+func (s *linkSet) dropUnlisted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, l := range s.links {
-		if time.Since(l.listed) > forgetAfter && l.session() == nil {
+		if time.Since(l.lastListed) > unlistedLinkTTL && l.session() == nil {
 			l.cancel()
 			delete(s.links, address)
 		}
 	}
 }
 
-// sessions returns the open sessions in order of address.
+// sessions returns the open sessions ordered by entry ID and updates the gauge of
+// open links.
 func (s *linkSet) sessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*session
 	for _, l := range s.links {
-		if open := l.session(); open != nil {
-			out = append(out, open)
+		if sess := l.session(); sess != nil {
+			out = append(out, sess)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].entry < out[j].entry })
@@ -125,35 +132,37 @@
 	return out
 }
 
-func (s *linkSet) up() int { return len(s.sessions()) }
+func (s *linkSet) openCount() int { return len(s.sessions()) }
 
-// send queues a message for one entry; it is dropped when no link is up.
+// send queues a message for one entry. The message is dropped if the entry is not
+// linked.
 func (s *linkSet) send(entry string, m *rpc.AgentMessage) {
-	for _, open := range s.sessions() {
-		if open.entry == entry {
-			open.send(m)
+	for _, sess := range s.sessions() {
+		if sess.entry == entry {
+			sess.send(m)
 		}
 	}
 }
 
 // broadcast queues a message for all linked entries.
 func (s *linkSet) broadcast(m *rpc.AgentMessage) {
-	for _, open := range s.sessions() {
-		open.send(m)
+	for _, sess := range s.sessions() {
+		sess.send(m)
 	}
 }
 
-// heartbeatNow sends a heartbeat to all entries without waiting for the interval.
+// heartbeatNow queues a heartbeat for all linked entries, ahead of the next
+// periodic one.
 func (s *linkSet) heartbeatNow() {
-	for _, open := range s.sessions() {
-		open.send(heartbeatMessage(s.agent))
+	for _, sess := range s.sessions() {
+		sess.send(heartbeatMessage(s.agent))
 	}
 }
 
 func (s *linkSet) dump() any {
 	var out []string
-	for _, open := range s.sessions() {
-		out = append(out, open.entry+" at "+open.address)
+	for _, sess := range s.sessions() {
+		out = append(out, sess.entry+" at "+sess.address)
 	}
 	return out
 }
