--- a/internal/route/timer.go
+++ b/internal/route/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer calls run once, at the first Step at or after its time.
+// timer calls run once, in the first Step at or after its time.
 type timer struct {
 	at    time.Duration
 	seq   uint64
@@ -13,7 +13,8 @@
 	run   func()
 }
 
-// timers is a heap by time; equal times fire in the order of setting.
+// timers is a heap ordered by time. Timers with equal times fire in the order in
+// which they were set.
 type timers struct {
 	items []*timer
 	seq   uint64
@@ -38,8 +39,8 @@
 	}
 }
 
-// next removes and returns the first timer that is due, or nil.
-func (t *timers) next(now time.Duration) *timer {
+// popDue removes and returns the first timer that is due, or nil.
+func (t *timers) popDue(now time.Duration) *timer {
 	if len(t.items) == 0 || t.items[0].at > now {
 		return nil
 	}
