--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -14,14 +14,14 @@
 	"github.com/juju/errors"
 )
 
-// simTime is a clock that only sleeps move.
+// simTime is a clock that advances only when a test or a sleep advances it.
 type simTime struct{ now time.Duration }
 
 func (s *simTime) clock() time.Duration { return s.now }
 
 func (s *simTime) sleep(_ context.Context, d time.Duration) { s.now += d }
 
-// simCtx ends at a time of a simTime.
+// simCtx is a context that ends at a time of simTime.
 type simCtx struct {
 	context.Context
 	time *simTime
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// scenario runs clients one after the other, each in the caller's goroutine.
+// scenario runs the operations of several clients one after the other, each in the
+// test's goroutine.
 type scenario struct {
 	time    *simTime
 	table   *fakeTable
@@ -62,7 +63,7 @@
 	return c
 }
 
-// parseWrites reads "key@version=data" and "key@version=delete".
+// parseWrites parses writes in the form "key@version=data" or "key@version=delete".
 func parseWrites(text string) []Write {
 	var out []Write
 	for _, f := range strings.Fields(text) {
@@ -78,7 +79,7 @@
 	return out
 }
 
-func outcome(rows []Row, err error) string {
+func formatOutcome(rows []Row, err error) string {
 	var b strings.Builder
 	switch {
 	case err == nil:
@@ -94,11 +95,11 @@
 	default:
 		b.WriteString(err.Error())
 	}
-	b.WriteString(list(rows))
+	b.WriteString(formatRows(rows))
 	return b.String()
 }
 
-func list(rows []Row) string {
+func formatRows(rows []Row) string {
 	var b strings.Builder
 	for _, r := range rows {
 		fmt.Fprintf(&b, " %s@%d", r.Key, r.Version)
@@ -109,46 +110,47 @@
 	return b.String()
 }
 
-func found(rows []Row, err error) string {
+func formatResult(rows []Row, err error) string {
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprintf("%d rows%s", len(rows), list(rows))
+	return fmt.Sprintf("%d rows%s", len(rows), formatRows(rows))
 }
 
-func (s *scenario) commit(name, patience, text string) string {
+func (s *scenario) commit(name, timeout, text string) string {
 	limit := time.Minute
-	if patience != "" {
-		limit, _ = time.ParseDuration(patience)
+	if timeout != "" {
+		limit, _ = time.ParseDuration(timeout)
 	}
 	ctx := simCtx{context.Background(), s.time, s.time.now + limit}
-	return outcome(s.client(name).Commit(ctx, CauseJob, parseWrites(text)...))
+	return formatOutcome(s.client(name).Commit(ctx, CauseJob, parseWrites(text)...))
 }
 
-// group puts commits into one lane before its sender runs.
-func (s *scenario) group(name, text string) string {
+// commitGroup queues commits, one for each line, in one lane and then runs its
+// sender.
+func (s *scenario) commitGroup(name, text string) string {
 	c := s.client(name)
 	l := c.lanes[laneBulk]
 	ctx := simCtx{context.Background(), s.time, s.time.now + time.Minute}
-	var ws []*waiter
+	var commits []*queuedCommit
 	for _, line := range strings.Split(text, "\n") {
-		w := &waiter{part: newPart(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
-		c.prepare(w.part)
-		ws = append(ws, w)
-		l.queue = append(l.queue, w)
+		qc := &queuedCommit{commitRequest: newCommitRequest(c.cfg.Token(), parseWrites(line)), ctx: ctx, cause: CauseJob, done: make(chan struct{})}
+		c.loadHistories(qc.commitRequest)
+		commits = append(commits, qc)
+		l.queue = append(l.queue, qc)
 	}
 	before := s.table.commits
-	l.running++
-	l.run()
+	l.activeSenders++
+	l.runSender()
 	var b strings.Builder
-	for _, w := range ws {
-		fmt.Fprintln(&b, outcome(w.rows, w.err))
+	for _, qc := range commits {
+		fmt.Fprintln(&b, formatOutcome(qc.rows, qc.err))
 	}
 	fmt.Fprintf(&b, "%d transactions", s.table.commits-before)
 	return b.String()
 }
 
-func (s *scenario) dump() string {
+func (s *scenario) dumpTable() string {
 	var keys []string
 	for k := range s.table.rows {
 		keys = append(keys, k)
@@ -185,22 +187,22 @@
 	case "commit":
 		return s.commit(arg("client"), arg("patience"), d.Input)
 	case "intrude":
-		s.intrude(arg("on"), arg("client"), d.Input)
+		s.interleave(arg("on"), arg("client"), d.Input)
 	case "group":
-		return s.group(arg("client"), d.Input)
+		return s.commitGroup(arg("client"), d.Input)
 	case "get":
-		return found(s.client(arg("client")).Get(context.Background(), CauseJob, strings.Fields(d.Input)...))
+		return formatResult(s.client(arg("client")).Get(context.Background(), CauseJob, strings.Fields(d.Input)...))
 	case "scan":
-		return found(s.client(arg("client")).Scan(context.Background(), CauseJob, arg("prefix"), "", 10))
+		return formatResult(s.client(arg("client")).Scan(context.Background(), CauseJob, arg("prefix"), "", 10))
 	case "release":
-		s.table.release()
+		s.table.applyLate()
 	case "sleep":
 		wait, _ := time.ParseDuration(arg("for"))
 		s.time.now += wait
 	case "clean":
-		s.client(arg("client")).clean(context.Background())
+		s.client(arg("client")).removeTombstones(context.Background())
 	case "table":
-		return s.dump()
+		return s.dumpTable()
 	case "state":
 		return fmt.Sprintf("down=%v time=%v", s.client(arg("client")).BreakerOpen(), s.time.now)
 	default:
@@ -209,12 +211,12 @@
 	return ""
 }
 
-// intrude lets another client commit right before the next transaction, or the
-// next read, takes effect.
-func (s *scenario) intrude(on, name, text string) {
-	hook := &s.table.before
+// interleave makes another client commit immediately before the next transaction or,
+// if on is "read", the next read takes effect.
+func (s *scenario) interleave(on, name, text string) {
+	hook := &s.table.beforeCommit
 	if on == "read" {
-		hook = &s.table.reading
+		hook = &s.table.beforeRead
 	}
 	*hook = func() {
 		*hook = nil
--- a/internal/route/dump.go
+++ b/internal/route/dump.go
@@ -8,10 +8,10 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// maxDumpedRequests bounds the requests in a Dump; the oldest are shown.
+// maxDumpedRequests bounds the requests in a Dump, which contains the oldest.
 const maxDumpedRequests = 100
 
-// Dump is the state of a Core for operators.
+// Dump is the state of a Core as shown to operators.
 type Dump struct {
 	Fresh         bool          `json:"fresh"`
 	ZonesOut      []string      `json:"zones_out"`
@@ -52,7 +52,7 @@
 	OthersInUse  int          `json:"others"`
 }
 
-// FlowDump is one queue in a Dump.
+// FlowDump is one flow in a Dump.
 type FlowDump struct {
 	Account     string       `json:"account"`
 	Profile     string       `json:"profile"`
@@ -75,7 +75,7 @@
 // Dump returns the state of the core.
 func (c *Core) Dump() any {
 	d := Dump{
-		Fresh:         c.fresh(),
+		Fresh:         c.configFresh(),
 		Draining:      c.draining,
 		Entries:       c.entries,
 		OpenRequests:  len(c.requests),
@@ -122,14 +122,14 @@
 		Incarnation:  a.incarnation,
 		Zone:         a.zone,
 		Usable:       c.usable(a),
-		Up:           a.up,
+		Up:           a.linked,
 		Healthy:      a.healthy,
 		Leaving:      a.leaving,
-		Silence:      api.Duration(c.now - max(a.statusAt, a.changed)),
+		Silence:      api.Duration(c.now - max(a.statusAt, a.linkChangedAt)),
 		Slots:        a.slots,
-		Limit:        c.limit(a),
-		OpenAttempts: a.held,
-		OthersInUse:  a.others,
+		Limit:        c.attemptLimit(a),
+		OpenAttempts: a.slotsHeld,
+		OthersInUse:  a.othersInUse,
 	}
 }
 
@@ -152,7 +152,7 @@
 		Service:   r.Service,
 		Profile:   r.Profile,
 		Phase:     string(r.phase),
-		InPhase:   api.Duration((c.now - r.since).Round(time.Millisecond)),
+		InPhase:   api.Duration((c.now - r.phaseSince).Round(time.Millisecond)),
 		Remaining: api.Duration((r.Deadline - c.now).Round(time.Millisecond)),
 	}
 	for _, at := range r.attempts {
