--- a/internal/graph/plan/bench_test.go
+++ b/internal/graph/plan/bench_test.go
@@ -130,8 +130,8 @@
 // pass lets so much time go by that a claim is given up and made anew.
 func (f *filled) pass() {
 	f.now += f.core.claimTimeout()
-	for _, w := range f.core.ordered {
-		w.heardAt, w.leaseFrom = f.now, f.now
+	for _, w := range f.core.sortedWorkers {
+		w.lastReportAt, w.lastGrantAt = f.now, f.now
 	}
 	f.step(Tick{})
 }
--- a/internal/graph/plan/core.go
+++ b/internal/graph/plan/core.go
@@ -25,47 +25,47 @@
 }
 
 const (
-	// quietAfter is the age of the last report from which a worker gets no new
+	// maxReportAge is the age of the last report from which a worker gets no new
 	// work; agents report every second.
-	quietAfter = 2500 * time.Millisecond
-	// placeDelay is how long after the first report of a term nothing is placed:
+	maxReportAge = 2500 * time.Millisecond
+	// placementDelay is how long after the first report of a term nothing is placed:
 	// most agents of a calm fleet report within it, and what comes first should
 	// have its choice among their workers.
-	placeDelay = 100 * time.Millisecond
-	// settleTime is how long nothing is stopped to make room: nearly all agents
+	placementDelay = 100 * time.Millisecond
+	// preemptionDelay is how long nothing is stopped to make room: nearly all agents
 	// report within it, and their workers may be free.
-	settleTime = 600 * time.Millisecond
-	// usualStop is the time of a stop on the deployments known so far.
-	usualStop = 400 * time.Millisecond
-	// runsPerTerm is the number of run numbers of one term.
-	runsPerTerm = 1 << 24
+	preemptionDelay = 600 * time.Millisecond
+	// defaultStopTime is the time of a stop on the deployments known so far.
+	defaultStopTime = 400 * time.Millisecond
+	// runNumbersPerTerm is the number of run numbers of one term.
+	runNumbersPerTerm = 1 << 24
 )
 
 // Core decides for one term of an owner. It is not safe for concurrent use.
 type Core struct {
-	cfg     Config
-	now     time.Duration
-	out     []Action
-	policy  *policy.Snapshot
-	jobs    map[graph.JobID]*job
-	live    []*job // not final, in order of submission
-	workers map[string]*worker
-	ordered []*worker // by ID
-	runs    uint64
-	// heard is set by the first report, firstHeard is when it came.
-	heard      bool
-	firstHeard time.Duration
-	unsaved    []*job
-	books      books
-	// stirred is set when something has changed on which places depend.
-	stirred  bool
-	forgotAt time.Duration
+	cfg           Config
+	now           time.Duration
+	actions       []Action
+	policy        *policy.Snapshot
+	jobs          map[graph.JobID]*job
+	activeJobs    []*job // not final, in order of submission
+	workers       map[string]*worker
+	sortedWorkers []*worker // by ID
+	runCounter    uint64
+	// hasReports is set by the first report, firstHeard is when it came.
+	hasReports    bool
+	firstReportAt time.Duration
+	unsavedJobs   []*job
+	sched         schedulingState
+	// needsScheduling is set when something has changed on which places depend.
+	needsScheduling bool
+	lastPruneAt     time.Duration
 }
 
 // New returns a core without jobs and workers.
 func New(cfg Config) *Core {
 	if cfg.StopTime == 0 {
-		cfg.StopTime = usualStop
+		cfg.StopTime = defaultStopTime
 	}
 	return &Core{cfg: cfg, jobs: map[graph.JobID]*job{}, workers: map[string]*worker{}}
 }
@@ -74,56 +74,58 @@
 // must not go back.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
-	c.out = nil
+	c.actions = nil
 	c.handle(ev)
-	if c.stirred {
-		c.stirred = false
+	if c.needsScheduling {
+		c.needsScheduling = false
 		c.schedule()
 	}
-	c.flush()
-	return c.out
+	c.emitSaves()
+	return c.actions
 }
 
 func (c *Core) handle(ev Event) {
 	switch e := ev.(type) {
 	case JobSubmitted:
-		c.submitted(e)
+		c.addJob(e)
 	case JobCancelled:
-		c.cancel(e.Job)
+		c.cancelJob(e.Job)
 	case WorkerReport:
-		c.report(e)
+		c.handleReport(e)
 	case SessionClosed:
-		c.sessionClosed(e)
+		c.handleSessionClosed(e)
 	case ProgressSaved:
-		c.saved(e)
+		c.handleSaved(e)
 	case PolicyChanged:
 		c.policy = e.Policy
-		c.stirred = true
+		c.needsScheduling = true
 	case Tick:
-		c.tick()
+		c.handleTick()
 	}
 }
 
-// noteReport notes the first report of the term.
-func (c *Core) noteReport() {
-	if !c.heard {
-		c.heard, c.firstHeard = true, c.now
+// recordFirstReport notes the first report of the term.
+func (c *Core) recordFirstReport() {
+	if !c.hasReports {
+		c.hasReports, c.firstReportAt = true, c.now
 	}
 }
 
-// hearing reports whether so much time has passed since the first report.
-func (c *Core) hearing(d time.Duration) bool { return c.heard && c.now >= c.firstHeard+d }
+// firstReportOlderThan reports whether so much time has passed since the first report.
+func (c *Core) firstReportOlderThan(d time.Duration) bool {
+	return c.hasReports && c.now >= c.firstReportAt+d
+}
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Core) tick() {
-	c.stirred = true
-	c.forget()
-	for _, w := range c.ordered {
-		c.watchWorker(w)
+func (c *Core) handleTick() {
+	c.needsScheduling = true
+	c.pruneFinalJobs()
+	for _, w := range c.sortedWorkers {
+		c.watchLease(w)
 		c.watchOrders(w)
 	}
-	for _, j := range c.live {
+	for _, j := range c.activeJobs {
 		c.watchRuns(j)
 	}
 }
@@ -132,27 +134,27 @@
 // minutes.
 const FinalJobRetention = time.Hour
 
-// forgetInterval is the time between two looks for jobs to forget.
-const forgetInterval = time.Minute
+// pruneInterval is the time between two looks for jobs to forget.
+const pruneInterval = time.Minute
 
-// forget drops the jobs that have been final for long.
-func (c *Core) forget() {
-	if c.now < c.forgotAt+forgetInterval {
+// pruneFinalJobs drops the jobs that have been final for long.
+func (c *Core) pruneFinalJobs() {
+	if c.now < c.lastPruneAt+pruneInterval {
 		return
 	}
-	c.forgotAt = c.now
+	c.lastPruneAt = c.now
 	now := c.cfg.TermStart.Add(c.now)
 	for id, j := range c.jobs {
-		if j.durable.Final() && !j.saving && !j.finished.IsZero() && now.Sub(j.finished) > FinalJobRetention {
+		if j.durableState.Final() && !j.saveInProgress && !j.finishedAt.IsZero() && now.Sub(j.finishedAt) > FinalJobRetention {
 			delete(c.jobs, id)
 		}
 	}
 }
 
-// nextRun returns a run number that no earlier one of any task reaches.
-func (c *Core) nextRun() uint64 {
-	c.runs++
-	return c.cfg.FencingToken*runsPerTerm + c.runs
+// nextRunNumber returns a run number that no earlier one of any task reaches.
+func (c *Core) nextRunNumber() uint64 {
+	c.runCounter++
+	return c.cfg.FencingToken*runNumbersPerTerm + c.runCounter
 }
 
 // JobStatus is what callers may know of a job.
@@ -167,56 +169,56 @@
 	if j == nil {
 		return JobStatus{}, false
 	}
-	return JobStatus{State: j.shown(), Queue: j.Queue}, true
+	return JobStatus{State: j.visibleState(), Queue: j.Queue}, true
 }
 
 // PendingJobs returns the number of a queue's jobs of which no task has started.
 func (c *Core) PendingJobs(queue string) int {
 	n := 0
-	for _, j := range c.live {
-		if j.Queue == queue && j.shown() == graph.Queued {
+	for _, j := range c.activeJobs {
+		if j.Queue == queue && j.visibleState() == graph.Queued {
 			n++
 		}
 	}
 	return n
 }
 
-// save asks for the job's progress to be written; then runs once it is.
-func (c *Core) save(j *job, then func()) {
+// requestSave asks for the job's progress to be written; then runs once it is.
+func (c *Core) requestSave(j *job, then func()) {
 	if then != nil {
-		j.afterNext = append(j.afterNext, then)
+		j.afterNextSave = append(j.afterNextSave, then)
 	}
-	j.dirty = true
-	if !slices.Contains(c.unsaved, j) {
-		c.unsaved = append(c.unsaved, j)
+	j.changedSinceSave = true
+	if !slices.Contains(c.unsavedJobs, j) {
+		c.unsavedJobs = append(c.unsavedJobs, j)
 	}
 }
 
-// flush emits a save for each changed job that has none in progress.
-func (c *Core) flush() {
-	jobs := c.unsaved
-	c.unsaved = nil
+// emitSaves emits a save for each changed job that has none in progress.
+func (c *Core) emitSaves() {
+	jobs := c.unsavedJobs
+	c.unsavedJobs = nil
 	for _, j := range jobs {
-		if j.saving {
-			c.unsaved = append(c.unsaved, j)
+		if j.saveInProgress {
+			c.unsavedJobs = append(c.unsavedJobs, j)
 			continue
 		}
-		j.saving, j.dirty = true, false
-		j.number++
-		j.afterSave, j.afterNext = j.afterNext, nil
-		c.emit(SaveProgress{Job: j.ID, Number: j.number, Progress: j.progress()})
+		j.saveInProgress, j.changedSinceSave = true, false
+		j.saveNumber++
+		j.afterCurrentSave, j.afterNextSave = j.afterNextSave, nil
+		c.emit(SaveProgress{Job: j.ID, Number: j.saveNumber, Progress: j.progress()})
 	}
 }
 
-func (c *Core) saved(e ProgressSaved) {
+func (c *Core) handleSaved(e ProgressSaved) {
 	j := c.jobs[e.Job]
-	if j == nil || !j.saving || j.number != e.Number {
+	if j == nil || !j.saveInProgress || j.saveNumber != e.Number {
 		return
 	}
-	j.saving = false
-	j.durable = j.savedState
-	then := j.afterSave
-	j.afterSave = nil
+	j.saveInProgress = false
+	j.durableState = j.stateInSave
+	then := j.afterCurrentSave
+	j.afterCurrentSave = nil
 	for _, fn := range then {
 		fn()
 	}
--- a/internal/graph/plan/core_test.go
+++ b/internal/graph/plan/core_test.go
@@ -23,7 +23,7 @@
 }
 
 // hasListened makes a core that has heard of its fleet long ago.
-func (c *Core) hasListened() { c.heard, c.firstHeard = true, -settleTime }
+func (c *Core) hasListened() { c.hasReports, c.firstReportAt = true, -preemptionDelay }
 
 // newTermBed returns a bed at the begin of a term.
 func newTermBed(t *testing.T) *bed {
@@ -83,7 +83,7 @@
 	b.step(JobCancelled{"j0"})
 	// The worker runs another run of the job's task, which nobody knows any more.
 	stray := graph.RunState{Task: graph.TaskID{Job: "j0"}, Run: 1}
-	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runsPerTerm + 1, Kind: graph.EndStopped}
+	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runNumbersPerTerm + 1, Kind: graph.EndStopped}
 	b.report("w0", []graph.RunState{stray}, ended)
 	if s := starts(b.submit("j1", 4)); len(s) > 0 {
 		t.Fatalf("started beside a stray run: %+v", s)
@@ -143,7 +143,7 @@
 			if got := next.core.jobs[job.ID].units[0].failures; got != 1 {
 				t.Fatalf("%d failures of one run", got)
 			}
-			next.now += suspectFor + time.Millisecond
+			next.now += failureWindow + time.Millisecond
 			next.report(first[0].Worker, nil)
 			next.report(first[1].Worker, nil)
 			next.step(Tick{})
@@ -232,12 +232,12 @@
 		if len(starts(actions)) > 0 {
 			t.Errorf("second worker %v: placed with the first reports: %+v", second, actions)
 		}
-		b.now += placeDelay
+		b.now += placementDelay
 		actions = b.step(Tick{})
 		if stops(actions) > 0 || second && len(starts(actions)) != 1 {
 			t.Errorf("second worker %v: %+v", second, actions)
 		}
-		b.now += settleTime
+		b.now += preemptionDelay
 		if n := stops(b.step(Tick{})); second && n > 0 || !second && n != 1 {
 			t.Errorf("second worker %v: %d stops after the fleet has settled", second, n)
 		}
@@ -266,14 +266,14 @@
 			b.step(JobCancelled{"j0"})
 		}
 		var at time.Duration
-		for b.now < 3*outcomeLimit && at == 0 {
+		for b.now < 3*orderTimeout && at == 0 {
 			b.now += 200 * time.Millisecond
 			actions := append(b.report("w0", nil), b.step(Tick{})...)
 			if stops(actions) > 0 {
 				at = b.now
 			}
 		}
-		if at < outcomeLimit || at > outcomeLimit+time.Second {
+		if at < orderTimeout || at > orderTimeout+time.Second {
 			t.Errorf("stopped %v: another stop at %v, started %+v", stopped, at, s)
 		}
 	}
@@ -296,7 +296,7 @@
 		if u.claim == nil {
 			t.Fatalf("stop %v: no claim", stop)
 		}
-		b.now += max(stop, usualStop) + claimSlack/2
+		b.now += max(stop, defaultStopTime) + claimSlack/2
 		b.step(Tick{})
 		if u.claim == nil {
 			t.Errorf("stop %v: claim given up before the stop is overdue", stop)
--- a/internal/graph/plan/dump.go
+++ b/internal/graph/plan/dump.go
@@ -37,8 +37,8 @@
 // Dump returns the core's state.
 func (c *Core) Dump() Dump {
 	var d Dump
-	for _, j := range c.live {
-		jd := JobDump{ID: j.ID, Queue: j.Queue, State: j.shown()}
+	for _, j := range c.activeJobs {
+		jd := JobDump{ID: j.ID, Queue: j.Queue, State: j.visibleState()}
 		for _, u := range j.units {
 			switch u.phase {
 			case unitWaiting:
@@ -51,11 +51,11 @@
 		}
 		d.Jobs = append(d.Jobs, jd)
 	}
-	for _, w := range c.ordered {
+	for _, w := range c.sortedWorkers {
 		d.Workers = append(d.Workers, WorkerDump{
-			ID: w.info.ID, Rack: w.info.Rack, Zone: w.info.Zone, Linked: w.linked(), Lost: w.lost,
+			ID: w.info.ID, Rack: w.info.Rack, Zone: w.info.Zone, Linked: w.connected(), Lost: w.lost,
 			Draining: w.info.Draining, Capacity: w.info.Capacity, Used: w.used, Runs: len(w.members),
-			Quarantined: w.quarantine > c.now,
+			Quarantined: w.quarantinedUntil > c.now,
 		})
 	}
 	return d
--- a/internal/graph/plan/ends.go
+++ b/internal/graph/plan/ends.go
@@ -6,91 +6,91 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-func (c *Core) cancel(id graph.JobID) {
+func (c *Core) cancelJob(id graph.JobID) {
 	j := c.jobs[id]
 	if j == nil || j.state.Final() {
 		return
 	}
-	c.finish(j, graph.Cancelled, ReasonJobCancelled)
+	c.finishJob(j, graph.Cancelled, ReasonJobCancelled)
 }
 
-// finish gives a job its final state and ends what still runs of it.
-func (c *Core) finish(j *job, state graph.State, why Reason) {
+// finishJob gives a job its final state and ends what still runs of it.
+func (c *Core) finishJob(j *job, state graph.State, why Reason) {
 	j.state = state
-	j.finished = c.cfg.TermStart.Add(c.now)
-	c.emit(Notice{Reason: why, Job: j.ID, Detail: fmt.Sprintf("after %v, objective %v", c.now-j.arrived, j.Objective())})
+	j.finishedAt = c.cfg.TermStart.Add(c.now)
+	c.emit(Notice{Reason: why, Job: j.ID, Detail: fmt.Sprintf("after %v, objective %v", c.now-j.arrivedAt, j.Objective())})
 	for _, u := range j.units {
 		c.dropClaim(u)
-		if !u.done {
-			c.endRun(u)
+		if !u.runDone {
+			c.stopRun(u)
 		}
 	}
-	c.save(j, nil)
-	for i, o := range c.live {
+	c.requestSave(j, nil)
+	for i, o := range c.activeJobs {
 		if o == j {
-			c.live = append(c.live[:i:i], c.live[i+1:]...)
+			c.activeJobs = append(c.activeJobs[:i:i], c.activeJobs[i+1:]...)
 			break
 		}
 	}
 }
 
-// endRun orders the end of all members of a unit's present run.
-func (c *Core) endRun(u *unit) {
-	u.ending = true
+// stopRun orders the end of all members of a unit's present run.
+func (c *Core) stopRun(u *unit) {
+	u.stopping = true
 	for _, m := range u.members {
-		c.stop(m)
+		c.stopMember(m)
 	}
 }
 
-// stop orders the end of one member. Before its start was sent there is
-// nothing to stop: the start is not sent any more.
-func (c *Core) stop(m *member) {
-	if m.ended || m.stopping && m.session == m.worker.session {
+// stopMember orders the end of one member. Before its start was sent there is
+// nothing to stopMember: the start is not sent any more.
+func (c *Core) stopMember(m *member) {
+	if m.ended || m.stopping && m.orderSession == m.worker.session {
 		return
 	}
 	m.stopping = true
-	if !m.ordered && !m.recovered {
+	if !m.startSent && !m.recovered {
 		return
 	}
-	if !m.worker.linked() || m.incarnation != m.worker.info.Incarnation() {
+	if !m.worker.connected() || m.incarnation != m.worker.info.Incarnation() {
 		return
 	}
-	m.session, m.orderedAt = m.worker.session, c.now
+	m.orderSession, m.lastOrderAt = m.worker.session, c.now
 	c.emit(StopRun{Worker: m.worker.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run})
 }
 
-// memberEnded takes the end of one member.
-func (c *Core) memberEnded(m *member, how graph.EndKind, checkpoint string) {
+// endMember takes the end of one member.
+func (c *Core) endMember(m *member, how graph.EndKind, checkpoint string) {
 	if m.ended {
 		return
 	}
 	m.ended = true
-	c.stirred = true
+	c.needsScheduling = true
 	c.release(m)
 	u := m.unit
 	c.emit(Notice{Reason: ReasonRunEnded, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID, Detail: string(how)})
-	if checkpoint != "" && u.spec.Checkpointable {
+	if checkpoint != "" && u.step.Checkpointable {
 		u.checkpoint = checkpoint
 	}
 	switch how {
 	case graph.EndDone:
-		u.done = true
-		c.workerDid(m.worker, u)
+		u.runDone = true
+		c.recordSuccess(m.worker, u)
 	case graph.EndFailed:
-		u.failed = true
-		c.workerFailed(m.worker, u)
+		u.runFailed = true
+		c.recordFailure(m.worker, u)
 	}
-	if !u.done && !u.ending {
-		c.endRun(u)
+	if !u.runDone && !u.stopping {
+		c.stopRun(u)
 	}
-	c.settle(u)
+	c.finishRunIfEnded(u)
 }
 
-// settle ends the unit's run once all members have ended, or one of them done.
-func (c *Core) settle(u *unit) {
-	if u.done && u.phase != unitDone {
+// finishRunIfEnded ends the unit's run once all members have ended, or one of them done.
+func (c *Core) finishRunIfEnded(u *unit) {
+	if u.runDone && u.phase != unitDone {
 		u.phase = unitDone
-		c.completeIfDone(u.job)
+		c.completeJobIfDone(u.job)
 	}
 	for _, m := range u.members {
 		if !m.ended {
@@ -98,29 +98,29 @@
 		}
 	}
 	u.members = nil
-	u.ending = false
+	u.stopping = false
 	if u.phase == unitDone || u.job.state.Final() {
 		return
 	}
 	u.phase = unitWaiting
-	if !u.failed {
+	if !u.runFailed {
 		return
 	}
-	u.failed = false
+	u.runFailed = false
 	u.failures++
 	if u.failures >= max(1, u.job.MaxAttempts) {
-		c.finish(u.job, graph.Failed, ReasonJobFailed)
+		c.finishJob(u.job, graph.Failed, ReasonJobFailed)
 	}
 }
 
-func (c *Core) completeIfDone(j *job) {
+func (c *Core) completeJobIfDone(j *job) {
 	if j.state.Final() {
 		return
 	}
-	for i := range j.steps {
+	for i := range j.unitsByStep {
 		if !j.stepDone(i) {
 			return
 		}
 	}
-	c.finish(j, graph.Completed, ReasonJobCompleted)
+	c.finishJob(j, graph.Completed, ReasonJobCompleted)
 }
--- a/internal/graph/plan/fleet_test.go
+++ b/internal/graph/plan/fleet_test.go
@@ -700,7 +700,7 @@
 func (j *simJob) earned() float64 {
 	took := j.finishedAt - j.submitted
 	switch {
-	case j.final != graph.Completed || took > lateFactor*j.objective():
+	case j.final != graph.Completed || took > worthlessFactor*j.objective():
 		return 0
 	case took > j.objective():
 		return j.worth * j.late
--- a/internal/graph/plan/job.go
+++ b/internal/graph/plan/job.go
@@ -17,22 +17,22 @@
 
 // unit is what is placed, ended and counted as one: a gang, or a single task.
 type unit struct {
-	job   *job
-	step  int
-	index int // of the first task
-	tasks int
-	spec  *graph.Step
+	job        *job
+	stepIndex  int
+	firstIndex int // of the first task
+	taskCount  int
+	step       *graph.Step
 
 	phase      unitPhase
 	members    []*member // of the present run, one for each task
 	run        uint64
-	done       bool // a member of the present run has ended done
-	failed     bool // a member of the present run has failed
-	ending     bool // the present run is being stopped
+	runDone    bool // a member of the present run has ended done
+	runFailed  bool // a member of the present run has failed
+	stopping   bool // the present run is being stopped
 	failures   int
 	checkpoint string
 	notBefore  time.Duration
-	avoid      map[string]time.Duration // workers, until when
+	avoidUntil map[string]time.Duration // workers, until when
 	claim      *claim
 }
 
@@ -43,66 +43,66 @@
 	run    uint64
 	worker *worker
 	// incarnation is that of the worker on which the run was placed.
-	incarnation string
-	recovered   bool // placed in an earlier term
-	ordered     bool // the start has been sent in this term
-	running     bool // the worker has listed it
-	stopping    bool
-	ended       bool
-	session     string        // in which the last order was sent
-	orderedAt   time.Duration // when it was sent
-
-	percent    int
-	movedAt    time.Duration // when percent last grew
-	runningAt  time.Duration
-	savedAt    time.Duration // when the checkpoint last changed
-	checkpoint string
+	incarnation  string
+	recovered    bool // placed in an earlier term
+	startSent    bool // the start has been sent in this term
+	running      bool // the worker has listed it
+	stopping     bool
+	ended        bool
+	orderSession string        // in which the last order was sent
+	lastOrderAt  time.Duration // when it was sent
+
+	percent        int
+	lastProgressAt time.Duration // when percent last grew
+	runningSince   time.Duration
+	checkpointAt   time.Duration // when the checkpoint last changed
+	checkpoint     string
 }
 
 type job struct {
 	*graph.Job
-	units    []*unit
-	steps    [][]*unit
-	state    graph.State // as decided
-	begun    bool        // a task has been started
-	finished time.Time   // when the state became final
-
-	durable    graph.State // as saved
-	savedState graph.State // in the save that is in progress
-	number     uint64
-	saving     bool
-	dirty      bool
-	afterSave  []func()
-	afterNext  []func()
-	arrived    time.Duration // on the term's clock; negative for earlier ones
+	units       []*unit
+	unitsByStep [][]*unit
+	state       graph.State // as decided
+	started     bool        // a task has been started
+	finishedAt  time.Time   // when the state became final
+
+	durableState     graph.State // as saved
+	stateInSave      graph.State // in the save that is in progress
+	saveNumber       uint64
+	saveInProgress   bool
+	changedSinceSave bool
+	afterCurrentSave []func()
+	afterNextSave    []func()
+	arrivedAt        time.Duration // on the term's clock; negative for earlier ones
 }
 
 func newJob(g *graph.Job) *job {
-	j := &job{Job: g, state: graph.Queued, durable: graph.Queued}
+	j := &job{Job: g, state: graph.Queued, durableState: graph.Queued}
 	for i := range g.Steps {
 		s := &g.Steps[i]
 		var units []*unit
 		if s.Gang {
-			units = append(units, &unit{job: j, step: i, tasks: s.Count, spec: s})
+			units = append(units, &unit{job: j, stepIndex: i, taskCount: s.Count, step: s})
 		}
 		for k := 0; !s.Gang && k < s.Count; k++ {
-			units = append(units, &unit{job: j, step: i, index: k, tasks: 1, spec: s})
+			units = append(units, &unit{job: j, stepIndex: i, firstIndex: k, taskCount: 1, step: s})
 		}
-		j.steps = append(j.steps, units)
+		j.unitsByStep = append(j.unitsByStep, units)
 		j.units = append(j.units, units...)
 	}
 	return j
 }
 
-// shown is the state that callers may see: a final one once it is durable. A
+// visibleState is the state that callers may see: a final one once it is durable. A
 // cancelled job has its cancelling in the table already.
-func (j *job) shown() graph.State {
+func (j *job) visibleState() graph.State {
 	switch {
 	case j.state == graph.Cancelled:
 		return graph.Cancelled
-	case j.durable.Final():
-		return j.durable
-	case j.begun:
+	case j.durableState.Final():
+		return j.durableState
+	case j.started:
 		return graph.Running
 	default:
 		return graph.Queued
@@ -110,7 +110,7 @@
 }
 
 func (j *job) stepDone(i int) bool {
-	for _, u := range j.steps[i] {
+	for _, u := range j.unitsByStep[i] {
 		if u.phase != unitDone {
 			return false
 		}
@@ -118,9 +118,9 @@
 	return true
 }
 
-// ready reports whether all steps that the unit follows are done.
-func (u *unit) ready() bool {
-	for _, s := range u.spec.After {
+// dependenciesDone reports whether all steps that the unit follows are done.
+func (u *unit) dependenciesDone() bool {
+	for _, s := range u.step.After {
 		if !u.job.stepDone(s) {
 			return false
 		}
@@ -129,7 +129,7 @@
 }
 
 func (u *unit) taskID(i int) graph.TaskID {
-	return graph.TaskID{Job: u.job.ID, Step: u.step, Index: u.index + i}
+	return graph.TaskID{Job: u.job.ID, Step: u.stepIndex, Index: u.firstIndex + i}
 }
 
 // remaining estimates the work that is left of one task.
@@ -138,33 +138,33 @@
 	for _, m := range u.members {
 		percent = max(percent, m.percent)
 	}
-	return u.spec.Estimate * time.Duration(100-percent) / 100
+	return u.step.Estimate * time.Duration(100-percent) / 100
 }
 
-// unsaved estimates the core-seconds that are lost if the unit is stopped now.
-func (u *unit) unsaved(now time.Duration) float64 {
+// unsavedCoreSeconds estimates the core-seconds that are lost if the unit is stopped now.
+func (u *unit) unsavedCoreSeconds(now time.Duration) float64 {
 	total := 0.0
 	for _, m := range u.members {
 		if !m.running || m.ended {
 			continue
 		}
-		since := m.runningAt
-		if u.spec.Checkpointable {
+		since := m.runningSince
+		if u.step.Checkpointable {
 			// A stop brings a checkpoint of its own.
 			since = now
 		}
-		total += (now - since).Seconds() * u.spec.Needs.Cores()
+		total += (now - since).Seconds() * u.step.Needs.Cores()
 	}
 	return total
 }
 
 // progress returns what the table has to hold of the job.
 func (j *job) progress() graph.Progress {
-	p := graph.Progress{Job: j.ID, State: j.state, FinishedAt: j.finished}
-	if j.state == graph.Queued && j.begun {
+	p := graph.Progress{Job: j.ID, State: j.state, FinishedAt: j.finishedAt}
+	if j.state == graph.Queued && j.started {
 		p.State = graph.Running
 	}
-	j.savedState = p.State
+	j.stateInSave = p.State
 	for _, u := range j.units {
 		p.Tasks = append(p.Tasks, u.progress()...)
 	}
@@ -177,13 +177,13 @@
 		if m.ended {
 			continue
 		}
-		out = append(out, graph.TaskProgress{Step: u.step, Index: m.task.Index, Run: m.run,
+		out = append(out, graph.TaskProgress{Step: u.stepIndex, Index: m.task.Index, Run: m.run,
 			Worker: m.worker.info.ID, Incarnation: m.incarnation})
 	}
-	common := graph.TaskProgress{Step: u.step, Index: u.index, Failures: u.failures, RunFailed: u.failed,
-		Done: u.phase == unitDone || u.done, Checkpoint: u.checkpoint}
+	common := graph.TaskProgress{Step: u.stepIndex, Index: u.firstIndex, Failures: u.failures, RunFailed: u.runFailed,
+		Done: u.phase == unitDone || u.runDone, Checkpoint: u.checkpoint}
 	switch {
-	case len(out) > 0 && out[0].Index == u.index:
+	case len(out) > 0 && out[0].Index == u.firstIndex:
 		out[0].Failures, out[0].RunFailed, out[0].Done, out[0].Checkpoint = common.Failures, common.RunFailed, common.Done, common.Checkpoint
 	case common.Failures > 0 || common.RunFailed || common.Done || common.Checkpoint != "":
 		out = append([]graph.TaskProgress{common}, out...)
--- a/internal/graph/plan/machine_test.go
+++ b/internal/graph/plan/machine_test.go
@@ -179,7 +179,7 @@
 			t.Fatalf("%s still has %d runs and %d ends", w.info.ID, len(w.runs), len(w.ended))
 		}
 	}
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.sortedWorkers {
 		if w.used != (graph.Resources{}) {
 			t.Fatalf("%s: %+v are taken by nothing", w.info.ID, w.used)
 		}
--- a/internal/graph/plan/place.go
+++ b/internal/graph/plan/place.go
@@ -8,77 +8,77 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// site is a worker as a place for a unit, with the room that the unit may use.
-type site struct {
+// candidate is a worker as a place for a unit, with the room that the unit may use.
+type candidate struct {
 	*worker
-	room graph.Resources
+	available graph.Resources
 }
 
-// part is a number of a unit's tasks on one worker.
-type part struct {
+// allocation is a number of a unit's tasks on one worker.
+type allocation struct {
 	worker *worker
 	tasks  int
 }
 
-// count returns how many tasks of a step fit into the room.
-func count(room graph.Resources, s *graph.Step) int {
-	n := s.Count
+// tasksThatFit returns how many tasks of a step fit into the room.
+func tasksThatFit(available graph.Resources, step *graph.Step) int {
+	n := step.Count
 	for _, d := range [][2]int{
-		{room.MilliCPU, s.Needs.MilliCPU},
-		{room.MemoryMB, s.Needs.MemoryMB},
-		{room.Accelerators, s.Needs.Accelerators},
+		{available.MilliCPU, step.Needs.MilliCPU},
+		{available.MemoryMB, step.Needs.MemoryMB},
+		{available.Accelerators, step.Needs.Accelerators},
 	} {
 		if d[1] > 0 {
 			n = min(n, max(0, d[0])/d[1])
 		}
 	}
-	if s.MaxPerWorker > 0 {
-		n = min(n, s.MaxPerWorker)
+	if step.MaxPerWorker > 0 {
+		n = min(n, step.MaxPerWorker)
 	}
 	return n
 }
 
-// pack spreads n tasks over the fewest of the sites, the fullest that hold
+// packTasks spreads n tasks over the fewest of the sites, the fullest that hold
 // them first. It returns nil if they do not fit.
-func pack(sites []site, s *graph.Step, n int, present map[*worker]int) []part {
-	type option struct {
-		site
-		n int
+func packTasks(candidates []candidate, step *graph.Step, tasks int, perWorker map[*worker]int) []allocation {
+	type fit struct {
+		candidate
+		fits int
 	}
-	var options []option
-	for _, p := range sites {
-		k := count(p.room, s)
-		if s.MaxPerWorker > 0 {
-			k = min(k, s.MaxPerWorker-present[p.worker])
+	var fits []fit
+	for _, p := range candidates {
+		most := tasksThatFit(p.available, step)
+		if step.MaxPerWorker > 0 {
+			most = min(most, step.MaxPerWorker-perWorker[p.worker])
 		}
-		if k > 0 {
-			options = append(options, option{p, k})
+		if most > 0 {
+			fits = append(fits, fit{p, most})
 		}
 	}
-	var parts []part
-	for n > 0 {
-		if len(options) == 0 {
+	var allocs []allocation
+	for tasks > 0 {
+		if len(fits) == 0 {
 			return nil
 		}
 		best := 0
-		for i := range options {
-			if better(options[i].n, options[best].n, n) ||
-				options[i].n == options[best].n && leftover(options[i].site, s, min(n, options[i].n)) < leftover(options[best].site, s, min(n, options[best].n)) {
+		for i := range fits {
+			if tighterFit(fits[i].fits, fits[best].fits, tasks) ||
+				fits[i].fits == fits[best].fits && unusedFraction(fits[i].candidate, step, min(tasks, fits[i].fits)) < unusedFraction(fits[best].candidate, step, min(tasks, fits[best].fits)) {
 				best = i
 			}
 		}
-		o := options[best]
-		k := min(n, o.n)
-		parts = append(parts, part{o.worker, k})
-		n -= k
-		options = slices.Delete(options, best, best+1)
+		chosen := fits[best]
+		taken := min(tasks, chosen.fits)
+		allocs = append(allocs, allocation{chosen.worker, taken})
+		tasks -= taken
+		fits = slices.Delete(fits, best, best+1)
 	}
-	return parts
+	return allocs
 }
 
-// better reports whether room for a tasks suits n tasks better than room for
+// tighterFit reports whether room for a tasks suits n tasks tighterFit than room for
 // b: the tightest that holds all, else the largest.
-func better(a, b, n int) bool {
+func tighterFit(a, b, n int) bool {
 	switch {
 	case a >= n && b >= n:
 		return a < b
@@ -89,14 +89,14 @@
 	}
 }
 
-// leftover is the part of the worker that stays free beside k tasks, summed
+// unusedFraction is the part of the worker that stays free beside k tasks, summed
 // over the kinds of resources.
-func leftover(p site, s *graph.Step, k int) float64 {
-	free := p.room
-	for range k {
-		free = free.Sub(s.Needs)
+func unusedFraction(c candidate, step *graph.Step, tasks int) float64 {
+	free := c.available
+	for range tasks {
+		free = free.Sub(step.Needs)
 	}
-	full := p.info.Capacity
+	full := c.info.Capacity
 	return ratio(free.Accelerators, full.Accelerators) + ratio(free.MilliCPU, full.MilliCPU) + ratio(free.MemoryMB, full.MemoryMB)
 }
 
@@ -107,76 +107,76 @@
 	return float64(a) / float64(b)
 }
 
-// group is a set of sites over which one unit may be spread.
-type group struct {
-	name  string
-	sites []site
+// workerGroup is a set of sites over which one unit may be spread.
+type workerGroup struct {
+	name       string
+	candidates []candidate
 }
 
-// byRack splits sites by rack, in order of the racks' names.
-func byRack(sites []site) []group {
-	var out []group
+// groupByRack splits sites by rack, in order of the racks' names.
+func groupByRack(candidates []candidate) []workerGroup {
+	var out []workerGroup
 	index := map[string]int{}
-	for _, s := range sites {
+	for _, s := range candidates {
 		i, ok := index[s.info.Rack]
 		if !ok {
 			i = len(out)
 			index[s.info.Rack] = i
-			out = append(out, group{name: s.info.Rack})
+			out = append(out, workerGroup{name: s.info.Rack})
 		}
-		out[i].sites = append(out[i].sites, s)
+		out[i].candidates = append(out[i].candidates, s)
 	}
-	slices.SortFunc(out, func(a, b group) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(out, func(a, b workerGroup) int { return cmp.Compare(a.name, b.name) })
 	return out
 }
 
-// find returns the best place for a unit among the sites: within one rack if
+// bestPlacement returns the best place for a unit among the sites: within one rack if
 // it can be, the rack that is left with the least room. A same-rack gang takes
 // several racks only when spread is set.
-func find(u *unit, sites []site, spread bool) []part {
-	present := u.present()
-	if u.tasks == 1 {
-		return bestSingle(u, sites, present)
+func bestPlacement(u *unit, candidates []candidate, acrossRacks bool) []allocation {
+	perWorker := u.tasksPerWorker()
+	if u.taskCount == 1 {
+		return bestSinglePlacement(u, candidates, perWorker)
 	}
-	var best []part
+	var best []allocation
 	bestLeft := 0.0
-	for _, g := range byRack(sites) {
-		parts := pack(g.sites, u.spec, u.tasks, present)
-		if parts == nil {
+	for _, g := range groupByRack(candidates) {
+		allocs := packTasks(g.candidates, u.step, u.taskCount, perWorker)
+		if allocs == nil {
 			continue
 		}
-		left := groupLeft(g.sites)
-		if u.spec.DataRack != "" && g.name == u.spec.DataRack {
+		left := availableCores(g.candidates)
+		if u.step.DataRack != "" && g.name == u.step.DataRack {
 			left = -1
 		}
 		if best == nil || left < bestLeft {
-			best, bestLeft = parts, left
+			best, bestLeft = allocs, left
 		}
 	}
-	if best != nil || u.spec.SameRack && !spread {
+	if best != nil || u.step.SameRack && !acrossRacks {
 		return best
 	}
-	return pack(sites, u.spec, u.tasks, present)
+	return packTasks(candidates, u.step, u.taskCount, perWorker)
 }
 
-func groupLeft(sites []site) float64 {
+func availableCores(candidates []candidate) float64 {
 	total := 0.0
-	for _, s := range sites {
-		total += s.room.Cores()
+	for _, s := range candidates {
+		total += s.available.Cores()
 	}
 	return total
 }
 
-func bestSingle(u *unit, sites []site, present map[*worker]int) []part {
+func bestSinglePlacement(u *unit, candidates []candidate, perWorker map[*worker]int) []allocation {
 	best := -1
 	bestLeft := 0.0
-	for i, s := range sites {
-		if count(s.room, u.spec) < 1 || u.spec.MaxPerWorker > 0 && present[s.worker] >= u.spec.MaxPerWorker {
+	for i, s := range candidates {
+		if tasksThatFit(s.available, u.step) < 1 || u.step.MaxPerWorker > 0 && perWorker[s.worker] >= u.step.MaxPerWorker {
 			continue
 		}
-		left := leftover(s, u.spec, 1)
-		if u.spec.DataRack != "" && s.info.Rack != u.spec.DataRack {
-			left += remotePenalty
+		left := unusedFraction(s, u.step, 1)
+		if u.step.DataRack != "" && s.info.Rack != u.step.DataRack {
+			left += remoteDataPenalty
 		}
 		if best < 0 || left < bestLeft {
 			best, bestLeft = i, left
@@ -185,21 +185,21 @@
 	if best < 0 {
 		return nil
 	}
-	return []part{{sites[best].worker, 1}}
+	return []allocation{{candidates[best].worker, 1}}
 }
 
-// remotePenalty puts every worker beside the data before every other: leftover
+// remoteDataPenalty puts every worker beside the data before every other: leftover
 // is at most one for each kind of resource.
-const remotePenalty = 3
+const remoteDataPenalty = 3
 
-// present counts the tasks of the unit's step on each worker, and those that
+// tasksPerWorker counts the tasks of the unit's step on each worker, and those that
 // have a claim there, for a bound per worker.
-func (u *unit) present() map[*worker]int {
-	if u.spec.MaxPerWorker == 0 {
+func (u *unit) tasksPerWorker() map[*worker]int {
+	if u.step.MaxPerWorker == 0 {
 		return nil
 	}
 	out := map[*worker]int{}
-	for _, o := range u.job.steps[u.step] {
+	for _, o := range u.job.unitsByStep[u.stepIndex] {
 		for _, m := range o.members {
 			if !m.ended {
 				out[m.worker]++
@@ -208,79 +208,79 @@
 		if o == u || o.claim == nil {
 			continue
 		}
-		for _, p := range o.claim.parts {
+		for _, p := range o.claim.allocs {
 			out[p.worker] += p.tasks
 		}
 	}
 	return out
 }
 
-// usable reports whether a worker may get tasks of a unit now.
-func (c *Core) usable(w *worker, u *unit) bool {
+// eligible reports whether a worker may get tasks of a unit now.
+func (c *Core) eligible(w *worker, u *unit) bool {
 	switch {
-	case !w.linked() || !w.answering || c.now-w.heardAt > quietAfter:
+	case !w.connected() || !w.responsive || c.now-w.lastReportAt > maxReportAge:
 		return false
 	case w.info.Pool != u.job.Pool || w.info.Draining || c.policy.ZonesOut[w.info.Zone]:
 		return false
-	case w.quarantine > c.now || u.avoid[w.info.ID] > c.now:
+	case w.quarantinedUntil > c.now || u.avoidUntil[w.info.ID] > c.now:
 		return false
-	case u.lastTry() && w.suspect(c.now):
+	case u.onLastAttempt() && w.hasRecentFailure(c.now):
 		return false
-	case u.spec.RequiredLabel != "" && !slices.Contains(w.info.Labels, u.spec.RequiredLabel):
+	case u.step.RequiredLabel != "" && !slices.Contains(w.info.Labels, u.step.RequiredLabel):
 		return false
 	}
 	return true
 }
 
-func (u *unit) lastTry() bool { return u.failures > 0 && u.failures+1 >= u.job.MaxAttempts }
+func (u *unit) onLastAttempt() bool { return u.failures > 0 && u.failures+1 >= u.job.MaxAttempts }
 
-// sites returns the places that a unit may use now. Room that is set aside for
+// candidates returns the places that a unit may use now. Room that is set aside for
 // others is left out, unless the unit is expected to be gone by then.
-func (c *Core) sites(u *unit) []site {
-	out := make([]site, 0, len(c.ordered))
-	for _, w := range c.ordered {
-		if c.usable(w, u) {
-			out = append(out, site{w, c.room(w, u)})
+func (c *Core) candidates(u *unit) []candidate {
+	out := make([]candidate, 0, len(c.sortedWorkers))
+	for _, w := range c.sortedWorkers {
+		if c.eligible(w, u) {
+			out = append(out, candidate{w, c.availableFor(w, u)})
 		}
 	}
 	return out
 }
 
 // free is what a worker has beside what runs there.
-func (w *worker) free() graph.Resources { return w.info.Capacity.Sub(w.used).Sub(w.strays) }
+func (w *worker) free() graph.Resources { return w.info.Capacity.Sub(w.used).Sub(w.unknownUse) }
 
-func (c *Core) room(w *worker, u *unit) graph.Resources {
-	room := w.free()
-	for _, cl := range c.books.claims {
+func (c *Core) availableFor(w *worker, u *unit) graph.Resources {
+	available := w.free()
+	for _, cl := range c.sched.claims {
 		if cl.unit != u {
-			room = room.Sub(cl.on(w))
+			available = available.Sub(cl.neededOn(w))
 		}
 	}
-	for _, r := range c.books.reserved {
-		if r.unit != u && c.now+u.spec.Estimate > r.at {
-			room = room.Sub(r.on(w))
+	for _, r := range c.sched.reservations {
+		if r.unit != u && c.now+u.step.Estimate > r.expectedStart {
+			available = available.Sub(r.neededOn(w))
 		}
 	}
-	return room
+	return available
 }
 
 // reservation keeps room for a unit that waits until at.
 type reservation struct {
-	unit  *unit
-	parts []part
-	at    time.Duration
+	unit          *unit
+	allocs        []allocation
+	expectedStart time.Duration
 }
 
-func (r *reservation) on(w *worker) graph.Resources { return sumOn(r.parts, r.unit.spec, w) }
+func (r *reservation) neededOn(w *worker) graph.Resources { return needsOn(r.allocs, r.unit.step, w) }
 
-func sumOn(parts []part, s *graph.Step, w *worker) graph.Resources {
+func needsOn(allocs []allocation, step *graph.Step, w *worker) graph.Resources {
 	var out graph.Resources
-	for _, p := range parts {
+	for _, p := range allocs {
 		if p.worker != w {
 			continue
 		}
 		for range p.tasks {
-			out = out.Add(s.Needs)
+			out = out.Add(step.Needs)
 		}
 	}
 	return out
--- a/internal/graph/plan/reclaim.go
+++ b/internal/graph/plan/reclaim.go
@@ -18,19 +18,19 @@
 
 // claim is a place for a unit where other work is being stopped.
 type claim struct {
-	unit  *unit
-	parts []part
-	since time.Duration
+	unit   *unit
+	allocs []allocation
+	madeAt time.Duration
 }
 
-func (cl *claim) on(w *worker) graph.Resources { return sumOn(cl.parts, cl.unit.spec, w) }
+func (cl *claim) neededOn(w *worker) graph.Resources { return needsOn(cl.allocs, cl.unit.step, w) }
 
 func (c *Core) dropClaim(u *unit) {
 	if u.claim == nil {
 		return
 	}
-	c.books.claims = slices.DeleteFunc(c.books.claims, func(o *claim) bool { return o == u.claim })
-	c.books.full = map[kind]bool{}
+	c.sched.claims = slices.DeleteFunc(c.sched.claims, func(o *claim) bool { return o == u.claim })
+	c.sched.noRoom = map[unitKind]bool{}
 	u.claim = nil
 }
 
@@ -38,24 +38,24 @@
 // the claim up when a worker of it cannot be used any more.
 func (c *Core) useClaim(u *unit) {
 	cl := u.claim
-	for _, p := range cl.parts {
-		if !c.usable(p.worker, u) || c.now-cl.since > c.claimTimeout() {
+	for _, p := range cl.allocs {
+		if !c.eligible(p.worker, u) || c.now-cl.madeAt > c.claimTimeout() {
 			c.dropClaim(u)
 			return
 		}
 	}
-	for _, p := range cl.parts {
-		if !cl.on(p.worker).Fits(p.worker.free()) {
+	for _, p := range cl.allocs {
+		if !cl.neededOn(p.worker).Fits(p.worker.free()) {
 			return
 		}
 	}
 	c.dropClaim(u)
-	c.begin(u, cl.parts)
+	c.bind(u, cl.allocs)
 }
 
-// option is a way to make room: a place and the units to stop for it.
-type option struct {
-	parts   []part
+// evictionPlan is a way to make room: a place and the units to stop for it.
+type evictionPlan struct {
+	allocs  []allocation
 	victims []*unit
 	loss    float64 // weighted core-seconds
 }
@@ -63,58 +63,58 @@
 // claimRoom stops the work whose loss is least so that a unit fits, unless the
 // loss exceeds the limit or the term has just begun.
 func (c *Core) claimRoom(u *unit, limit float64, why Reason) bool {
-	if !c.hearing(settleTime) {
+	if !c.firstReportOlderThan(preemptionDelay) {
 		return false
 	}
-	var best *option
-	for _, g := range c.groupsFor(u) {
-		if o := c.clear(u, g, why); o != nil && (best == nil || o.loss < best.loss) {
+	var best *evictionPlan
+	for _, g := range c.candidateGroups(u) {
+		if o := c.planEviction(u, g, why); o != nil && (best == nil || o.loss < best.loss) {
 			best = o
 		}
 	}
 	if best == nil || best.loss > limit {
 		return false
 	}
-	u.claim = &claim{unit: u, parts: best.parts, since: c.now}
-	c.books.claims = append(c.books.claims, u.claim)
+	u.claim = &claim{unit: u, allocs: best.allocs, madeAt: c.now}
+	c.sched.claims = append(c.sched.claims, u.claim)
 	for _, v := range best.victims {
 		c.emit(Notice{Reason: why, Job: v.job.ID, Task: v.taskID(0).String(), Run: v.run, Detail: "for " + string(u.job.ID)})
-		c.endRun(v)
+		c.stopRun(v)
 	}
 	return true
 }
 
-// clear finds the victims within a group that open a place with little loss:
+// planEviction finds the victims within a group that open a place with little loss:
 // they are added one by one, those with the least loss for what they free
 // first, and then those that turned out not to be needed are left out.
-func (c *Core) clear(u *unit, g group, why Reason) *option {
-	cl := newClearing(u, g)
-	candidates := c.victims(u, g, why, cl)
-	slices.SortStableFunc(candidates, func(a, b victim) int { return cmp.Compare(a.rate, b.rate) })
-	parts := cl.pack()
+func (c *Core) planEviction(u *unit, g workerGroup, why Reason) *evictionPlan {
+	trial := newEvictionTrial(u, g)
+	victims := c.evictableUnits(u, g, why, trial)
+	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.lossPerCore, b.lossPerCore) })
+	allocs := trial.allocate()
 	taken := 0
-	for ; parts == nil && taken < len(candidates); taken++ {
-		cl.stop(candidates[taken].unit)
-		parts = cl.pack()
+	for ; allocs == nil && taken < len(victims); taken++ {
+		trial.evict(victims[taken].unit)
+		allocs = trial.allocate()
 	}
-	if parts == nil {
+	if allocs == nil {
 		return nil
 	}
-	o := &option{}
+	plan := &evictionPlan{}
 	for i := taken - 1; i >= 0; i-- {
-		v := candidates[i]
-		cl.keep(v.unit)
-		if p := cl.pack(); p != nil {
-			parts = p
+		v := victims[i]
+		trial.restore(v.unit)
+		if p := trial.allocate(); p != nil {
+			allocs = p
 			continue
 		}
-		cl.stop(v.unit)
-		o.victims = append(o.victims, v.unit)
-		o.loss += v.loss
+		trial.evict(v.unit)
+		plan.victims = append(plan.victims, v.unit)
+		plan.loss += v.loss
 	}
-	slices.Reverse(o.victims)
-	o.parts = parts
-	return o
+	slices.Reverse(plan.victims)
+	plan.allocs = allocs
+	return plan
 }
 
 // Weights of lost core-seconds against each other. Work that is thrown away
@@ -122,11 +122,11 @@
 // priority, as a short job of the first priority is worth several times as much
 // to its caller, for each core-second, as a long one of the second.
 const (
-	wasteWeight    = 1.7
-	firstWeight    = 9.0
-	priorityFactor = 3.0 // by which each further priority weighs less
-	// lateShare is the part of a job's value that is lost when it is late.
-	lateShare = 0.75
+	wasteWeight       = 1.7
+	topPriorityWeight = 9.0
+	priorityDivisor   = 3.0 // by which each further priority weighs less
+	// lateLossShare is the part of a job's value that is lost when it is late.
+	lateLossShare = 0.75
 )
 
 // value is the weight of a job by its size in core-seconds.
@@ -136,34 +136,34 @@
 		s := &j.Steps[i]
 		size += s.Estimate.Seconds() * float64(s.Count) * s.Needs.Cores()
 	}
-	weight := firstWeight
+	weight := topPriorityWeight
 	for range j.Priority {
-		weight /= priorityFactor
+		weight /= priorityDivisor
 	}
 	return weight * size
 }
 
-// loss estimates what is lost if a unit is stopped now and starts anew.
-func (c *Core) loss(u *unit) float64 {
-	lost := wasteWeight * u.unsaved(c.now)
-	left := u.spec.Estimate
-	if u.spec.Checkpointable {
+// evictionLoss estimates what is lost if a unit is stopped now and starts anew.
+func (c *Core) evictionLoss(u *unit) float64 {
+	lost := wasteWeight * u.unsavedCoreSeconds(c.now)
+	left := u.step.Estimate
+	if u.step.Checkpointable {
 		left = u.remaining()
 	}
-	return lost + c.lateLoss(u.job, c.now+requeueTime+left) - c.lateLoss(u.job, c.now+u.remaining())
+	return lost + c.lateLoss(u.job, c.now+requeueDelay+left) - c.lateLoss(u.job, c.now+u.remaining())
 }
 
-// requeueTime is how long a unit that was stopped is expected to wait.
-const requeueTime = 1500 * time.Millisecond
+// requeueDelay is how long a unit that was stopped is expected to wait.
+const requeueDelay = 1500 * time.Millisecond
 
 // lateLoss estimates the value that a job loses if it is completed at a time.
 func (c *Core) lateLoss(j *job, at time.Duration) float64 {
 	objective := j.Objective()
-	switch took := at - j.arrived; {
+	switch took := at - j.arrivedAt; {
 	case took <= objective:
 		return 0
-	case took <= lateFactor*objective:
-		return lateShare * j.value()
+	case took <= worthlessFactor*objective:
+		return lateLossShare * j.value()
 	default:
 		return j.value()
 	}
@@ -173,10 +173,10 @@
 // objective if it waited until the given time, where nothing is lost by it:
 // the gain rests on estimates that are often wrong, a loss is certain.
 func (c *Core) preempt(u *unit, until time.Duration) bool {
-	gain := c.lateLoss(u.job, until+u.spec.Estimate) - c.lateLoss(u.job, c.now+c.cfg.StopTime+reportTime+u.spec.Estimate)
+	gain := c.lateLoss(u.job, until+u.step.Estimate) - c.lateLoss(u.job, c.now+c.cfg.StopTime+endReportDelay+u.step.Estimate)
 	return gain > 0 && c.claimRoom(u, 0, ReasonPreempted)
 }
 
-// reportTime is how long after a stop its room can be used: the end has to be
+// endReportDelay is how long after a stop its room can be used: the end has to be
 // reported.
-const reportTime = 100 * time.Millisecond
+const endReportDelay = 100 * time.Millisecond
--- a/internal/graph/plan/recover.go
+++ b/internal/graph/plan/recover.go
@@ -6,20 +6,20 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// submitted takes over a job from the table.
-func (c *Core) submitted(e JobSubmitted) {
+// addJob takes over a job from the table.
+func (c *Core) addJob(e JobSubmitted) {
 	if c.jobs[e.Job.ID] != nil {
 		return
 	}
-	c.stirred = true
+	c.needsScheduling = true
 	j := newJob(e.Job)
-	j.arrived = min(e.Job.SubmittedAt.Sub(c.cfg.TermStart), c.now)
+	j.arrivedAt = min(e.Job.SubmittedAt.Sub(c.cfg.TermStart), c.now)
 	c.jobs[j.ID] = j
 	if e.Progress != nil {
-		c.recover(j, e.Progress)
+		c.restoreJob(j, e.Progress)
 	}
 	if !j.state.Final() {
-		c.live = append(c.live, j)
+		c.activeJobs = append(c.activeJobs, j)
 	}
 	c.emit(Notice{Reason: ReasonAccepted, Job: j.ID, Detail: j.describe()})
 }
@@ -34,57 +34,57 @@
 		}
 	}
 	return fmt.Sprintf("%s, priority %d, account %s, %d steps (%d gangs), %d tasks, %d accelerators, chain %v, objective %v",
-		j.state, j.Priority, j.Account, len(j.Steps), gangs, tasks, j.accelerators(), j.CriticalPath(), j.Objective())
+		j.state, j.Priority, j.Account, len(j.Steps), gangs, tasks, j.maxAccelerators(), j.CriticalPath(), j.Objective())
 }
 
-// recover restores a job's units. Where a task may still run it is bound to
+// restoreJob restores a job's units. Where a task may still run it is bound to
 // the worker's incarnation until that worker is heard or its lease is over.
-func (c *Core) recover(j *job, p *graph.Progress) {
-	j.state, j.durable, j.finished = p.State, p.State, p.FinishedAt
-	j.begun = p.State != graph.Queued
+func (c *Core) restoreJob(j *job, p *graph.Progress) {
+	j.state, j.durableState, j.finishedAt = p.State, p.State, p.FinishedAt
+	j.started = p.State != graph.Queued
 	for _, t := range p.Tasks {
 		u := j.unitOf(t.Step, t.Index)
 		if u == nil {
 			continue
 		}
-		if t.Index == u.index {
-			u.failures, u.failed, u.checkpoint = t.Failures, t.RunFailed, t.Checkpoint
+		if t.Index == u.firstIndex {
+			u.failures, u.runFailed, u.checkpoint = t.Failures, t.RunFailed, t.Checkpoint
 			if t.Done {
-				u.phase, u.done = unitDone, true
+				u.phase, u.runDone = unitDone, true
 			}
 		}
 		if t.Worker != "" {
-			c.recoverMember(u, t)
+			c.restoreMember(u, t)
 		}
 	}
 	for _, u := range j.units {
 		if len(u.members) > 0 && u.phase != unitDone {
 			u.phase = unitPlaced
 		}
-		if j.state.Final() || u.failed {
-			c.endRun(u)
+		if j.state.Final() || u.runFailed {
+			c.stopRun(u)
 		}
 	}
 }
 
-func (c *Core) recoverMember(u *unit, t graph.TaskProgress) {
+func (c *Core) restoreMember(u *unit, t graph.TaskProgress) {
 	w := c.worker(t.Worker)
-	m := &member{unit: u, task: u.taskID(t.Index - u.index), run: t.Run, worker: w, incarnation: t.Incarnation,
-		recovered: true, movedAt: c.now, runningAt: c.now}
+	m := &member{unit: u, task: u.taskID(t.Index - u.firstIndex), run: t.Run, worker: w, incarnation: t.Incarnation,
+		recovered: true, lastProgressAt: c.now, runningSince: c.now}
 	u.run = max(u.run, t.Run)
 	u.members = append(u.members, m)
 	c.occupy(m)
 }
 
 func (j *job) unitOf(step, index int) *unit {
-	if step < 0 || step >= len(j.steps) {
+	if step < 0 || step >= len(j.unitsByStep) {
 		return nil
 	}
-	units := j.steps[step]
+	units := j.unitsByStep[step]
 	if len(units) == 0 {
 		return nil
 	}
-	if units[0].spec.Gang {
+	if units[0].step.Gang {
 		return units[0]
 	}
 	if index < 0 || index >= len(units) {
--- a/internal/graph/plan/schedule.go
+++ b/internal/graph/plan/schedule.go
@@ -12,94 +12,94 @@
 const (
 	// maxReservations bounds the waiting units for which room is set aside.
 	maxReservations = 4
-	// lateFactor times the objective is the time after which a job earns
+	// worthlessFactor times the objective is the time after which a job earns
 	// nothing any more.
-	lateFactor = 3
-	// overrun is what a run is expected to take beyond an estimate that has
+	worthlessFactor = 3
+	// overrunDivisor is what a run is expected to take beyond an estimate that has
 	// turned out too low, as a part of the estimate.
-	overrun = 4
+	overrunDivisor = 4
 )
 
-// books is what is set aside in the worker's rooms beside what runs.
-type books struct {
-	claims   []*claim
-	reserved []*reservation // of this pass
-	// full holds the kinds of units that have found no place in this pass. Room
+// schedulingState is what is set aside in the worker's rooms beside what runs.
+type schedulingState struct {
+	claims       []*claim
+	reservations []*reservation // of this pass
+	// noRoom holds the kinds of units that have found no place in this pass. Room
 	// only shrinks within a pass, unless a claim is dropped.
-	full map[kind]bool
-	// entitled is the result of Core.entitled in this pass.
-	entitled map[*job]bool
+	noRoom map[unitKind]bool
+	// withinGuarantee is the result of Core.withinGuarantee in this pass.
+	withinGuarantee map[*job]bool
 }
 
-// kind is what the places of a unit depend on, besides the workers it avoids.
-type kind struct {
-	spec    *graph.Step
-	lastTry bool
+// unitKind is what the places of a unit depend on, besides the workers it avoids.
+type unitKind struct {
+	step        *graph.Step
+	lastAttempt bool
 }
 
 // schedule places what can be placed.
 func (c *Core) schedule() {
-	if c.policy == nil || !c.hearing(placeDelay) {
+	if c.policy == nil || !c.firstReportOlderThan(placementDelay) {
 		return
 	}
-	c.books.reserved = nil
-	c.books.full = map[kind]bool{}
-	c.books.entitled = c.entitled()
-	for _, u := range c.waiting(c.books.entitled) {
-		c.place(u, c.books.entitled[u.job])
+	c.sched.reservations = nil
+	c.sched.noRoom = map[unitKind]bool{}
+	c.sched.withinGuarantee = c.jobsWithinGuarantee()
+	for _, u := range c.waitingUnits(c.sched.withinGuarantee) {
+		c.placeUnit(u, c.sched.withinGuarantee[u.job])
 	}
 }
 
-// waiting returns the units that could start now, in the order in which they
+// waitingUnits returns the units that could start now, in the order in which they
 // are served.
-func (c *Core) waiting(entitled map[*job]bool) []*unit {
+func (c *Core) waitingUnits(withinGuarantee map[*job]bool) []*unit {
 	var out []*unit
-	for _, j := range c.live {
+	for _, j := range c.activeJobs {
 		for _, u := range j.units {
-			if u.phase == unitWaiting && u.notBefore <= c.now && u.ready() {
+			if u.phase == unitWaiting && u.notBefore <= c.now && u.dependenciesDone() {
 				out = append(out, u)
 			}
 		}
 	}
 	ranks := map[*job]int{}
 	for _, u := range out {
-		ranks[u.job] = c.rank(u.job, entitled[u.job])
+		ranks[u.job] = c.rank(u.job, withinGuarantee[u.job])
 	}
 	slices.SortStableFunc(out, func(a, b *unit) int {
-		return cmp.Or(cmp.Compare(ranks[a.job], ranks[b.job]), cmp.Compare(c.due(a.job), c.due(b.job)))
+		return cmp.Or(cmp.Compare(ranks[a.job], ranks[b.job]), cmp.Compare(c.dueAt(a.job), c.dueAt(b.job)))
 	})
 	return out
 }
 
 // rank orders jobs: those within a guarantee, then by priority, then those
 // that are too late to be of use.
-func (c *Core) rank(j *job, entitled bool) int {
+func (c *Core) rank(j *job, withinGuarantee bool) int {
 	switch {
-	case entitled:
+	case withinGuarantee:
 		return -1
-	case c.now > j.arrived+lateFactor*j.Objective():
+	case c.now > j.arrivedAt+worthlessFactor*j.Objective():
 		return 1 << 20
 	default:
 		return j.Priority
 	}
 }
 
-// due is when a job should be completed.
-func (c *Core) due(j *job) time.Duration { return j.arrived + j.Objective() }
+// dueAt is when a job should be completed.
+func (c *Core) dueAt(j *job) time.Duration { return j.arrivedAt + j.Objective() }
 
-// entitled returns the jobs of priority 0 that lie within their account's
+// jobsWithinGuarantee returns the jobs of priority 0 that lie within their account's
 // guarantee, the oldest first.
-func (c *Core) entitled() map[*job]bool {
+func (c *Core) jobsWithinGuarantee() map[*job]bool {
 	out := map[*job]bool{}
 	left := map[string]int{}
-	for _, j := range c.live {
+	for _, j := range c.activeJobs {
 		if j.Priority != 0 {
 			continue
 		}
 		if _, ok := left[j.Account]; !ok {
 			left[j.Account] = c.policy.GuaranteedAccelerators(j.Account)
 		}
-		if need := j.accelerators(); need <= left[j.Account] {
+		if need := j.maxAccelerators(); need <= left[j.Account] {
 			left[j.Account] -= need
 			out[j] = true
 		}
@@ -107,8 +107,8 @@
 	return out
 }
 
-// accelerators returns the most that a step of the job needs at once.
-func (j *job) accelerators() int {
+// maxAccelerators returns the most that a step of the job needs at once.
+func (j *job) maxAccelerators() int {
 	most := 0
 	for i := range j.Steps {
 		most = max(most, j.Steps[i].TotalNeeds().Accelerators)
@@ -116,76 +116,76 @@
 	return most
 }
 
-// place places a unit, or claims room for it, or sets room aside.
-func (c *Core) place(u *unit, entitled bool) {
+// placeUnit places a unit, or claims room for it, or sets room aside.
+func (c *Core) placeUnit(u *unit, withinGuarantee bool) {
 	if u.claim != nil {
 		c.useClaim(u)
 		return
 	}
-	if parts := c.findPlace(u); parts != nil {
-		c.begin(u, parts)
+	if allocs := c.findPlacement(u); allocs != nil {
+		c.bind(u, allocs)
 		return
 	}
-	if entitled && c.claimRoom(u, math.Inf(1), ReasonReclaimed) {
+	if withinGuarantee && c.claimRoom(u, math.Inf(1), ReasonReclaimed) {
 		c.useClaim(u)
 		return
 	}
-	if soonest := c.reserve(u); soonest != nil && c.preempt(u, soonest.at) {
+	if reserved := c.reserve(u); reserved != nil && c.preempt(u, reserved.expectedStart) {
 		c.useClaim(u)
 	}
 }
 
-// findPlace returns where a unit fits now, nil if it does not.
-func (c *Core) findPlace(u *unit) []part {
-	k := kind{u.spec, u.lastTry()}
-	if c.books.full[k] {
+// findPlacement returns where a unit fits now, nil if it does not.
+func (c *Core) findPlacement(u *unit) []allocation {
+	k := unitKind{u.step, u.onLastAttempt()}
+	if c.sched.noRoom[k] {
 		return nil
 	}
-	if c.mayFit(u) {
-		if parts := find(u, c.sites(u), !c.rackCouldHold(u)); parts != nil {
-			return parts
+	if c.mightFit(u) {
+		if allocs := bestPlacement(u, c.candidates(u), !c.fitsEmptyRack(u)); allocs != nil {
+			return allocs
 		}
 	}
-	if len(u.avoid) == 0 {
-		c.books.full[k] = true
+	if len(u.avoidUntil) == 0 {
+		c.sched.noRoom[k] = true
 	}
 	return nil
 }
 
-// mayFit reports whether the workers have room for a unit if nothing is set
+// mightFit reports whether the workers have room for a unit if nothing is set
 // aside and all of them may be used; most passes of a busy fleet end here.
-func (c *Core) mayFit(u *unit) bool {
+func (c *Core) mightFit(u *unit) bool {
 	n := 0
-	for _, w := range c.ordered {
-		n += count(w.free(), u.spec)
-		if n >= u.tasks {
+	for _, w := range c.sortedWorkers {
+		n += tasksThatFit(w.free(), u.step)
+		if n >= u.taskCount {
 			return true
 		}
 	}
 	return false
 }
 
-// rackCouldHold reports whether some rack could hold a gang if it were empty.
-func (c *Core) rackCouldHold(u *unit) bool {
-	if !u.spec.SameRack {
+// fitsEmptyRack reports whether some rack could hold a gang if it were empty.
+func (c *Core) fitsEmptyRack(u *unit) bool {
+	if !u.step.SameRack {
 		return true
 	}
-	var sites []site
-	for _, w := range c.ordered {
-		if c.usable(w, u) {
-			sites = append(sites, site{w, w.info.Capacity})
+	var candidates []candidate
+	for _, w := range c.sortedWorkers {
+		if c.eligible(w, u) {
+			candidates = append(candidates, candidate{w, w.info.Capacity})
 		}
 	}
-	return find(u, sites, false) != nil
+	return bestPlacement(u, candidates, false) != nil
 }
 
-// begin binds a unit to its place. The starts follow once that is in the table.
-func (c *Core) begin(u *unit, parts []part) {
+// bind binds a unit to its place. The starts follow once that is in the table.
+func (c *Core) bind(u *unit, allocs []allocation) {
 	u.phase = unitPlaced
-	u.run = c.nextRun()
-	u.done, u.failed, u.ending = false, false, false
+	u.run = c.nextRunNumber()
+	u.runDone, u.runFailed, u.stopping = false, false, false
 	i := 0
-	for _, p := range parts {
+	for _, p := range allocs {
 		for range p.tasks {
 			m := &member{unit: u, task: u.taskID(i), run: u.run, worker: p.worker, incarnation: p.worker.info.Incarnation()}
 			u.members = append(u.members, m)
@@ -195,49 +195,49 @@
 		}
 	}
 	members := u.members
-	c.save(u.job, func() { c.start(u, members) })
+	c.requestSave(u.job, func() { c.startRun(u, members) })
 }
 
-// start orders the starts of a run that is in the table. If one member cannot
-// start any more, none does.
-func (c *Core) start(u *unit, members []*member) {
+// startRun orders the starts of a run that is in the table. If one member cannot
+// startRun any more, none does.
+func (c *Core) startRun(u *unit, members []*member) {
 	for _, m := range members {
-		if !c.startable(m) {
-			c.abandon(u, members)
+		if !c.canStart(m) {
+			c.abandonRun(u, members)
 			return
 		}
 	}
 	for _, m := range members {
 		if w := m.worker; !m.ended {
-			m.ordered = true
-			m.session = w.session
-			m.orderedAt, m.movedAt = c.now, c.now
-			first := !u.job.begun
-			u.job.begun = true
-			c.emit(StartRun{Worker: w.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run, Spec: u.job.Spec, Checkpoint: u.resume(),
-				FirstOfJob: first, Guaranteed: first && c.entitled()[u.job], QueueTime: c.now - u.job.arrived})
+			m.startSent = true
+			m.orderSession = w.session
+			m.lastOrderAt, m.lastProgressAt = c.now, c.now
+			first := !u.job.started
+			u.job.started = true
+			c.emit(StartRun{Worker: w.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run, Spec: u.job.Spec, Checkpoint: u.resumeCheckpoint(),
+				FirstOfJob: first, Guaranteed: first && c.jobsWithinGuarantee()[u.job], QueueTime: c.now - u.job.arrivedAt})
 		}
 	}
 }
 
-// startable reports whether a member may still start: while its placement was
+// canStart reports whether a member may still start: while its placement was
 // being saved, its job, its worker or its zone may have been taken away.
-func (c *Core) startable(m *member) bool {
+func (c *Core) canStart(m *member) bool {
 	w := m.worker
-	return !m.stopping && !m.ended && w.linked() && m.incarnation == w.info.Incarnation() &&
+	return !m.stopping && !m.ended && w.connected() && m.incarnation == w.info.Incarnation() &&
 		!w.info.Draining && !c.policy.ZonesOut[w.info.Zone]
 }
 
-// abandon ends a run of which nothing has been ordered.
-func (c *Core) abandon(u *unit, members []*member) {
+// abandonRun ends a run of which nothing has been ordered.
+func (c *Core) abandonRun(u *unit, members []*member) {
 	for _, m := range members {
-		c.memberEnded(m, graph.EndNeverStarted, "")
+		c.endMember(m, graph.EndNeverStarted, "")
 	}
-	c.save(u.job, nil)
+	c.requestSave(u.job, nil)
 }
 
-func (u *unit) resume() string {
-	if !u.spec.Checkpointable {
+func (u *unit) resumeCheckpoint() string {
+	if !u.step.Checkpointable {
 		return ""
 	}
 	return u.checkpoint
@@ -246,50 +246,50 @@
 // reserve sets aside the place where the unit is expected to fit soonest, and
 // returns it; nil if there is none or enough units have one.
 func (c *Core) reserve(u *unit) *reservation {
-	if len(c.books.reserved) >= maxReservations {
+	if len(c.sched.reservations) >= maxReservations {
 		return nil
 	}
 	var best *reservation
-	for _, g := range c.groupsFor(u) {
-		if r := c.soonest(u, g); r != nil && (best == nil || r.at < best.at) {
+	for _, g := range c.candidateGroups(u) {
+		if r := c.earliestFit(u, g); r != nil && (best == nil || r.expectedStart < best.expectedStart) {
 			best = r
 		}
 	}
 	if best != nil {
-		c.books.reserved = append(c.books.reserved, best)
+		c.sched.reservations = append(c.sched.reservations, best)
 	}
 	return best
 }
 
-// groupsFor returns the sets of workers over which a unit may be spread.
-func (c *Core) groupsFor(u *unit) []group {
-	sites := c.sites(u)
-	if u.spec.SameRack && c.rackCouldHold(u) {
-		return byRack(sites)
+// candidateGroups returns the sets of workers over which a unit may be spread.
+func (c *Core) candidateGroups(u *unit) []workerGroup {
+	candidates := c.candidates(u)
+	if u.step.SameRack && c.fitsEmptyRack(u) {
+		return groupByRack(candidates)
 	}
-	return []group{{sites: sites}}
+	return []workerGroup{{candidates: candidates}}
 }
 
-// soonest returns when a unit is expected to fit into a group, as the runs
+// earliestFit returns when a unit is expected to fit into a group, as the runs
 // there end by their estimates.
-func (c *Core) soonest(u *unit, g group) *reservation {
-	type ending struct {
-		at time.Duration
-		m  *member
-		i  int
+func (c *Core) earliestFit(u *unit, g workerGroup) *reservation {
+	type release struct {
+		at     time.Duration
+		member *member
+		index  int
 	}
-	var ends []ending
-	for i, s := range g.sites {
+	var releases []release
+	for i, s := range g.candidates {
 		for _, m := range s.members {
-			ends = append(ends, ending{c.expectedEnd(m), m, i})
+			releases = append(releases, release{c.expectedEnd(m), m, i})
 		}
 	}
-	slices.SortStableFunc(ends, func(a, b ending) int { return cmp.Compare(a.at, b.at) })
-	sites := slices.Clone(g.sites)
-	for _, e := range ends {
-		sites[e.i].room = sites[e.i].room.Add(e.m.unit.spec.Needs)
-		if parts := pack(sites, u.spec, u.tasks, nil); parts != nil {
-			return &reservation{unit: u, parts: parts, at: e.at}
+	slices.SortStableFunc(releases, func(a, b release) int { return cmp.Compare(a.at, b.at) })
+	candidates := slices.Clone(g.candidates)
+	for _, e := range releases {
+		candidates[e.index].available = candidates[e.index].available.Add(e.member.unit.step.Needs)
+		if allocs := packTasks(candidates, u.step, u.taskCount, nil); allocs != nil {
+			return &reservation{unit: u, allocs: allocs, expectedStart: e.at}
 		}
 	}
 	return nil
@@ -297,13 +297,13 @@
 
 // expectedEnd estimates when a member ends.
 func (c *Core) expectedEnd(m *member) time.Duration {
-	est := m.unit.spec.Estimate
+	estimate := m.unit.step.Estimate
 	if !m.running {
-		return c.now + est
+		return c.now + estimate
 	}
 	if m.percent > 0 {
-		ran := c.now - m.runningAt
+		ran := c.now - m.runningSince
 		return c.now + ran*time.Duration(100-m.percent)/time.Duration(m.percent)
 	}
-	return max(m.runningAt+est, c.now+est/overrun)
+	return max(m.runningSince+estimate, c.now+estimate/overrunDivisor)
 }
--- a/internal/graph/plan/watch.go
+++ b/internal/graph/plan/watch.go
@@ -7,59 +7,59 @@
 // watchRuns stops runs that make no progress, so that they begin elsewhere.
 func (c *Core) watchRuns(j *job) {
 	for _, u := range j.units {
-		if u.phase != unitPlaced || u.ending || len(u.members) == 0 {
+		if u.phase != unitPlaced || u.stopping || len(u.members) == 0 {
 			continue
 		}
 		c.watchDraining(u)
-		if m := c.hung(u); m != nil && !u.ending {
+		if m := c.stalledMember(u); m != nil && !u.stopping {
 			c.emit(Notice{Reason: ReasonNoProgress, Job: j.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID})
-			u.avoidWorker(m.worker.info.ID, c.now+suspectFor)
-			c.workerFailed(m.worker, u)
-			c.endRun(u)
+			u.avoidWorker(m.worker.info.ID, c.now+failureWindow)
+			c.recordFailure(m.worker, u)
+			c.stopRun(u)
 		}
 	}
 }
 
-// outcomeLimit is how long an agent may take to tell what became of an order:
+// orderTimeout is how long an agent may take to tell what became of an order:
 // it tries a start three times for 0.6 s and then stops it.
-const outcomeLimit = 5 * time.Second
+const orderTimeout = 5 * time.Second
 
 // watchOrders stops the runs again of whose last order the agent has not told
 // the outcome: it may have been lost with an earlier owner's.
 func (c *Core) watchOrders(w *worker) {
-	if !w.linked() {
+	if !w.connected() {
 		return
 	}
 	for _, m := range w.members {
-		pending := m.stopping || m.ordered && !m.running
-		if m.ended || !pending || m.session != w.session || c.now-m.orderedAt < outcomeLimit {
+		pending := m.stopping || m.startSent && !m.running
+		if m.ended || !pending || m.orderSession != w.session || c.now-m.lastOrderAt < orderTimeout {
 			continue
 		}
 		c.emit(Notice{Reason: ReasonNoOutcome, Job: m.unit.job.ID, Task: m.task.String(), Run: m.run, Worker: w.info.ID})
-		m.session = ""
-		c.stop(m)
+		m.orderSession = ""
+		c.stopMember(m)
 	}
 }
 
-// hangTime is how long a run may stand still at least, and hangPart the part of
+// minStallTime is how long a run may stand still at least, and stallFraction the part of
 // its estimate: one percent of it is the grain of what workers report.
 const (
-	hangTime = 3 * time.Second
-	hangPart = 0.3
+	minStallTime  = 3 * time.Second
+	stallFraction = 0.3
 )
 
-// hung returns the member that keeps a unit from making progress.
-func (c *Core) hung(u *unit) *member {
-	limit := max(hangTime, time.Duration(hangPart*float64(u.spec.Estimate)))
+// stalledMember returns the member that keeps a unit from making progress.
+func (c *Core) stalledMember(u *unit) *member {
+	limit := max(minStallTime, time.Duration(stallFraction*float64(u.step.Estimate)))
 	var worst *member
 	for _, m := range u.members {
-		if !m.running || m.ended || m.stopping || !m.worker.linked() || c.now-m.worker.heardAt > quietAfter {
+		if !m.running || m.ended || m.stopping || !m.worker.connected() || c.now-m.worker.lastReportAt > maxReportAge {
 			return nil
 		}
-		if c.now-m.movedAt <= limit || m.percent >= 100 {
+		if c.now-m.lastProgressAt <= limit || m.percent >= 100 {
 			continue
 		}
-		if worst == nil || m.percent < worst.percent || m.percent == worst.percent && len(m.worker.failed) > len(worst.worker.failed) {
+		if worst == nil || m.percent < worst.percent || m.percent == worst.percent && len(m.worker.recentFailures) > len(worst.worker.recentFailures) {
 			worst = m
 		}
 	}
@@ -74,18 +74,18 @@
 func (c *Core) watchDraining(u *unit) {
 	for _, m := range u.members {
 		w := m.worker
-		if m.ended || !w.info.Draining || !w.linked() {
+		if m.ended || !w.info.Draining || !w.connected() {
 			continue
 		}
-		left := w.drainingAt + w.info.DrainRemaining - c.now
+		left := w.drainReportedAt + w.info.DrainRemaining - c.now
 		if c.expectedEnd(m) <= c.now+left {
 			continue
 		}
-		if u.spec.Checkpointable && left > drainMargin {
+		if u.step.Checkpointable && left > drainMargin {
 			continue
 		}
 		c.emit(Notice{Reason: ReasonWorkerDraining, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: w.info.ID})
-		c.endRun(u)
+		c.stopRun(u)
 		return
 	}
 }
--- a/internal/graph/plan/workers.go
+++ b/internal/graph/plan/workers.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// suspectFor is how long a failed run counts against its worker.
-	suspectFor = 12 * time.Second
-	// quarantineAfter is the number of failed runs of different units, without
+	// failureWindow is how long a failed run counts against its worker.
+	failureWindow = 12 * time.Second
+	// quarantineThreshold is the number of failed runs of different units, without
 	// a run that was done in between, after which a worker gets no new work.
-	quarantineAfter = 2
-	// quarantineFor is the first quarantine; each further one lasts twice as long.
-	quarantineFor = 4 * time.Second
+	quarantineThreshold = 2
+	// initialQuarantine is the first quarantine; each further one lasts twice as long.
+	initialQuarantine = 4 * time.Second
 	// maxQuarantine bounds a quarantine.
 	maxQuarantine = 16 * time.Second
-	// avoidRefused is how long a unit avoids a worker that has refused it.
-	avoidRefused = 1500 * time.Millisecond
+	// refusalBackoff is how long a unit avoids a worker that has refused it.
+	refusalBackoff = 1500 * time.Millisecond
 )
 
 // worker is a worker as the owner knows it.
 type worker struct {
-	info    WorkerInfo
-	heard   bool // in this term
-	heardAt time.Duration
-	// leaseFrom is when the last report was taken that got a grant.
-	leaseFrom time.Duration
-	answering bool
-	session   string
-	lost      bool // its lease is over
-
-	members []*member // not ended
-	used    graph.Resources
-	strays  graph.Resources // of runs that were not placed there
-
-	acks   []*pendingAck
-	listed uint64 // highest number of an end that was taken
-	acked  uint64
-
-	failed      []failure
-	quarantine  time.Duration // until
-	quarantines int
-	drainingAt  time.Duration
+	info         WorkerInfo
+	reported     bool // in this term
+	lastReportAt time.Duration
+	// lastGrantAt is when the last report was taken that got a grant.
+	lastGrantAt time.Duration
+	responsive  bool
+	session     string
+	lost        bool // its lease is over
+
+	members    []*member // not ended
+	used       graph.Resources
+	unknownUse graph.Resources // of runs that were not placed there
+
+	pendingAcks  []*pendingAck
+	lastEndSeen  uint64 // highest number of an end that was taken
+	lastEndAcked uint64
+
+	recentFailures   []failure
+	quarantinedUntil time.Duration // until
+	quarantineCount  int
+	drainReportedAt  time.Duration
 }
 
 type failure struct {
@@ -55,143 +55,143 @@
 // pendingAck is an end whose effect is on its way into the table.
 type pendingAck struct {
 	number uint64
-	done   bool
+	saved  bool
 }
 
-func (w *worker) linked() bool { return w.heard && w.session != "" && !w.lost }
+func (w *worker) connected() bool { return w.reported && w.session != "" && !w.lost }
 
 func (c *Core) worker(id string) *worker {
 	w := c.workers[id]
 	if w != nil {
 		return w
 	}
-	w = &worker{info: WorkerInfo{ID: id}, heardAt: c.now, leaseFrom: c.now + c.cfg.TakeoverOverlap}
+	w = &worker{info: WorkerInfo{ID: id}, lastReportAt: c.now, lastGrantAt: c.now + c.cfg.TakeoverOverlap}
 	c.workers[id] = w
-	i, _ := slices.BinarySearchFunc(c.ordered, id, func(o *worker, id string) int { return strings.Compare(o.info.ID, id) })
-	c.ordered = slices.Insert(c.ordered, i, w)
+	i, _ := slices.BinarySearchFunc(c.sortedWorkers, id, func(o *worker, id string) int { return strings.Compare(o.info.ID, id) })
+	c.sortedWorkers = slices.Insert(c.sortedWorkers, i, w)
 	return w
 }
 
 func (c *Core) occupy(m *member) {
 	m.worker.members = append(m.worker.members, m)
-	m.worker.used = m.worker.used.Add(m.unit.spec.Needs)
+	m.worker.used = m.worker.used.Add(m.unit.step.Needs)
 }
 
 func (c *Core) release(m *member) {
 	w := m.worker
 	w.members = slices.DeleteFunc(w.members, func(o *member) bool { return o == m })
-	w.used = w.used.Sub(m.unit.spec.Needs)
+	w.used = w.used.Sub(m.unit.step.Needs)
 }
 
-// report takes over what a worker's agent has reported.
-func (c *Core) report(e WorkerReport) {
-	c.noteReport()
+// handleReport takes over what a worker's agent has reported.
+func (c *Core) handleReport(e WorkerReport) {
+	c.recordFirstReport()
 	w := c.worker(e.Worker.ID)
 	if w.info.Incarnation() != e.Worker.Incarnation() {
-		c.reborn(w, e.Worker.Incarnation())
+		c.changeIncarnation(w, e.Worker.Incarnation())
 	}
-	lost := !e.WorkerResponsive && c.now-w.leaseFrom > c.cfg.LeaseBound
-	if !w.heard || w.lost && !lost {
+	lost := !e.WorkerResponsive && c.now-w.lastGrantAt > c.cfg.LeaseBound
+	if !w.reported || w.lost && !lost {
 		c.emit(Notice{Reason: ReasonWorkerUp, Worker: e.Worker.ID, Detail: e.Worker.Rack})
 	}
 	if e.Worker.Draining && !w.info.Draining {
-		w.drainingAt = c.now
+		w.drainReportedAt = c.now
 		c.emit(Notice{Reason: ReasonWorkerDraining, Worker: e.Worker.ID, Detail: e.Worker.DrainRemaining.String()})
 	}
-	if !w.heard || w.lost != lost || w.session != e.Session || w.answering != e.WorkerResponsive || w.info.Draining != e.Worker.Draining || w.info.Capacity != e.Worker.Capacity {
-		c.stirred = true
+	if !w.reported || w.lost != lost || w.session != e.Session || w.responsive != e.WorkerResponsive || w.info.Draining != e.Worker.Draining || w.info.Capacity != e.Worker.Capacity {
+		c.needsScheduling = true
 	}
 	w.info = e.Worker
-	w.heard, w.answering = true, e.WorkerResponsive
+	w.reported, w.responsive = true, e.WorkerResponsive
 	w.lost = w.lost && lost
-	w.heardAt = c.now
+	w.lastReportAt = c.now
 	if e.WorkerResponsive && !e.WorkerLeft {
-		w.leaseFrom = c.now
+		w.lastGrantAt = c.now
 		c.emit(GrantLease{Worker: w.info.ID, Incarnation: w.info.Incarnation(), ReportNumber: e.Number})
 	}
-	fresh := w.session != e.Session
+	newSession := w.session != e.Session
 	w.session = e.Session
-	c.takeRunning(w, e.Running)
-	c.takeEnds(w, e.Ended)
+	c.updateRunning(w, e.Running)
+	c.processEnds(w, e.Ended)
 	for _, a := range e.Absent {
-		c.absent(w, a)
+		c.handleAbsent(w, a)
 	}
 	if e.WorkerLeft {
-		w.answering = false
-		c.loseMembers(w, noIncarnation)
+		w.responsive = false
+		c.endLostMembers(w, noIncarnation)
 		return
 	}
-	c.reconcile(w, e, fresh)
+	c.reconcileMembers(w, e, newSession)
 }
 
-// reborn says that a worker's earlier incarnations, and all they ran, are gone.
-func (c *Core) reborn(w *worker, now string) {
-	if w.heard {
+// changeIncarnation says that a worker's earlier incarnations, and all they ran, are gone.
+func (c *Core) changeIncarnation(w *worker, now string) {
+	if w.reported {
 		c.emit(Notice{Reason: ReasonIncarnationChanged, Worker: w.info.ID, Detail: now})
 	}
-	w.acks, w.listed, w.acked = nil, 0, 0
-	w.failed, w.quarantine = nil, 0
-	c.loseMembers(w, now)
+	w.pendingAcks, w.lastEndSeen, w.lastEndAcked = nil, 0, 0
+	w.recentFailures, w.quarantinedUntil = nil, 0
+	c.endLostMembers(w, now)
 }
 
-// loseMembers ends all members on a worker that were not placed on the given
+// endLostMembers ends all members on a worker that were not placed on the given
 // incarnation: they cannot run any more.
-func (c *Core) loseMembers(w *worker, except string) {
+func (c *Core) endLostMembers(w *worker, except string) {
 	for _, m := range slices.Clone(w.members) {
 		if m.incarnation == except {
 			continue
 		}
-		c.memberEnded(m, graph.EndWorkerLost, "")
-		c.save(m.unit.job, nil)
+		c.endMember(m, graph.EndWorkerLost, "")
+		c.requestSave(m.unit.job, nil)
 	}
 }
 
 // noIncarnation is the incarnation of no worker.
 const noIncarnation = ""
 
-func (c *Core) takeRunning(w *worker, running []graph.RunState) {
-	before := w.strays
-	w.strays = graph.Resources{}
-	defer func() { c.stirred = c.stirred || before != w.strays }()
+func (c *Core) updateRunning(w *worker, running []graph.RunState) {
+	before := w.unknownUse
+	w.unknownUse = graph.Resources{}
+	defer func() { c.needsScheduling = c.needsScheduling || before != w.unknownUse }()
 	for _, r := range running {
-		m := w.find(r.Task, r.Run)
+		m := w.findMember(r.Task, r.Run)
 		if m == nil {
-			c.strayRun(w, r)
+			c.stopUnknownRun(w, r)
 			continue
 		}
-		c.progressed(m, r)
+		c.updateProgress(m, r)
 	}
 }
 
-// strayRun stops a run that the owner has not placed there.
-func (c *Core) strayRun(w *worker, r graph.RunState) {
+// stopUnknownRun stops a run that the owner has not placed there.
+func (c *Core) stopUnknownRun(w *worker, r graph.RunState) {
 	if j := c.jobs[r.Task.Job]; j != nil {
 		if u := j.unitOf(r.Task.Step, r.Task.Index); u != nil {
-			w.strays = w.strays.Add(u.spec.Needs)
+			w.unknownUse = w.unknownUse.Add(u.step.Needs)
 		}
 	}
 	c.emit(Notice{Reason: ReasonUnknownRun, Job: r.Task.Job, Task: r.Task.String(), Run: r.Run, Worker: w.info.ID})
 	c.emit(StopRun{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Task: r.Task, Run: r.Run})
 }
 
-func (c *Core) progressed(m *member, r graph.RunState) {
+func (c *Core) updateProgress(m *member, r graph.RunState) {
 	if !m.running {
 		m.running = true
-		m.runningAt, m.movedAt = c.now, c.now
+		m.runningSince, m.lastProgressAt = c.now, c.now
 		m.percent = r.Percent
 	}
-	m.ordered = true
-	m.unit.job.begun = true
+	m.startSent = true
+	m.unit.job.started = true
 	if r.Percent != m.percent {
-		m.percent, m.movedAt = r.Percent, c.now
+		m.percent, m.lastProgressAt = r.Percent, c.now
 	}
-	if r.Checkpoint != "" && r.Checkpoint != m.checkpoint && m.unit.spec.Checkpointable {
-		m.checkpoint, m.savedAt = r.Checkpoint, c.now
+	if r.Checkpoint != "" && r.Checkpoint != m.checkpoint && m.unit.step.Checkpointable {
+		m.checkpoint, m.checkpointAt = r.Checkpoint, c.now
 		m.unit.checkpoint = r.Checkpoint
 	}
 }
 
-func (w *worker) find(id graph.TaskID, run uint64) *member {
+func (w *worker) findMember(id graph.TaskID, run uint64) *member {
 	for _, m := range w.members {
 		if m.task == id && m.run == run {
 			return m
@@ -200,75 +200,75 @@
 	return nil
 }
 
-// takeEnds takes ends in order. Each is acknowledged once its effect is saved.
-func (c *Core) takeEnds(w *worker, ended []graph.RunEnd) {
+// processEnds takes ends in order. Each is acknowledged once its effect is saved.
+func (c *Core) processEnds(w *worker, ended []graph.RunEnd) {
 	again := false
 	for _, e := range ended {
-		if e.Number <= w.listed {
-			again = again || e.Number <= w.acked
+		if e.Number <= w.lastEndSeen {
+			again = again || e.Number <= w.lastEndAcked
 			continue
 		}
-		w.listed = e.Number
+		w.lastEndSeen = e.Number
 		ack := &pendingAck{number: e.Number}
-		w.acks = append(w.acks, ack)
-		c.takeEnd(w, e, ack)
+		w.pendingAcks = append(w.pendingAcks, ack)
+		c.processEnd(w, e, ack)
 	}
-	c.acknowledge(w, again)
+	c.acknowledgeEnds(w, again)
 }
 
-func (c *Core) takeEnd(w *worker, e graph.RunEnd, ack *pendingAck) {
-	m := w.find(e.Task, e.Run)
+func (c *Core) processEnd(w *worker, e graph.RunEnd, ack *pendingAck) {
+	m := w.findMember(e.Task, e.Run)
 	if m == nil {
-		c.lateEnd(e, ack)
+		c.processLateEnd(e, ack)
 		return
 	}
-	c.memberEnded(m, e.Kind, e.Checkpoint)
+	c.endMember(m, e.Kind, e.Checkpoint)
 	incarnation := w.info.Incarnation()
-	c.save(m.unit.job, func() {
-		ack.done = true
+	c.requestSave(m.unit.job, func() {
+		ack.saved = true
 		if w.info.Incarnation() == incarnation {
-			c.acknowledge(w, false)
+			c.acknowledgeEnds(w, false)
 		}
 	})
 }
 
-// lateEnd takes the end of a run that is not on the books: nothing depends on
+// processLateEnd takes the end of a run that is not on the books: nothing depends on
 // it unless the job's state is still on its way into the table.
-func (c *Core) lateEnd(e graph.RunEnd, ack *pendingAck) {
+func (c *Core) processLateEnd(e graph.RunEnd, ack *pendingAck) {
 	c.emit(Notice{Reason: ReasonRunEnded, Job: e.Task.Job, Task: e.Task.String(), Run: e.Run, Detail: "late " + string(e.Kind)})
-	ack.done = true
+	ack.saved = true
 }
 
-// acknowledge lets the worker forget the ends whose effects are all saved.
-func (c *Core) acknowledge(w *worker, again bool) {
-	before := w.acked
-	for len(w.acks) > 0 && w.acks[0].done {
-		w.acked = w.acks[0].number
-		w.acks = w.acks[1:]
+// acknowledgeEnds lets the worker forget the ends whose effects are all saved.
+func (c *Core) acknowledgeEnds(w *worker, again bool) {
+	before := w.lastEndAcked
+	for len(w.pendingAcks) > 0 && w.pendingAcks[0].saved {
+		w.lastEndAcked = w.pendingAcks[0].number
+		w.pendingAcks = w.pendingAcks[1:]
 	}
-	if (w.acked > before || again) && w.linked() {
-		c.emit(AcknowledgeEnds{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Number: w.acked})
+	if (w.lastEndAcked > before || again) && w.connected() {
+		c.emit(AcknowledgeEnds{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Number: w.lastEndAcked})
 	}
 }
 
-func (c *Core) absent(w *worker, a RunAbsent) {
-	m := w.find(a.Task, a.Run)
+func (c *Core) handleAbsent(w *worker, a RunAbsent) {
+	m := w.findMember(a.Task, a.Run)
 	if m == nil {
 		return
 	}
 	u := m.unit
 	c.emit(Notice{Reason: ReasonRunEnded, Job: u.job.ID, Task: a.Task.String(), Run: a.Run, Worker: w.info.ID, Detail: "refused: " + a.Reason})
 	if !m.stopping {
-		u.avoidWorker(w.info.ID, c.now+avoidRefused)
+		u.avoidWorker(w.info.ID, c.now+refusalBackoff)
 	}
-	c.memberEnded(m, graph.EndNeverStarted, "")
-	c.save(u.job, nil)
+	c.endMember(m, graph.EndNeverStarted, "")
+	c.requestSave(u.job, nil)
 }
 
-// reconcile settles the members that the report does not account for. What was
+// reconcileMembers settles the members that the report does not account for. What was
 // ordered over an earlier connection, or in an earlier term, may have been lost:
 // it is stopped, which also keeps it from beginning late.
-func (c *Core) reconcile(w *worker, e WorkerReport, fresh bool) {
+func (c *Core) reconcileMembers(w *worker, e WorkerReport, newSession bool) {
 	listed := map[graph.TaskID]uint64{}
 	for _, r := range e.Running {
 		listed[r.Task] = r.Run
@@ -279,61 +279,61 @@
 		}
 		running := listed[m.task] == m.run
 		switch {
-		case m.stopping && m.session != w.session:
-			c.stop(m)
-		case fresh && !running && (m.ordered || m.recovered):
-			c.stop(m)
-		case !fresh && m.running && !running:
-			c.stop(m)
+		case m.stopping && m.orderSession != w.session:
+			c.stopMember(m)
+		case newSession && !running && (m.startSent || m.recovered):
+			c.stopMember(m)
+		case !newSession && m.running && !running:
+			c.stopMember(m)
 		}
 	}
 }
 
-func (c *Core) sessionClosed(e SessionClosed) {
+func (c *Core) handleSessionClosed(e SessionClosed) {
 	w := c.workers[e.Worker]
 	if w != nil && w.session == e.Session {
 		w.session = ""
 	}
 }
 
-// watchWorker notices that a worker is not heard of.
-func (c *Core) watchWorker(w *worker) {
-	if w.lost || c.now-w.leaseFrom <= c.cfg.LeaseBound {
+// watchLease notices that a worker is not heard of.
+func (c *Core) watchLease(w *worker) {
+	if w.lost || c.now-w.lastGrantAt <= c.cfg.LeaseBound {
 		return
 	}
 	w.lost = true
-	c.emit(Notice{Reason: ReasonWorkerLost, Worker: w.info.ID, Detail: (c.now - w.leaseFrom).String()})
-	c.loseMembers(w, noIncarnation)
+	c.emit(Notice{Reason: ReasonWorkerLost, Worker: w.info.ID, Detail: (c.now - w.lastGrantAt).String()})
+	c.endLostMembers(w, noIncarnation)
 }
 
-// workerFailed counts a failed run against a worker.
-func (c *Core) workerFailed(w *worker, u *unit) {
-	w.failed = slices.DeleteFunc(w.failed, func(f failure) bool { return c.now-f.at > suspectFor || f.unit == u })
-	w.failed = append(w.failed, failure{c.now, u})
-	u.avoidWorker(w.info.ID, c.now+suspectFor)
-	if len(w.failed) < quarantineAfter {
+// recordFailure counts a failed run against a worker.
+func (c *Core) recordFailure(w *worker, u *unit) {
+	w.recentFailures = slices.DeleteFunc(w.recentFailures, func(f failure) bool { return c.now-f.at > failureWindow || f.unit == u })
+	w.recentFailures = append(w.recentFailures, failure{c.now, u})
+	u.avoidWorker(w.info.ID, c.now+failureWindow)
+	if len(w.recentFailures) < quarantineThreshold {
 		return
 	}
-	w.quarantine = c.now + min(quarantineFor<<min(w.quarantines, 8), maxQuarantine)
-	w.quarantines++
-	c.emit(Notice{Reason: ReasonWorkerQuarantined, Worker: w.info.ID, Detail: (w.quarantine - c.now).String()})
+	w.quarantinedUntil = c.now + min(initialQuarantine<<min(w.quarantineCount, 8), maxQuarantine)
+	w.quarantineCount++
+	c.emit(Notice{Reason: ReasonWorkerQuarantined, Worker: w.info.ID, Detail: (w.quarantinedUntil - c.now).String()})
 }
 
-func (c *Core) workerDid(w *worker, _ *unit) {
-	w.failed = nil
-	w.quarantine, w.quarantines = 0, 0
+func (c *Core) recordSuccess(w *worker, _ *unit) {
+	w.recentFailures = nil
+	w.quarantinedUntil, w.quarantineCount = 0, 0
 }
 
 func (u *unit) avoidWorker(id string, until time.Duration) {
-	if u.avoid == nil {
-		u.avoid = map[string]time.Duration{}
+	if u.avoidUntil == nil {
+		u.avoidUntil = map[string]time.Duration{}
 	}
-	u.avoid[id] = until
+	u.avoidUntil[id] = until
 }
 
-func (w *worker) suspect(now time.Duration) bool {
-	for _, f := range w.failed {
-		if now-f.at <= suspectFor {
+func (w *worker) hasRecentFailure(now time.Duration) bool {
+	for _, f := range w.recentFailures {
+		if now-f.at <= failureWindow {
 			return true
 		}
 	}
