--- a/internal/graph/plan/core_test.go
+++ b/internal/graph/plan/core_test.go
@@ -7,34 +7,34 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// bed is a core with one or more workers of 8 accelerators, stepped by hand.
-type bed struct {
+// harness is a core with one or more workers of 8 accelerators, stepped by hand.
+type harness struct {
 	t    *testing.T
 	core *Core
 	now  time.Duration
 }
 
-// newBed returns a bed whose term has lasted for long enough to place and stop
+// newHarness returns a bed whose term has lasted for long enough to place and stop
 // work at once.
-func newBed(t *testing.T) *bed {
-	b := newTermBed(t)
-	b.core.hasListened()
+func newHarness(t *testing.T) *harness {
+	b := newTermHarness(t)
+	b.core.skipStartupDelays()
 	return b
 }
 
-// hasListened makes a core that has heard of its fleet long ago.
-func (c *Core) hasListened() { c.hasReports, c.firstReportAt = true, -preemptionDelay }
+// skipStartupDelays makes a core that has heard of its fleet long ago.
+func (c *Core) skipStartupDelays() { c.hasReports, c.firstReportAt = true, -preemptionDelay }
 
-// newTermBed returns a bed at the begin of a term.
-func newTermBed(t *testing.T) *bed {
-	b := &bed{t: t, core: New(Config{FencingToken: 3, LeaseBound: simLease, TermStart: time.Unix(0, 0)})}
+// newTermHarness returns a bed at the begin of a term.
+func newTermHarness(t *testing.T) *harness {
+	b := &harness{t: t, core: New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0)})}
 	b.step(PolicyChanged{loadPolicy()})
 	return b
 }
 
 // step gives an event, answers the saves that follow at once and returns the
 // other actions but notices.
-func (b *bed) step(ev Event) []Action {
+func (b *harness) step(ev Event) []Action {
 	var out []Action
 	for _, a := range b.core.Step(b.now, ev) {
 		switch a := a.(type) {
@@ -48,12 +48,12 @@
 	return out
 }
 
-func (b *bed) report(id string, running []graph.RunState, ended ...graph.RunEnd) []Action {
+func (b *harness) report(id string, running []graph.RunState, ended ...graph.RunEnd) []Action {
 	return b.step(WorkerReport{Worker: WorkerInfo{ID: id, Instance: "i-" + id, StartUnixMillis: 1, Pool: "pool", Zone: "z0", Rack: "r0",
 		Capacity: graph.Resources{MilliCPU: 16000, Accelerators: 8}}, Session: "s", Running: running, Ended: ended, Number: 1, WorkerResponsive: true})
 }
 
-func (b *bed) submit(id graph.JobID, accelerators int) []Action {
+func (b *harness) submit(id graph.JobID, accelerators int) []Action {
 	return b.step(JobSubmitted{Job: &graph.Job{ID: id, Queue: "q", Account: "a0", Pool: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2,
 		SubmittedAt: time.Unix(0, 0).Add(b.now),
 		Steps:       []graph.Step{{Count: 1, Needs: graph.Resources{MilliCPU: 1000, Accelerators: accelerators}, Estimate: time.Second}}}})
@@ -69,11 +69,11 @@
 	return out
 }
 
-// TestStrayRunsTakeRoom shows that a run which the owner has not placed counts
+// TestUnknownRunsUseCapacity shows that a run which the owner has not placed counts
 // against its worker's capacity until it is gone: workers need not refuse what
 // does not fit.
-func TestStrayRunsTakeRoom(t *testing.T) {
-	b := newBed(t)
+func TestUnknownRunsUseCapacity(t *testing.T) {
+	b := newHarness(t)
 	b.report("w0", nil)
 	b.submit("j0", 6)
 	first := starts(b.step(Tick{}))
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestGrantsFollowAnswers shows that a worker which does not answer its agent
+// TestNoGrantsWhileWorkerUnresponsive shows that a worker which does not answer its agent
 // gets no grants, and that its lease counts from the last report with one.
-func TestGrantsFollowAnswers(t *testing.T) {
-	b := newBed(t)
+func TestNoGrantsWhileWorkerUnresponsive(t *testing.T) {
+	b := newHarness(t)
 	granted := func(actions []Action) bool {
 		for _, a := range actions {
 			if _, ok := a.(GrantLease); ok {
@@ -112,13 +112,13 @@
 		t.Fatalf("%+v", s)
 	}
 	silent := WorkerReport{Worker: b.core.workers["w0"].info, Session: "s", Number: 2}
-	for b.now < simLease {
+	for b.now < simLeaseBound {
 		b.now += time.Second
 		if granted(b.step(silent)) {
 			t.Fatalf("grant at %v for a worker that does not answer", b.now)
 		}
 		b.step(Tick{})
-		if lost := b.core.workers["w0"].lost; lost != (b.now > simLease) {
+		if lost := b.core.workers["w0"].lost; lost != (b.now > simLeaseBound) {
 			t.Fatalf("at %v: lost %v", b.now, lost)
 		}
 	}
@@ -130,16 +130,16 @@
 func TestFailedRunCountsAcrossTerms(t *testing.T) {
 	for _, other := range []graph.EndKind{graph.EndGangBroken, graph.EndFailed} {
 		t.Run(string(other), func(t *testing.T) {
-			b := newBed(t)
+			b := newHarness(t)
 			job := gangOfTwo()
 			first := b.startGang(job)
-			b.report(first[0].Worker, nil, ended(first[0], graph.EndFailed))
+			b.report(first[0].Worker, nil, runEnd(first[0], graph.EndFailed))
 
 			row := b.core.jobs[job.ID].progress()
-			next := newBed(t)
+			next := newHarness(t)
 			next.step(JobSubmitted{Job: job, Progress: &row})
 			next.report(first[0].Worker, nil)
-			next.report(first[1].Worker, nil, ended(first[1], other))
+			next.report(first[1].Worker, nil, runEnd(first[1], other))
 			if got := next.core.jobs[job.ID].units[0].failures; got != 1 {
 				t.Fatalf("%d failures of one run", got)
 			}
@@ -168,7 +168,7 @@
 }
 
 // startGang starts a gang on two workers, which list it as running.
-func (b *bed) startGang(job *graph.Job) []StartRun {
+func (b *harness) startGang(job *graph.Job) []StartRun {
 	b.report("w0", nil)
 	b.report("w1", nil)
 	out := starts(b.step(JobSubmitted{Job: job}))
@@ -181,7 +181,7 @@
 	return out
 }
 
-func ended(s StartRun, how graph.EndKind) graph.RunEnd {
+func runEnd(s StartRun, how graph.EndKind) graph.RunEnd {
 	return graph.RunEnd{Number: 1, Task: s.Task, Run: s.Run, Kind: how}
 }
 
@@ -191,60 +191,60 @@
 func TestOverlappingTermKeepsLeases(t *testing.T) {
 	const overlap = time.Second
 	job := gangOfTwo()
-	b := newBed(t)
+	b := newHarness(t)
 	b.startGang(job)
 	row := b.core.jobs[job.ID].progress()
 
-	next := newBed(t)
+	next := newHarness(t)
 	next.core.cfg.TakeoverOverlap = overlap
 	next.step(JobSubmitted{Job: job, Progress: &row})
-	for _, at := range []time.Duration{simLease + overlap, simLease + overlap + time.Millisecond} {
+	for _, at := range []time.Duration{simLeaseBound + overlap, simLeaseBound + overlap + time.Millisecond} {
 		next.now = at
 		next.step(Tick{})
 		running := next.core.jobs[job.ID].units[0].phase == unitPlaced
-		if want := at <= simLease+overlap; running != want {
+		if want := at <= simLeaseBound+overlap; running != want {
 			t.Errorf("at %v: still placed %v, want %v", at, running, want)
 		}
 	}
 }
 
-// TestTermBeginsByListening shows that a new owner neither places work on the
+// TestTermStartDelays shows that a new owner neither places work on the
 // first worker that reports, while what comes first may need it, nor stops work
 // there for a job within a guarantee, while a free worker is about to report; and
 // that it does both once the time for it is over.
-func TestTermBeginsByListening(t *testing.T) {
-	for _, second := range []bool{true, false} {
-		before := newBed(t)
+func TestTermStartDelays(t *testing.T) {
+	for _, hasFreeWorker := range []bool{true, false} {
+		before := newHarness(t)
 		before.report("w0", nil)
 		s := starts(before.submit("j0", 8))
 		row := before.core.jobs["j0"].progress()
 		running := []graph.RunState{{Task: s[0].Task, Run: s[0].Run}}
 
-		b := newTermBed(t)
+		b := newTermHarness(t)
 		b.step(JobSubmitted{Job: before.core.jobs["j0"].Job, Progress: &row})
 		claim := *before.core.jobs["j0"].Job
 		claim.ID, claim.Account, claim.Priority = "j1", "a0", 0
 		b.step(JobSubmitted{Job: &claim})
 		actions := b.report("w0", running)
-		if second {
+		if hasFreeWorker {
 			actions = append(actions, b.report("w1", nil)...)
 		}
 		if len(starts(actions)) > 0 {
-			t.Errorf("second worker %v: placed with the first reports: %+v", second, actions)
+			t.Errorf("second worker %v: placed with the first reports: %+v", hasFreeWorker, actions)
 		}
 		b.now += placementDelay
 		actions = b.step(Tick{})
-		if stops(actions) > 0 || second && len(starts(actions)) != 1 {
-			t.Errorf("second worker %v: %+v", second, actions)
+		if countStops(actions) > 0 || hasFreeWorker && len(starts(actions)) != 1 {
+			t.Errorf("second worker %v: %+v", hasFreeWorker, actions)
 		}
 		b.now += preemptionDelay
-		if n := stops(b.step(Tick{})); second && n > 0 || !second && n != 1 {
-			t.Errorf("second worker %v: %d stops after the fleet has settled", second, n)
+		if n := countStops(b.step(Tick{})); hasFreeWorker && n > 0 || !hasFreeWorker && n != 1 {
+			t.Errorf("second worker %v: %d stops after the fleet has settled", hasFreeWorker, n)
 		}
 	}
 }
 
-func stops(actions []Action) int {
+func countStops(actions []Action) int {
 	n := 0
 	for _, a := range actions {
 		if _, ok := a.(StopRun); ok {
@@ -254,12 +254,12 @@
 	return n
 }
 
-// TestOrderWithoutOutcomeIsStoppedAgain shows that a start or a stop of whose
+// TestUnansweredOrderIsStoppedAgain shows that a start or a stop of whose
 // outcome the agent never tells is settled by another stop on the same
 // connection, and not before an agent may need that long.
-func TestOrderWithoutOutcomeIsStoppedAgain(t *testing.T) {
+func TestUnansweredOrderIsStoppedAgain(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
-		b := newBed(t)
+		b := newHarness(t)
 		b.report("w0", nil)
 		s := starts(b.submit("j0", 8))
 		if stopped {
@@ -269,7 +269,7 @@
 		for b.now < 3*orderTimeout && at == 0 {
 			b.now += 200 * time.Millisecond
 			actions := append(b.report("w0", nil), b.step(Tick{})...)
-			if stops(actions) > 0 {
+			if countStops(actions) > 0 {
 				at = b.now
 			}
 		}
@@ -283,9 +283,9 @@
 // deployment's workers may take to stop a run, and is given up after it.
 func TestClaimWaitsForSlowStops(t *testing.T) {
 	for _, stop := range []time.Duration{0, 400 * time.Millisecond, 1500 * time.Millisecond} {
-		b := newBed(t)
-		b.core = New(Config{FencingToken: 3, LeaseBound: simLease, TermStart: time.Unix(0, 0), StopTime: stop})
-		b.core.hasListened()
+		b := newHarness(t)
+		b.core = New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0), StopTime: stop})
+		b.core.skipStartupDelays()
 		b.step(PolicyChanged{loadPolicy()})
 		b.report("w0", nil)
 		victim := starts(b.submit("j0", 8))[0]
@@ -301,7 +301,7 @@
 		if u.claim == nil {
 			t.Errorf("stop %v: claim given up before the stop is overdue", stop)
 		}
-		if s := starts(b.report("w0", nil, ended(victim, graph.EndStopped))); len(s) != 1 || s[0].Task.Job != "j1" {
+		if s := starts(b.report("w0", nil, runEnd(victim, graph.EndStopped))); len(s) != 1 || s[0].Task.Job != "j1" {
 			t.Errorf("stop %v: started %+v", stop, s)
 		}
 	}
--- a/internal/graph/plan/fleet_test.go
+++ b/internal/graph/plan/fleet_test.go
@@ -13,90 +13,90 @@
 const (
 	// simStep is the grain of the simulated time and the delay of a message.
 	simStep = 10 * time.Millisecond
-	// simTick and simBeat are the intervals of the owner's ticks and of the
+	// simTickInterval and simBeat are the intervals of the owner's ticks and of the
 	// workers' reports.
-	simTick = 200 * time.Millisecond
-	simBeat = time.Second
-	// simLease is the lease bound of the cores.
-	simLease = 6500 * time.Millisecond
-	simStop  = 100 * time.Millisecond
+	simTickInterval   = 200 * time.Millisecond
+	simReportInterval = time.Second
+	// simLeaseBound is the lease bound of the cores.
+	simLeaseBound = 6500 * time.Millisecond
+	simStopTime   = 100 * time.Millisecond
 )
 
 // simRun is a run on a simulated worker.
 type simRun struct {
-	task     graph.TaskID
-	run      uint64
-	unit     *simUnit
-	progress time.Duration // of work done
-	stopAt   time.Duration // 0 unless it is being stopped
-	resumed  time.Duration // work that its checkpoint had saved
+	task        graph.TaskID
+	run         uint64
+	unit        *simUnit
+	progress    time.Duration // of work done
+	stopAt      time.Duration // 0 unless it is being stopped
+	resumedFrom time.Duration // work that its checkpoint had saved
 }
 
 // simUnit is the truth about a unit: its work, and whether it fails.
 type simUnit struct {
-	job   *simJob
-	step  *graph.Step
-	work  time.Duration // of one task on a sound worker
-	fails int           // runs that fail by their own fault before one is done
-	done  bool          // a run of it has ended done
-	noted bool          // such an end was acknowledged, and no lease ran out before
-	// failed and notedFailed hold the runs that have ended failed, and those of
+	job          *simJob
+	step         *graph.Step
+	work         time.Duration // of one task on a sound worker
+	failuresLeft int           // runs that fail by their own fault before one is done
+	done         bool          // a run of it has ended done
+	doneAcked    bool          // such an end was acknowledged, and no lease ran out before
+	// failedRuns and ackedFailures hold the runs that have ended failedRuns, and those of
 	// them whose end was acknowledged before a lease ran out.
-	failed, notedFailed map[uint64]bool
-	runs                []*simRun    // live
-	begun               map[int]bool // tasks, by index
-	members             int
+	failedRuns, ackedFailures map[uint64]bool
+	runs                      []*simRun    // live
+	startedTasks              map[int]bool // tasks, by index
+	memberCount               int
 }
 
 // simJob is a submitted job and what became of it.
 type simJob struct {
 	*graph.Job
-	units     map[int][]*simUnit // by step
-	submitted time.Duration
-	cancelled time.Duration
-	final     graph.State
-	begunAt   time.Duration // when all tasks of the first step had begun
-	claims    bool          // its account's jobs of the first priority have never exceeded the guarantee
+	units              map[int][]*simUnit // by step
+	submitted          time.Duration
+	cancelled          time.Duration
+	final              graph.State
+	firstStepStartedAt time.Duration // when all tasks of the first step had begun
+	withinGuarantee    bool          // its account's jobs of the first priority have never exceeded the guarantee
 	finishedAt,
-	truth time.Duration // longest chain of true work
-	worth float64
-	late  float64 // part of the worth when late
+	trueDuration time.Duration // longest chain of true work
+	value        float64
+	lateFraction float64 // part of the worth when late
 }
 
 // simWorker is a simulated worker with its agent.
 type simWorker struct {
-	info    WorkerInfo
-	session int
-	linked  bool
-	cut     bool    // its agent and the owner do not hear each other
-	speed   float64 // of its work
-	bad     bool    // fails what it runs
-	runs    []*simRun
-	ended   []graph.RunEnd
-	seen    uint64
-	stopped map[string]uint64 // highest run stopped or ended, by task
-	absent  []RunAbsent
-	reports time.Duration // of the next beat
-	news    bool
-	lease   time.Duration // when what runs is killed
-	movesAt time.Duration // when its agent leaves an earlier owner
-	void    uint64        // ends up to it were listed when the lease ran out
+	info          WorkerInfo
+	session       int
+	linked        bool
+	partitioned   bool    // its agent and the owner do not hear each other
+	speed         float64 // of its work
+	faulty        bool    // fails what it runs
+	runs          []*simRun
+	ended         []graph.RunEnd
+	lastAcked     uint64
+	highestEnded  map[string]uint64 // highest run stopped or ended, by task
+	absent        []RunAbsent
+	nextReportAt  time.Duration // of the next beat
+	reportNow     bool
+	leaseEnd      time.Duration // when what runs is killed
+	switchesAt    time.Duration // when its agent leaves an earlier owner
+	lastLapsedEnd uint64        // ends up to it were listed when the lease ran out
 }
 
 type simOrder struct {
-	at     time.Duration
-	action Action
-	core   *Core
+	deliverAt time.Duration
+	action    Action
+	core      *Core
 }
 
 // sim plays a load against a core and checks what workers and callers see.
 type sim struct {
-	now   time.Duration
-	core  *Core
-	start time.Duration // of the term
-	// earlier is an owner that has been followed and acts on until it has
+	now       time.Duration
+	core      *Core
+	termStart time.Duration // of the term
+	// earlierOwner is an owner that has been followed and acts on until it has
 	// noticed, nil if there is none.
-	earlier      *Core
+	earlierOwner *Core
 	earlierStart time.Duration
 	earlierUntil time.Duration
 	token        uint64
@@ -104,11 +104,11 @@
 	jobs         []*simJob
 	byID         map[graph.JobID]*simJob
 	rows         map[graph.JobID]graph.Progress
-	rowSeen      map[graph.JobID]bool
+	hasRow       map[graph.JobID]bool
 	orders       []simOrder
 	policy       *policy.Snapshot
 	fail         func(format string, args ...any)
-	noStore      bool
+	storeDown    bool
 
 	wasted   float64 // core-seconds
 	starts   int
@@ -116,13 +116,13 @@
 }
 
 func newSim(workers int, capacity graph.Resources, p *policy.Snapshot, fail func(string, ...any)) *sim {
-	s := &sim{byID: map[graph.JobID]*simJob{}, rows: map[graph.JobID]graph.Progress{}, rowSeen: map[graph.JobID]bool{}, policy: p, fail: fail}
+	s := &sim{byID: map[graph.JobID]*simJob{}, rows: map[graph.JobID]graph.Progress{}, hasRow: map[graph.JobID]bool{}, policy: p, fail: fail}
 	for i := range workers {
 		zone := i / 4
 		s.workers = append(s.workers, &simWorker{
 			info: WorkerInfo{ID: fmt.Sprintf("w%02d", i), Instance: fmt.Sprintf("i%02d", i), StartUnixMillis: 1, Pool: "pool",
 				Zone: fmt.Sprintf("z%d", zone), Rack: fmt.Sprintf("r%d-%d", zone, i%4/2), Capacity: capacity},
-			speed: 1, linked: true, stopped: map[string]uint64{}, session: 1,
+			speed: 1, linked: true, highestEnded: map[string]uint64{}, session: 1,
 		})
 	}
 	s.takeOver()
@@ -131,76 +131,76 @@
 
 // takeOver begins a new term from the rows, after the earlier owner has ended.
 func (s *sim) takeOver() {
-	s.earlier = nil
+	s.earlierOwner = nil
 	s.orders = slices.DeleteFunc(s.orders, func(o simOrder) bool { _, isSave := o.action.(SaveProgress); return !isSave })
-	s.begin(0)
+	s.beginTerm(0)
 	for _, w := range s.workers {
-		w.join()
-		w.reports = s.now + 300*time.Millisecond
+		w.connect()
+		w.nextReportAt = s.now + 300*time.Millisecond
 	}
 }
 
 // simOverlap is for how long an earlier owner may act after it was followed.
 const simOverlap = 900 * time.Millisecond
 
-// takeOverEarly begins a new term while the earlier owner acts on, unfenced at
+// takeOverWithOverlap begins a new term while the earlier owner acts on, unfenced at
 // the workers whose agents have not moved yet.
-func (s *sim) takeOverEarly(moves func() time.Duration) {
-	s.earlier, s.earlierStart, s.earlierUntil = s.core, s.start, s.now+simOverlap
-	s.begin(simOverlap)
+func (s *sim) takeOverWithOverlap(switchDelay func() time.Duration) {
+	s.earlierOwner, s.earlierStart, s.earlierUntil = s.core, s.termStart, s.now+simOverlap
+	s.beginTerm(simOverlap)
 	for _, w := range s.workers {
-		w.movesAt = s.now + moves()
+		w.switchesAt = s.now + switchDelay()
 	}
 }
 
-// move lets the agents go that leave the earlier owner now.
-func (s *sim) move() {
-	if s.earlier == nil {
+// switchOwners lets the agents go that leave the earlier owner now.
+func (s *sim) switchOwners() {
+	if s.earlierOwner == nil {
 		return
 	}
 	for _, w := range s.workers {
-		if w.movesAt > 0 && s.now >= min(w.movesAt, s.earlierUntil) {
-			w.movesAt = 0
-			w.join()
-			w.news = true
+		if w.switchesAt > 0 && s.now >= min(w.switchesAt, s.earlierUntil) {
+			w.switchesAt = 0
+			w.connect()
+			w.reportNow = true
 		}
 	}
 	if s.now >= s.earlierUntil {
-		s.earlier = nil
+		s.earlierOwner = nil
 	}
 }
 
-// join begins a connection with the owner that the agent follows.
-func (w *simWorker) join() {
+// connect begins a connection with the owner that the agent follows.
+func (w *simWorker) connect() {
 	w.session++
 	w.absent = nil
 }
 
 // ownerOf returns the owner that a worker's agent follows.
 func (s *sim) ownerOf(w *simWorker) *Core {
-	if s.earlier != nil && w.movesAt > 0 {
-		return s.earlier
+	if s.earlierOwner != nil && w.switchesAt > 0 {
+		return s.earlierOwner
 	}
 	return s.core
 }
 
-func (s *sim) begin(overlap time.Duration) {
+func (s *sim) beginTerm(overlap time.Duration) {
 	s.token++
-	s.start = s.now
-	s.core = New(Config{FencingToken: s.token, TermStart: time.Unix(0, 0).Add(s.now), LeaseBound: simLease, TakeoverOverlap: overlap})
+	s.termStart = s.now
+	s.core = New(Config{FencingToken: s.token, TermStart: time.Unix(0, 0).Add(s.now), LeaseBound: simLeaseBound, TakeoverOverlap: overlap})
 	s.step(PolicyChanged{s.policy})
 	for _, j := range s.jobs {
-		if !s.rowSeen[j.ID] {
+		if !s.hasRow[j.ID] {
 			continue
 		}
-		s.step(JobSubmitted{Job: j.Job, Progress: s.progressOf(j.ID)})
+		s.step(JobSubmitted{Job: j.Job, Progress: s.storedProgress(j.ID)})
 		if j.cancelled > 0 {
 			s.step(JobCancelled{j.ID})
 		}
 	}
 }
 
-func (s *sim) progressOf(id graph.JobID) *graph.Progress {
+func (s *sim) storedProgress(id graph.JobID) *graph.Progress {
 	p, ok := s.rows[id]
 	if !ok {
 		return nil
@@ -208,7 +208,7 @@
 	return &p
 }
 
-func (s *sim) step(ev Event) { s.stepOwner(s.core, s.start, ev) }
+func (s *sim) step(ev Event) { s.stepOwner(s.core, s.termStart, ev) }
 
 func (s *sim) stepOwner(core *Core, start time.Duration, ev Event) {
 	for _, a := range core.Step(s.now-start, ev) {
@@ -223,10 +223,10 @@
 	j.submitted = s.now
 	j.SubmittedAt = time.Unix(0, 0).Add(s.now)
 	s.jobs = append(s.jobs, j)
-	j.claims = j.Priority == 0
-	s.noteClaims()
+	j.withinGuarantee = j.Priority == 0
+	s.updateGuarantees()
 	s.byID[j.ID] = j
-	s.rowSeen[j.ID] = true
+	s.hasRow[j.ID] = true
 	s.step(JobSubmitted{Job: j.Job})
 }
 
@@ -239,21 +239,21 @@
 func (s *sim) runUntil(end time.Duration) {
 	for s.now < end {
 		s.now += simStep
-		s.move()
+		s.switchOwners()
 		s.deliver()
 		for _, w := range s.workers {
-			s.work(w)
+			s.advance(w)
 		}
 		for _, w := range s.workers {
-			s.beat(w)
+			s.report(w)
 		}
-		if (s.now-s.start)%simTick == 0 {
+		if (s.now-s.termStart)%simTickInterval == 0 {
 			s.step(Tick{})
-			if s.earlier != nil {
-				s.stepOwner(s.earlier, s.earlierStart, Tick{})
+			if s.earlierOwner != nil {
+				s.stepOwner(s.earlierOwner, s.earlierStart, Tick{})
 			}
 		}
-		s.watch()
+		s.checkFinalJobs()
 	}
 }
 
@@ -262,20 +262,20 @@
 	due := s.orders
 	s.orders = nil
 	for _, o := range due {
-		if o.at > s.now {
+		if o.deliverAt > s.now {
 			rest = append(rest, o)
 			continue
 		}
-		s.carryOut(o)
+		s.execute(o)
 	}
 	s.orders = append(rest, s.orders...)
 }
 
-func (s *sim) carryOut(o simOrder) {
+func (s *sim) execute(o simOrder) {
 	switch a := o.action.(type) {
 	case SaveProgress:
-		if s.noStore {
-			o.at = s.now + simStep
+		if s.storeDown {
+			o.deliverAt = s.now + simStep
 			s.orders = append(s.orders, o)
 			return
 		}
@@ -285,55 +285,55 @@
 		s.rows[a.Job] = a.Progress
 		s.step(ProgressSaved{Job: a.Job, Number: a.Number})
 	case StartRun:
-		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
 			s.startRun(w, a)
 		}
 	case StopRun:
-		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
 			s.stopRun(w, a)
 		}
 	case GrantLease:
-		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
 			// The lease counts from when the report was sent.
-			w.lease = max(w.lease, time.Duration(a.ReportNumber)*simStep+simLease-400*time.Millisecond)
+			w.leaseEnd = max(w.leaseEnd, time.Duration(a.ReportNumber)*simStep+simLeaseBound-400*time.Millisecond)
 		}
 	case AcknowledgeEnds:
-		if w := s.worker(a.Worker, a.Incarnation, o); w != nil {
-			s.note(w, a.Number)
-			w.seen = max(w.seen, a.Number)
-			w.ended = slices.DeleteFunc(w.ended, func(e graph.RunEnd) bool { return e.Number <= w.seen })
+		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
+			s.recordAcked(w, a.Number)
+			w.lastAcked = max(w.lastAcked, a.Number)
+			w.ended = slices.DeleteFunc(w.ended, func(e graph.RunEnd) bool { return e.Number <= w.lastAcked })
 		}
 	}
 }
 
-// worker returns the worker that an order reaches, nil if it does not.
-func (s *sim) worker(id, incarnation string, o simOrder) *simWorker {
+// reachableWorker returns the reachableWorker that an order reaches, nil if it does not.
+func (s *sim) reachableWorker(id, incarnation string, o simOrder) *simWorker {
 	for _, w := range s.workers {
-		if o.core == s.ownerOf(w) && w.info.ID == id && w.info.Incarnation() == incarnation && w.linked && !w.cut {
+		if o.core == s.ownerOf(w) && w.info.ID == id && w.info.Incarnation() == incarnation && w.linked && !w.partitioned {
 			return w
 		}
 	}
 	return nil
 }
 
-// note marks the units whose ends are acknowledged for good.
-func (s *sim) note(w *simWorker, number uint64) {
+// recordAcked marks the units whose ends are acknowledged for good.
+func (s *sim) recordAcked(w *simWorker, number uint64) {
 	for _, e := range w.ended {
-		if e.Number > number || e.Number <= w.void {
+		if e.Number > number || e.Number <= w.lastLapsedEnd {
 			continue
 		}
 		u := s.unitOf(e.Task)
 		switch e.Kind {
 		case graph.EndDone:
-			u.noted = true
+			u.doneAcked = true
 		case graph.EndFailed:
-			u.notedFailed = with(u.notedFailed, e.Run)
+			u.ackedFailures = addRun(u.ackedFailures, e.Run)
 		}
 	}
 }
 
-// with adds a run to a set, which may be nil.
-func with(set map[uint64]bool, run uint64) map[uint64]bool {
+// addRun adds a run to a set, which may be nil.
+func addRun(set map[uint64]bool, run uint64) map[uint64]bool {
 	if set == nil {
 		set = map[uint64]bool{}
 	}
@@ -360,14 +360,14 @@
 func (s *sim) startRun(w *simWorker, a StartRun) {
 	s.starts++
 	u := s.unitOf(a.Task)
-	if w.stopped[a.Task.String()] >= a.Run {
+	if w.highestEnded[a.Task.String()] >= a.Run {
 		w.absent = append(w.absent, RunAbsent{a.Task, a.Run, "old"})
-		w.news = true
+		w.reportNow = true
 		return
 	}
 	if w.info.Draining { // the agent knows before the owner
 		w.absent = append(w.absent, RunAbsent{a.Task, a.Run, "drains"})
-		w.news = true
+		w.reportNow = true
 		return
 	}
 	s.checkStart(w, u, a)
@@ -375,48 +375,48 @@
 		s.rejected++
 		s.fail("%v does not fit on %s", a.Task, w.info.ID)
 		w.absent = append(w.absent, RunAbsent{a.Task, a.Run, "room"})
-		w.news = true
+		w.reportNow = true
 		return
 	}
-	u.begun[a.Task.Index] = true
-	s.noteBegun(u.job)
+	u.startedTasks[a.Task.Index] = true
+	s.recordFirstStep(u.job)
 	r := &simRun{task: a.Task, run: a.Run, unit: u}
 	if a.Checkpoint != "" {
-		fmt.Sscanf(a.Checkpoint, "%d", &r.resumed)
-		r.progress = r.resumed
+		fmt.Sscanf(a.Checkpoint, "%d", &r.resumedFrom)
+		r.progress = r.resumedFrom
 	}
 	w.runs = append(w.runs, r)
 	u.runs = append(u.runs, r)
 }
 
-// noteBegun notes when all tasks of a job's first step have begun.
-func (s *sim) noteBegun(j *simJob) {
+// recordFirstStep notes when all tasks of a job's first step have begun.
+func (s *sim) recordFirstStep(j *simJob) {
 	n := 0
 	for _, u := range j.units[0] {
-		n += len(u.begun)
+		n += len(u.startedTasks)
 	}
-	if j.begunAt == 0 && n == j.Steps[0].Count {
-		j.begunAt = s.now
+	if j.firstStepStartedAt == 0 && n == j.Steps[0].Count {
+		j.firstStepStartedAt = s.now
 	}
 }
 
-// noteClaims notes which jobs of the first priority lie within a guarantee:
+// updateGuarantees notes which jobs of the first priority lie within a guarantee:
 // with all others of the account that have not ended they need no more.
-func (s *sim) noteClaims() {
+func (s *sim) updateGuarantees() {
 	need := map[string]int{}
 	for _, j := range s.jobs {
 		if j.Priority == 0 && j.final == "" {
-			need[j.Account] += j.widest()
+			need[j.Account] += j.maxAccelerators()
 		}
 	}
 	for _, j := range s.jobs {
 		if j.final == "" && need[j.Account] > s.policy.GuaranteedAccelerators(j.Account) {
-			j.claims = false
+			j.withinGuarantee = false
 		}
 	}
 }
 
-func (j *simJob) widest() int {
+func (j *simJob) maxAccelerators() int {
 	most := 0
 	for i := range j.Steps {
 		most = max(most, j.Steps[i].TotalNeeds().Accelerators)
@@ -430,11 +430,11 @@
 	if j.cancelled > 0 && s.now > j.cancelled+3*time.Second {
 		s.fail("%v starts after its job was cancelled", a.Task)
 	}
-	if u.noted {
+	if u.doneAcked {
 		s.fail("%v starts after it was done", a.Task)
 	}
-	if len(u.notedFailed) >= max(1, j.MaxAttempts) {
-		s.fail("%v starts after %d of %d attempts have failed", a.Task, len(u.notedFailed), j.MaxAttempts)
+	if len(u.ackedFailures) >= max(1, j.MaxAttempts) {
+		s.fail("%v starts after %d of %d attempts have failed", a.Task, len(u.ackedFailures), j.MaxAttempts)
 	}
 	if a.Spec != j.Spec {
 		s.fail("%v starts with spec %q", a.Task, a.Spec)
@@ -470,7 +470,7 @@
 	for _, r := range w.runs {
 		if r.task == a.Task && r.run == a.Run {
 			if r.stopAt == 0 {
-				r.stopAt = s.now + simStop
+				r.stopAt = s.now + simStopTime
 			}
 			return
 		}
@@ -480,48 +480,48 @@
 			return
 		}
 	}
-	w.stopped[key] = max(w.stopped[key], a.Run)
+	w.highestEnded[key] = max(w.highestEnded[key], a.Run)
 	w.absent = append(w.absent, RunAbsent{a.Task, a.Run, "stopped"})
-	w.news = true
+	w.reportNow = true
 }
 
-// work lets the runs of a worker go on.
-func (s *sim) work(w *simWorker) {
-	if w.lease > 0 && s.now > w.lease {
+// advance lets the runs of a worker go on.
+func (s *sim) advance(w *simWorker) {
+	if w.leaseEnd > 0 && s.now > w.leaseEnd {
 		for _, r := range slices.Clone(w.runs) {
-			s.end(w, r, graph.EndLeaseExpired)
+			s.endRun(w, r, graph.EndLeaseExpired)
 		}
-		w.void = w.seen + uint64(len(w.ended))
+		w.lastLapsedEnd = w.lastAcked + uint64(len(w.ended))
 	}
 	for _, r := range slices.Clone(w.runs) {
 		u := r.unit
 		if r.stopAt > 0 && s.now >= r.stopAt {
-			s.end(w, r, graph.EndStopped)
+			s.endRun(w, r, graph.EndStopped)
 			continue
 		}
-		if !u.together(r.run) {
+		if !u.allMembersRunning(r.run) {
 			s.wasted += simStep.Seconds() * u.step.Needs.Cores()
 			continue
 		}
-		r.progress += time.Duration(float64(simStep) * w.speed / s.spread(u, r.run))
-		if w.bad && r.progress > u.work/4 {
-			s.end(w, r, graph.EndFailed)
+		r.progress += time.Duration(float64(simStep) * w.speed / s.rackSlowdown(u, r.run))
+		if w.faulty && r.progress > u.work/4 {
+			s.endRun(w, r, graph.EndFailed)
 			continue
 		}
 		if r.progress < u.work {
 			continue
 		}
-		if u.fails > 0 {
-			u.fails--
-			s.end(w, r, graph.EndFailed)
+		if u.failuresLeft > 0 {
+			u.failuresLeft--
+			s.endRun(w, r, graph.EndFailed)
 			continue
 		}
-		s.finish(u, r.run)
+		s.finishRun(u, r.run)
 	}
 }
 
-// spread is the factor by which a same-rack gang on several racks is slower.
-func (s *sim) spread(u *simUnit, run uint64) float64 {
+// rackSlowdown is the factor by which a same-rack gang on several racks is slower.
+func (s *sim) rackSlowdown(u *simUnit, run uint64) float64 {
 	if !u.step.SameRack {
 		return 1
 	}
@@ -539,34 +539,34 @@
 	return 1
 }
 
-// together reports whether all members of a run are present.
-func (u *simUnit) together(run uint64) bool {
+// allMembersRunning reports whether all members of a run are present.
+func (u *simUnit) allMembersRunning(run uint64) bool {
 	n := 0
 	for _, r := range u.runs {
 		if r.run == run && r.stopAt == 0 {
 			n++
 		}
 	}
-	return n == u.members
+	return n == u.memberCount
 }
 
-// finish ends all members of a run as done.
-func (s *sim) finish(u *simUnit, run uint64) {
-	if u.noted {
+// finishRun ends all members of a run as done.
+func (s *sim) finishRun(u *simUnit, run uint64) {
+	if u.doneAcked {
 		s.fail("%s step is done twice", u.job.ID)
 	}
 	u.done = true
 	for _, w := range s.workers {
 		for _, r := range slices.Clone(w.runs) {
 			if r.unit == u && r.run == run {
-				s.end(w, r, graph.EndDone)
+				s.endRun(w, r, graph.EndDone)
 			}
 		}
 	}
 }
 
-// end ends one run; the other members of its gang break.
-func (s *sim) end(w *simWorker, r *simRun, how graph.EndKind) {
+// endRun ends one run; the other members of its gang break.
+func (s *sim) endRun(w *simWorker, r *simRun, how graph.EndKind) {
 	u := r.unit
 	w.runs = slices.DeleteFunc(w.runs, func(o *simRun) bool { return o == r })
 	u.runs = slices.DeleteFunc(u.runs, func(o *simRun) bool { return o == r })
@@ -574,13 +574,13 @@
 	if u.step.Checkpointable && how != graph.EndDone {
 		saved = fmt.Sprint(int64(r.progress))
 	} else if how != graph.EndDone {
-		s.wasted += (r.progress - r.resumed).Seconds() * u.step.Needs.Cores()
+		s.wasted += (r.progress - r.resumedFrom).Seconds() * u.step.Needs.Cores()
 	}
-	w.stopped[r.task.String()] = max(w.stopped[r.task.String()], r.run)
-	w.ended = append(w.ended, graph.RunEnd{Number: w.seen + uint64(len(w.ended)) + 1, Task: r.task, Run: r.run, Kind: how, Checkpoint: saved})
-	w.news = true
+	w.highestEnded[r.task.String()] = max(w.highestEnded[r.task.String()], r.run)
+	w.ended = append(w.ended, graph.RunEnd{Number: w.lastAcked + uint64(len(w.ended)) + 1, Task: r.task, Run: r.run, Kind: how, Checkpoint: saved})
+	w.reportNow = true
 	if how == graph.EndFailed {
-		u.failed = with(u.failed, r.run)
+		u.failedRuns = addRun(u.failedRuns, r.run)
 	}
 	if how == graph.EndDone {
 		return
@@ -588,22 +588,22 @@
 	for _, other := range s.workers {
 		for _, o := range slices.Clone(other.runs) {
 			if o.unit == u && o.run == r.run {
-				s.end(other, o, graph.EndGangBroken)
+				s.endRun(other, o, graph.EndGangBroken)
 			}
 		}
 	}
 }
 
-// beat reports to the owner when there is news, and every simBeat.
-func (s *sim) beat(w *simWorker) {
-	if !w.linked || w.cut || !w.news && s.now < w.reports {
+// report reports to the owner when there is news, and every simBeat.
+func (s *sim) report(w *simWorker) {
+	if !w.linked || w.partitioned || !w.reportNow && s.now < w.nextReportAt {
 		return
 	}
-	if s.earlier == nil && s.now < s.start+300*time.Millisecond {
+	if s.earlierOwner == nil && s.now < s.termStart+300*time.Millisecond {
 		return
 	}
-	w.news = false
-	w.reports = s.now + simBeat
+	w.reportNow = false
+	w.nextReportAt = s.now + simReportInterval
 	e := WorkerReport{Worker: w.info, Session: fmt.Sprintf("%s-%d", w.info.ID, w.session), Absent: w.absent, WorkerResponsive: true, Number: uint64(s.now / simStep)}
 	w.absent = nil
 	for _, r := range w.runs {
@@ -625,27 +625,27 @@
 // crash ends a worker's life; a new one begins at once.
 func (s *sim) crash(w *simWorker) {
 	for _, r := range slices.Clone(w.runs) {
-		s.wasted += (r.progress - r.resumed).Seconds() * r.unit.step.Needs.Cores()
+		s.wasted += (r.progress - r.resumedFrom).Seconds() * r.unit.step.Needs.Cores()
 		w.runs = nil
 		u := r.unit
 		u.runs = slices.DeleteFunc(u.runs, func(o *simRun) bool { return o == r })
 		for _, other := range s.workers {
 			for _, o := range slices.Clone(other.runs) {
 				if o.unit == u && o.run == r.run && other != w {
-					s.end(other, o, graph.EndGangBroken)
+					s.endRun(other, o, graph.EndGangBroken)
 				}
 			}
 		}
 	}
 	w.runs, w.ended, w.absent = nil, nil, nil
-	w.seen, w.lease, w.void = 0, 0, 0
-	w.stopped = map[string]uint64{}
+	w.lastAcked, w.leaseEnd, w.lastLapsedEnd = 0, 0, 0
+	w.highestEnded = map[string]uint64{}
 	w.info.StartUnixMillis++
-	w.news = true
+	w.reportNow = true
 }
 
-// watch notes the jobs that have become final and checks what is shown.
-func (s *sim) watch() {
+// checkFinalJobs notes the jobs that have become final and checks what is shown.
+func (s *sim) checkFinalJobs() {
 	for _, j := range s.jobs {
 		if j.final != "" {
 			continue
@@ -672,7 +672,7 @@
 func (j *simJob) outOfAttempts() bool {
 	for _, units := range j.units {
 		for _, u := range units {
-			if len(u.failed) >= max(1, j.MaxAttempts) {
+			if len(u.failedRuns) >= max(1, j.MaxAttempts) {
 				return true
 			}
 		}
@@ -693,31 +693,31 @@
 
 // objective is the latency that callers expect, by the true work.
 func (j *simJob) objective() time.Duration {
-	return time.Duration(j.Stretch*float64(j.truth)) + j.Allowance
+	return time.Duration(j.Stretch*float64(j.trueDuration)) + j.Allowance
 }
 
-// earned returns what a job has earned of its worth.
-func (j *simJob) earned() float64 {
+// earnedValue returns what a job has earnedValue of its worth.
+func (j *simJob) earnedValue() float64 {
 	took := j.finishedAt - j.submitted
 	switch {
 	case j.final != graph.Completed || took > worthlessFactor*j.objective():
 		return 0
 	case took > j.objective():
-		return j.worth * j.late
+		return j.value * j.lateFraction
 	default:
-		return j.worth
+		return j.value
 	}
 }
 
-// wastePrice is the price of a core-second of work thrown away, in the worth of
+// wasteCost is the price of a core-second of work thrown away, in the worth of
 // the jobs.
-const wastePrice = 0.0017
+const wasteCost = 0.0017
 
 // result sums up a play.
 type result struct {
-	worth  float64 // earned of what was owed
+	value  float64 // earned of what was owed
 	net    float64 // less the price of work thrown away
-	inAim  int
+	onTime int
 	late   int
 	missed int
 	wasted float64
@@ -733,12 +733,12 @@
 		if j.cancelled > 0 {
 			continue
 		}
-		owed += j.worth
-		e := j.earned()
+		owed += j.value
+		e := j.earnedValue()
 		earned += e
 		switch {
-		case e == j.worth:
-			r.inAim++
+		case e == j.value:
+			r.onTime++
 		case e > 0:
 			r.late++
 		default:
@@ -752,7 +752,7 @@
 	if len(took) > 0 {
 		r.p50, r.p95 = took[len(took)/2], took[len(took)*95/100]
 	}
-	r.worth, r.wasted = earned/owed, s.wasted
-	r.net = (earned - wastePrice*s.wasted) / owed
+	r.value, r.wasted = earned/owed, s.wasted
+	r.net = (earned - wasteCost*s.wasted) / owed
 	return r
 }
--- a/internal/graph/plan/load_test.go
+++ b/internal/graph/plan/load_test.go
@@ -13,27 +13,27 @@
 
 // class is a kind of job of a load.
 type class struct {
-	name     string
-	priority int
-	perSec   float64
-	work     time.Duration
-	spread   float64
-	most     time.Duration
-	width    float64 // tasks, mean
-	maxWidth int
-	needs    graph.Resources
-	gpus     []int
-	gang     float64 // share of the steps
-	sameRack float64 // share of the gangs
-	saves    float64
-	off      float64 // of the estimates
-	stretch  float64
-	aim      time.Duration
-	attempts int
-	failing  float64
-	worth    float64
-	late     float64
-	cancel   float64
+	name            string
+	priority        int
+	ratePerSec      float64
+	meanWork        time.Duration
+	workSpread      float64
+	maxWork         time.Duration
+	meanTasks       float64 // tasks, mean
+	maxTasks        int
+	needs           graph.Resources
+	accelerators    []int
+	gangShare       float64 // share of the steps
+	sameRackShare   float64 // share of the gangs
+	checkpointShare float64
+	estimateSpread  float64 // of the estimates
+	stretch         float64
+	allowance       time.Duration
+	maxAttempts     int
+	failureShare    float64
+	value           float64
+	lateFraction    float64
+	cancelShare     float64
 }
 
 // assessments is the load of the tree assessments on a busy day: long surveys,
@@ -61,7 +61,7 @@
 // draw draws a job of a class.
 func (c *class) draw(r *rand.Rand, n int) *simJob {
 	j := &simJob{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("j%04d", n)), Queue: c.name, Account: fmt.Sprintf("a%d", int(r.Float64()*r.Float64()*4)),
-		Pool: "pool", Spec: fmt.Sprint("spec", n), Priority: c.priority, MaxAttempts: c.attempts, Stretch: c.stretch, Allowance: c.aim}, units: map[int][]*simUnit{}}
+		Pool: "pool", Spec: fmt.Sprint("spec", n), Priority: c.priority, MaxAttempts: c.maxAttempts, Stretch: c.stretch, Allowance: c.allowance}, units: map[int][]*simUnit{}}
 	steps := 1
 	if c.priority == 2 && r.Float64() < 0.3 {
 		steps = 2
@@ -70,28 +70,28 @@
 	for i := range steps {
 		size += c.drawStep(r, j, i)
 	}
-	mean := c.work.Seconds() * c.width * (c.needs.Cores() + acceleratorMean(c.gpus)*8)
-	j.worth, j.late = c.worth*min(4, 0.3+0.7*size/mean), c.late
+	mean := c.meanWork.Seconds() * c.meanTasks * (c.needs.Cores() + meanAccelerators(c.accelerators)*8)
+	j.value, j.lateFraction = c.value*min(4, 0.3+0.7*size/mean), c.lateFraction
 	return j
 }
 
-func acceleratorMean(gpus []int) float64 {
+func meanAccelerators(choices []int) float64 {
 	sum := 0
-	for _, g := range gpus {
+	for _, g := range choices {
 		sum += g
 	}
-	return float64(sum) / float64(len(gpus))
+	return float64(sum) / float64(len(choices))
 }
 
 func (c *class) drawStep(r *rand.Rand, j *simJob, i int) float64 {
-	work := min(time.Duration(lognormal(r, float64(c.work), c.spread)), c.most)
-	s := graph.Step{Count: max(1, min(c.maxWidth, int(lognormal(r, c.width, 0.8)+0.5))), Needs: c.needs}
-	s.Needs.Accelerators = c.gpus[r.Intn(len(c.gpus))]
-	s.Estimate = time.Duration(float64(work) * math.Exp(r.NormFloat64()*c.off))
-	s.Checkpointable = r.Float64() < c.saves
-	if s.Count > 1 && r.Float64() < c.gang && s.Count*s.Needs.Accelerators <= 16 {
+	work := min(time.Duration(lognormal(r, float64(c.meanWork), c.workSpread)), c.maxWork)
+	s := graph.Step{Count: max(1, min(c.maxTasks, int(lognormal(r, c.meanTasks, 0.8)+0.5))), Needs: c.needs}
+	s.Needs.Accelerators = c.accelerators[r.Intn(len(c.accelerators))]
+	s.Estimate = time.Duration(float64(work) * math.Exp(r.NormFloat64()*c.estimateSpread))
+	s.Checkpointable = r.Float64() < c.checkpointShare
+	if s.Count > 1 && r.Float64() < c.gangShare && s.Count*s.Needs.Accelerators <= 16 {
 		s.Gang = true
-		s.SameRack = r.Float64() < c.sameRack
+		s.SameRack = r.Float64() < c.sameRackShare
 	}
 	if i > 0 {
 		s.After = []int{i - 1}
@@ -103,21 +103,21 @@
 		units, members = 1, s.Count
 	}
 	for range units {
-		u := &simUnit{job: j, begun: map[int]bool{}, work: time.Duration(float64(work) * (1 + 0.15*(2*r.Float64()-1))), members: members}
-		if r.Float64() < c.failing {
-			u.fails = 1
+		u := &simUnit{job: j, startedTasks: map[int]bool{}, work: time.Duration(float64(work) * (1 + 0.15*(2*r.Float64()-1))), memberCount: members}
+		if r.Float64() < c.failureShare {
+			u.failuresLeft = 1
 		}
 		j.units[i] = append(j.units[i], u)
 	}
 	// A wide step runs in waves where it takes more than a quarter of the fleet.
 	waves := math.Max(1, float64(s.Count*max(s.Needs.Accelerators, 1))/22)
-	j.truth += time.Duration(float64(work) * waves)
+	j.trueDuration += time.Duration(float64(work) * waves)
 	_ = step
 	return work.Seconds() * float64(s.Count) * s.Needs.Cores()
 }
 
-// fix points the units at the steps once no more are appended.
-func (j *simJob) fix() {
+// linkSteps points the units at the steps once no more are appended.
+func (j *simJob) linkSteps() {
 	for i, units := range j.units {
 		for _, u := range units {
 			u.step = &j.Steps[i]
@@ -138,13 +138,13 @@
 	for ms := 0; ms < seconds*1000; ms += 10 {
 		for i := range classes {
 			c := &classes[i]
-			rate := c.perSec * factor
+			rate := c.ratePerSec * factor
 			if c.priority == 0 && ms > 4000 && ms < 10000 {
 				rate *= 2.3
 			}
 			if r.Float64() < rate/100 {
 				j := c.draw(r, n)
-				j.fix()
+				j.linkSteps()
 				n++
 				out = append(out, arrival{time.Duration(ms) * time.Millisecond, j})
 			}
@@ -154,24 +154,24 @@
 }
 
 // play plays a load until all jobs are final, or for long enough.
-func (s *sim) play(load []arrival, cancels *rand.Rand, share map[string]float64) {
-	type leaving struct {
-		at time.Duration
-		j  *simJob
+func (s *sim) play(load []arrival, cancels *rand.Rand, cancelShare map[string]float64) {
+	type cancellation struct {
+		at  time.Duration
+		job *simJob
 	}
-	var leave []leaving
+	var cancellations []cancellation
 	s.runUntil(time.Second)
 	begin := s.now
 	for _, a := range load {
 		s.runUntil(begin + a.at)
-		for _, l := range leave {
-			if l.at <= s.now && l.j.cancelled == 0 && l.j.final == "" {
-				s.cancel(l.j)
+		for _, l := range cancellations {
+			if l.at <= s.now && l.job.cancelled == 0 && l.job.final == "" {
+				s.cancel(l.job)
 			}
 		}
 		s.submit(a.job)
-		if cancels.Float64() < share[a.job.Queue] {
-			leave = append(leave, leaving{s.now + time.Duration(cancels.Intn(8000))*time.Millisecond, a.job})
+		if cancels.Float64() < cancelShare[a.job.Queue] {
+			cancellations = append(cancellations, cancellation{s.now + time.Duration(cancels.Intn(8000))*time.Millisecond, a.job})
 		}
 	}
 	for limit := s.now + 3*time.Minute; s.now < limit && !s.finished(); {
@@ -217,8 +217,8 @@
 		}
 		res := s.result()
 		t.Logf("seed %d: %d jobs, worth %.3f, %d in aim, %d late, %d missed, wasted %.0f core-s, p50 %v p95 %v",
-			seed, len(s.jobs), res.worth, res.inAim, res.late, res.missed, res.wasted, res.p50, res.p95)
-		sum += res.worth
+			seed, len(s.jobs), res.value, res.onTime, res.late, res.missed, res.wasted, res.p50, res.p95)
+		sum += res.value
 	}
 	t.Logf("mean worth %.4f", sum/days)
 	if sum/days < 0.95 {
@@ -226,23 +226,23 @@
 	}
 }
 
-// reclaimBound is within which the first step of a job of the first priority
+// reclaimLimit is within which the first step of a job of the first priority
 // within its account's guarantee has to have begun, after its acceptance.
-const reclaimBound = 2900 * time.Millisecond
+const reclaimLimit = 2900 * time.Millisecond
 
-// TestReclaimInTime plays overloaded days on which the workers are full of
+// TestGuaranteedJobsStartInTime plays overloaded days on which the workers are full of
 // other accounts' work, and checks the bound for all jobs within a guarantee.
-func TestReclaimInTime(t *testing.T) {
+func TestGuaranteedJobsStartInTime(t *testing.T) {
 	within := 0
 	for seed := range int64(30) {
 		s := playAssessments(t, 3000+seed, 2.2)
 		for _, j := range s.jobs {
-			if !j.claims || j.cancelled > 0 && j.cancelled < j.submitted+reclaimBound {
+			if !j.withinGuarantee || j.cancelled > 0 && j.cancelled < j.submitted+reclaimLimit {
 				continue
 			}
 			within++
-			if j.begunAt == 0 || j.begunAt > j.submitted+reclaimBound {
-				t.Errorf("seed %d: %s of %s, %d accelerators, began %v after its submission", seed, j.ID, j.Account, j.widest(), j.begunAt-j.submitted)
+			if j.firstStepStartedAt == 0 || j.firstStepStartedAt > j.submitted+reclaimLimit {
+				t.Errorf("seed %d: %s of %s, %d accelerators, began %v after its submission", seed, j.ID, j.Account, j.maxAccelerators(), j.firstStepStartedAt-j.submitted)
 			}
 		}
 	}
@@ -264,7 +264,7 @@
 		for seed := range int64(days) {
 			s := playAssessments(t, 1000+seed, factor)
 			r := s.result()
-			worth += r.worth / days
+			worth += r.value / days
 			net += r.net / days
 			wasted += r.wasted / days
 			late += r.late
--- a/internal/graph/plan/machine_test.go
+++ b/internal/graph/plan/machine_test.go
@@ -17,45 +17,45 @@
 // its answer.
 type planMachine struct {
 	*sim
-	rnd *rand.Rand
-	n   int
+	rnd      *rand.Rand
+	jobCount int
 	// calmAt is when the last disturbance ended or began.
 	calmAt time.Duration
 }
 
-func (m *planMachine) pick(t *rapid.T) *simWorker {
+func (m *planMachine) drawWorker(t *rapid.T) *simWorker {
 	m.calmAt = m.now
 	return m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(t, "worker")]
 }
 
-func (m *planMachine) submitOne(t *rapid.T) {
+func (m *planMachine) submitDrawn(t *rapid.T) {
 	classes := assessments()
 	c := classes[rapid.IntRange(0, len(classes)-1).Draw(t, "class")]
-	j := c.draw(m.rnd, m.n)
-	m.n++
+	j := c.draw(m.rnd, m.jobCount)
+	m.jobCount++
 	if rapid.IntRange(0, 5).Draw(t, "spread") == 0 {
 		j.Steps[0].MaxPerWorker = 2
 		j.Steps[0].Gang = false
-		j = m.redraw(c, j)
+		j = m.rebuildUnits(c, j)
 	}
-	j.fix()
-	if wider(j) {
+	j.linkSteps()
+	if tooWide(j) {
 		return
 	}
 	m.submit(j)
 }
 
-// redraw rebuilds the units of a job whose first step is no gang any more.
-func (m *planMachine) redraw(c class, j *simJob) *simJob {
+// rebuildUnits rebuilds the units of a job whose first step is no gang any more.
+func (m *planMachine) rebuildUnits(c class, j *simJob) *simJob {
 	j.units[0] = nil
 	for range j.Steps[0].Count {
-		j.units[0] = append(j.units[0], &simUnit{job: j, begun: map[int]bool{}, work: c.work, members: 1})
+		j.units[0] = append(j.units[0], &simUnit{job: j, startedTasks: map[int]bool{}, work: c.meanWork, memberCount: 1})
 	}
 	return j
 }
 
-// wider reports whether a gang is too wide for the machine's small fleet.
-func wider(j *simJob) bool {
+// tooWide reports whether a gang is too wide for the machine's small fleet.
+func tooWide(j *simJob) bool {
 	for _, s := range j.Steps {
 		if s.Gang && (s.Count > 4 || s.TotalNeeds().Accelerators > 8) {
 			return true
@@ -66,10 +66,10 @@
 
 func (m *planMachine) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"submit": m.submitOne,
+		"submit": m.submitDrawn,
 		"burst": func(t *rapid.T) {
 			for range rapid.IntRange(2, 6).Draw(t, "jobs") {
-				m.submitOne(t)
+				m.submitDrawn(t)
 			}
 		},
 		"cancel": func(t *rapid.T) {
@@ -85,30 +85,30 @@
 			m.runUntil(m.now + time.Duration(rapid.IntRange(10, 3000).Draw(t, "ms"))*time.Millisecond)
 		},
 		"pass short": func(t *rapid.T) { m.runUntil(m.now + time.Duration(rapid.IntRange(1, 20).Draw(t, "steps"))*simStep) },
-		"crash":      func(t *rapid.T) { m.crash(m.pick(t)) },
+		"crash":      func(t *rapid.T) { m.crash(m.drawWorker(t)) },
 		"cut": func(t *rapid.T) {
-			w := m.pick(t)
-			if w.cut {
-				w.rejoin()
+			w := m.drawWorker(t)
+			if w.partitioned {
+				w.reconnect()
 				return
 			}
-			w.cut = true
+			w.partitioned = true
 		},
 		"relink": func(t *rapid.T) {
-			w := m.pick(t)
+			w := m.drawWorker(t)
 			old := fmt.Sprintf("%s-%d", w.info.ID, w.session)
 			w.session++
 			w.absent = nil
-			w.news = true
+			w.reportNow = true
 			m.step(SessionClosed{Worker: w.info.ID, Session: old})
 		},
 		"slow": func(t *rapid.T) {
-			w := m.pick(t)
+			w := m.drawWorker(t)
 			w.speed = rapid.SampledFrom([]float64{1, 0.2, 0}).Draw(t, "speed")
 		},
-		"bad":   func(t *rapid.T) { w := m.pick(t); w.bad = !w.bad },
-		"drain": func(t *rapid.T) { m.drain(m.pick(t)) },
-		"store": func(*rapid.T) { m.calmAt = m.now; m.noStore = !m.noStore },
+		"bad":   func(t *rapid.T) { w := m.drawWorker(t); w.faulty = !w.faulty },
+		"drain": func(t *rapid.T) { m.drain(m.drawWorker(t)) },
+		"store": func(*rapid.T) { m.calmAt = m.now; m.storeDown = !m.storeDown },
 		"zone": func(*rapid.T) {
 			m.calmAt = m.now
 			m.toggleZone("z0")
@@ -116,16 +116,16 @@
 		"take over": func(*rapid.T) { m.calmAt = m.now; m.takeOver() },
 		"take over early": func(t *rapid.T) {
 			m.calmAt = m.now
-			m.takeOverEarly(func() time.Duration {
+			m.takeOverWithOverlap(func() time.Duration {
 				return time.Duration(rapid.IntRange(1, int(simOverlap/simStep)).Draw(t, "moves")) * simStep
 			})
 		},
 	}
 }
 
-// rejoin ends a cut: orders and reports of the old connection are lost.
-func (w *simWorker) rejoin() {
-	w.cut = false
+// reconnect ends a cut: orders and reports of the old connection are lost.
+func (w *simWorker) reconnect() {
+	w.partitioned = false
 	w.session++
 	w.absent = nil
 }
@@ -133,7 +133,7 @@
 func (m *planMachine) drain(w *simWorker) {
 	w.info.Draining = !w.info.Draining
 	w.info.DrainRemaining = 5 * time.Second
-	w.news = true
+	w.reportNow = true
 }
 
 func (m *planMachine) toggleZone(zone string) {
@@ -150,17 +150,17 @@
 	m.policy = next
 }
 
-// heal ends all disturbances and expects an answer to every job.
-func (m *planMachine) heal(t *rapid.T) {
-	m.noStore = false
+// recoverAndCheck ends all disturbances and expects an answer to every job.
+func (m *planMachine) recoverAndCheck(t *rapid.T) {
+	m.storeDown = false
 	if m.policy.ZonesOut["z0"] {
 		m.toggleZone("z0")
 	}
 	for _, w := range m.workers {
-		if w.cut {
-			w.rejoin()
+		if w.partitioned {
+			w.reconnect()
 		}
-		w.bad, w.speed = false, 1
+		w.faulty, w.speed = false, 1
 		if w.info.Draining {
 			m.drain(w)
 		}
@@ -195,40 +195,40 @@
 		m := &planMachine{sim: s, rnd: rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))}
 		m.runUntil(time.Second)
 		t.Repeat(m.actions())
-		m.heal(t)
+		m.recoverAndCheck(t)
 	})
 }
 
-// TestLeaseOfAnEarlierOwner shows that work is not begun again while it runs on
+// TestNoSecondRunUnderEarlierOwnersLease shows that work is not begun again while it runs on
 // under a lease that an earlier owner has granted after it was followed, by an
 // agent that the new owner has never heard.
-func TestLeaseOfAnEarlierOwner(t *testing.T) {
+func TestNoSecondRunUnderEarlierOwnersLease(t *testing.T) {
 	s := newSim(8, assessmentWorker, loadPolicy(), t.Errorf)
 	s.runUntil(time.Second)
 	j := assessments()[0].draw(rand.New(rand.NewSource(1)), 0)
 	j.Steps = j.Steps[:1]
 	j.Steps[0].Count, j.Steps[0].Gang, j.Steps[0].Estimate = 1, false, time.Minute
-	u := &simUnit{job: j, begun: map[int]bool{}, work: 30 * time.Second, members: 1}
+	u := &simUnit{job: j, startedTasks: map[int]bool{}, work: 30 * time.Second, memberCount: 1}
 	j.units = map[int][]*simUnit{0: {u}}
-	j.fix()
+	j.linkSteps()
 	s.submit(j)
 	s.runUntil(s.now + time.Second)
 	if len(u.runs) != 1 {
 		t.Fatalf("%d runs", len(u.runs))
 	}
-	s.takeOverEarly(func() time.Duration { return simOverlap })
+	s.takeOverWithOverlap(func() time.Duration { return simOverlap })
 	for _, w := range s.workers {
-		w.news = len(w.runs) > 0
+		w.reportNow = len(w.runs) > 0
 	}
 	s.runUntil(s.now + simOverlap - 4*simStep)
 	for _, w := range s.workers {
-		w.news = len(w.runs) > 0 // the last report to the earlier owner
+		w.reportNow = len(w.runs) > 0 // the last report to the earlier owner
 	}
 	s.runUntil(s.now + 2*simStep)
 	for _, w := range s.workers {
-		w.cut = len(w.runs) > 0
+		w.partitioned = len(w.runs) > 0
 	}
-	s.runUntil(s.now + 2*simLease)
+	s.runUntil(s.now + 2*simLeaseBound)
 	if s.starts < 2 {
 		t.Error("the task was not begun again once the lease was over")
 	}
--- a/internal/graph/plan/place.go
+++ b/internal/graph/plan/place.go
@@ -43,7 +43,7 @@
 func packTasks(candidates []candidate, step *graph.Step, tasks int, perWorker map[*worker]int) []allocation {
 	type fit struct {
 		candidate
-		fits int
+		tasks int
 	}
 	var fits []fit
 	for _, p := range candidates {
@@ -62,13 +62,13 @@
 		}
 		best := 0
 		for i := range fits {
-			if tighterFit(fits[i].fits, fits[best].fits, tasks) ||
-				fits[i].fits == fits[best].fits && unusedFraction(fits[i].candidate, step, min(tasks, fits[i].fits)) < unusedFraction(fits[best].candidate, step, min(tasks, fits[best].fits)) {
+			if tighterFit(fits[i].tasks, fits[best].tasks, tasks) ||
+				fits[i].tasks == fits[best].tasks && unusedFraction(fits[i].candidate, step, min(tasks, fits[i].tasks)) < unusedFraction(fits[best].candidate, step, min(tasks, fits[best].tasks)) {
 				best = i
 			}
 		}
 		chosen := fits[best]
-		taken := min(tasks, chosen.fits)
+		taken := min(tasks, chosen.tasks)
 		allocs = append(allocs, allocation{chosen.worker, taken})
 		tasks -= taken
 		fits = slices.Delete(fits, best, best+1)
--- a/internal/graph/plan/reclaim.go
+++ b/internal/graph/plan/reclaim.go
@@ -92,16 +92,16 @@
 	victims := c.evictableUnits(u, g, why, trial)
 	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.lossPerCore, b.lossPerCore) })
 	allocs := trial.allocate()
-	taken := 0
-	for ; allocs == nil && taken < len(victims); taken++ {
-		trial.evict(victims[taken].unit)
+	evicted := 0
+	for ; allocs == nil && evicted < len(victims); evicted++ {
+		trial.evict(victims[evicted].unit)
 		allocs = trial.allocate()
 	}
 	if allocs == nil {
 		return nil
 	}
 	plan := &evictionPlan{}
-	for i := taken - 1; i >= 0; i-- {
+	for i := evicted - 1; i >= 0; i-- {
 		v := victims[i]
 		trial.restore(v.unit)
 		if p := trial.allocate(); p != nil {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -56,8 +56,8 @@
 	accountOfKey map[string]*ClientAccount
 }
 
-// index prepares look-ups.
-func (s *Snapshot) index() {
+// buildIndex prepares look-ups.
+func (s *Snapshot) buildIndex() {
 	s.accountOfKey = map[string]*ClientAccount{}
 	for i := range s.Accounts {
 		for _, key := range s.Accounts[i].Keys {
--- a/internal/policy/watcher.go
+++ b/internal/policy/watcher.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// watchPart is the part of the time in which a change has to be in force that
+	// waitFraction is the part of the time in which a change has to be in force that
 	// one call waits for a change, and slackPart the part that its answer may take
 	// beyond that: a silent connection is found after both, and the change has to
 	// be read then.
-	watchPart = 0.35
-	slackPart = 0.25
-	// maxWatch bounds the wait, so that an entry without the store is known soon.
-	maxWatch = 700 * time.Millisecond
-	// usualKeyEnd and usualApply are the limits where none are set.
-	usualKeyEnd = 5 * time.Second
-	usualApply  = 2 * time.Second
-	// keyMargin is the part of the time in which a key has to end that a snapshot
+	waitFraction  = 0.35
+	slackFraction = 0.25
+	// maxWait bounds the wait, so that an entry without the store is known soon.
+	maxWait = 700 * time.Millisecond
+	// defaultRevocationTime and usualApply are the limits where none are set.
+	defaultRevocationTime = 5 * time.Second
+	defaultApplyTime      = 2 * time.Second
+	// revocationMargin is the part of the time in which a key has to end that a snapshot
 	// is not used in, for calls on their way and a clock's rate.
-	keyMargin = 0.06
+	revocationMargin = 0.06
 	// readTimeout bounds one read of the whole configuration.
 	readTimeout = 1200 * time.Millisecond
-	// retryWait is the time between two calls after a failure.
-	retryWait = 100 * time.Millisecond
+	// retryDelay is the time between two calls after a failure.
+	retryDelay = 100 * time.Millisecond
 )
 
 // Limits are the times in which operators' changes have to take effect. Zero
@@ -45,32 +45,36 @@
 
 func (l Limits) withDefaults() Limits {
 	if l.RevocationTime == 0 {
-		l.RevocationTime = usualKeyEnd
+		l.RevocationTime = defaultRevocationTime
 	}
 	if l.ApplyTime == 0 {
-		l.ApplyTime = usualApply
+		l.ApplyTime = defaultApplyTime
 	}
 	return l
 }
 
 // wait is how long one call waits for a change.
 func (l Limits) wait() time.Duration {
-	return min(maxWatch, part(watchPart, min(l.ApplyTime, l.RevocationTime/2)))
+	return min(maxWait, fractionOf(waitFraction, min(l.ApplyTime, l.RevocationTime/2)))
 }
 
 // slack is how long the answer may take beyond that.
-func (l Limits) slack() time.Duration { return part(slackPart, min(l.ApplyTime, l.RevocationTime/2)) }
+func (l Limits) slack() time.Duration {
+	return fractionOf(slackFraction, min(l.ApplyTime, l.RevocationTime/2))
+}
 
-// watch is the age that a confirmation reaches while all is well.
-func (l Limits) watch() time.Duration { return l.wait() + l.slack() }
+// maxConfirmationAge is the age that a confirmation reaches while all is well.
+func (l Limits) maxConfirmationAge() time.Duration { return l.wait() + l.slack() }
 
-// fresh is the age of the last confirmation up to which a snapshot may be used
+// maxSnapshotAge is the age of the last confirmation up to which a snapshot may be used
 // for callers. A watch may have missed a change for as long as one call lasts.
-func (l Limits) fresh() time.Duration {
-	return l.RevocationTime - l.watch() - part(keyMargin, l.RevocationTime)
+func (l Limits) maxSnapshotAge() time.Duration {
+	return l.RevocationTime - l.maxConfirmationAge() - fractionOf(revocationMargin, l.RevocationTime)
 }
 
-func part(of float64, d time.Duration) time.Duration { return time.Duration(of * float64(d)) }
+func fractionOf(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
 
 // ErrHistoryGone says that the store no longer tells what has changed since a
 // revision; the configuration has to be read anew.
@@ -87,30 +91,30 @@
 // Watcher keeps the newest configuration. A process never goes back to a lower
 // version.
 type Watcher struct {
-	source Source
-	limits Limits
-	clock  func() time.Duration
-	log    zerolog.Logger
-	reads  metrics.Counter
-	fails  metrics.Counter
+	source   Source
+	limits   Limits
+	clock    func() time.Duration
+	log      zerolog.Logger
+	reads    metrics.Counter
+	failures metrics.Counter
 
-	mu        sync.Mutex
-	current   *Snapshot
-	confirmed time.Duration // start of the last call that confirmed current
-	lost      bool
-	subs      []func(*Snapshot)
-	loops     kernel.Loops
+	mu          sync.Mutex
+	current     *Snapshot
+	confirmedAt time.Duration // start of the last call that confirmed current
+	storeLost   bool
+	subscribers []func(*Snapshot)
+	loops       kernel.Loops
 }
 
 // NewWatcher returns a watcher that is not running yet.
 func NewWatcher(source Source, limits Limits, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *Watcher {
 	return &Watcher{
-		source: source,
-		limits: limits.withDefaults(),
-		clock:  clock,
-		log:    log,
-		reads:  metrics.GetOrRegisterCounter("policy.reads", registry),
-		fails:  metrics.GetOrRegisterCounter("policy.failures", registry),
+		source:   source,
+		limits:   limits.withDefaults(),
+		clock:    clock,
+		log:      log,
+		reads:    metrics.GetOrRegisterCounter("policy.reads", registry),
+		failures: metrics.GetOrRegisterCounter("policy.failures", registry),
 	}
 }
 
@@ -131,7 +135,7 @@
 func (w *Watcher) Subscribe(fn func(*Snapshot)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.subs = append(w.subs, fn)
+	w.subscribers = append(w.subscribers, fn)
 }
 
 // LatestSnapshot returns the newest snapshot, however old its confirmation is; nil
@@ -143,14 +147,14 @@
 }
 
 // MaxConfirmationAge is the age that a confirmation reaches while all is well.
-func (w *Watcher) MaxConfirmationAge() time.Duration { return w.limits.watch() }
+func (w *Watcher) MaxConfirmationAge() time.Duration { return w.limits.maxConfirmationAge() }
 
 // FreshSnapshot returns the newest snapshot if it has been confirmed lately, else nil.
 func (w *Watcher) FreshSnapshot() (s *Snapshot, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	age = w.clock() - w.confirmed
-	if w.current == nil || age > w.limits.fresh() {
+	age = w.clock() - w.confirmedAt
+	if w.current == nil || age > w.limits.maxSnapshotAge() {
 		return nil, age
 	}
 	return w.current, age
@@ -161,10 +165,10 @@
 func (w *Watcher) StoreOutage() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.current != nil && !w.lost {
+	if w.current != nil && !w.storeLost {
 		return 0
 	}
-	return w.clock() - w.confirmed
+	return w.clock() - w.confirmedAt
 }
 
 func (w *Watcher) follow(ctx context.Context) {
@@ -178,8 +182,8 @@
 			}
 		}
 		if err != nil && ctx.Err() == nil {
-			w.failed(err)
-			kernel.Sleep(ctx, retryWait)
+			w.handleFailure(err)
+			kernel.Sleep(ctx, retryDelay)
 		}
 	}
 }
@@ -199,7 +203,7 @@
 
 func (w *Watcher) wait(ctx context.Context, revision uint64) (bool, error) {
 	start := w.clock()
-	ctx, cancel := context.WithTimeout(ctx, w.limits.watch())
+	ctx, cancel := context.WithTimeout(ctx, w.limits.maxConfirmationAge())
 	defer cancel()
 	changed, err := w.source.WaitForChange(ctx, revision, w.limits.wait())
 	if err != nil {
@@ -214,43 +218,43 @@
 func (w *Watcher) confirm(at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.confirmed = max(w.confirmed, at)
-	w.regained()
+	w.confirmedAt = max(w.confirmedAt, at)
+	w.markRegained()
 }
 
-func (w *Watcher) regained() {
-	if w.lost {
-		w.lost = false
+func (w *Watcher) markRegained() {
+	if w.storeLost {
+		w.storeLost = false
 		w.log.Info().Msg("configuration store regained")
 	}
 }
 
-func (w *Watcher) failed(err error) {
-	w.fails.Inc(1)
+func (w *Watcher) handleFailure(err error) {
+	w.failures.Inc(1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.lost && !errors.Is(err, ErrHistoryGone) {
-		w.lost = true
-		w.log.Warn().Err(err).Dur("confirmed_ago", w.clock()-w.confirmed).Msg("configuration store lost")
+	if !w.storeLost && !errors.Is(err, ErrHistoryGone) {
+		w.storeLost = true
+		w.log.Warn().Err(err).Dur("confirmed_ago", w.clock()-w.confirmedAt).Msg("configuration store lost")
 	}
 }
 
 // apply takes over what was read in a call that began at start.
 func (w *Watcher) apply(start time.Duration, next *Snapshot) {
 	w.mu.Lock()
-	w.regained()
+	w.markRegained()
 	if next == nil || w.current != nil && next.Version < w.current.Version {
 		w.mu.Unlock()
 		return
 	}
-	next.index()
+	next.buildIndex()
 	w.current = next
-	w.confirmed = max(w.confirmed, start)
-	subs := append(([]func(*Snapshot))(nil), w.subs...)
+	w.confirmedAt = max(w.confirmedAt, start)
+	subscribers := append(([]func(*Snapshot))(nil), w.subscribers...)
 	w.mu.Unlock()
 	w.log.Info().Uint64("version", next.Version).Int("queues", len(next.Queues)).
 		Int("accounts", len(next.Accounts)).Int("zones_out", len(next.ZonesOut)).Msg("configuration in force")
-	for _, fn := range subs {
+	for _, fn := range subscribers {
 		fn(next)
 	}
 }
--- a/internal/policy/watcher_test.go
+++ b/internal/policy/watcher_test.go
@@ -20,23 +20,23 @@
 			RevocationTime: time.Duration(rapid.IntRange(500, 20000).Draw(t, "key end")) * time.Millisecond,
 			ApplyTime:      time.Duration(rapid.IntRange(300, 20000).Draw(t, "apply")) * time.Millisecond,
 		}
-		if in := l.watch(); in > l.ApplyTime*3/4 {
-			t.Errorf("%+v: a change is read after %v", l, in)
+		if age := l.maxConfirmationAge(); age > l.ApplyTime*3/4 {
+			t.Errorf("%+v: a change is read after %v", l, age)
 		}
-		if end := l.watch() + l.fresh(); end >= l.RevocationTime {
+		if end := l.maxConfirmationAge() + l.maxSnapshotAge(); end >= l.RevocationTime {
 			t.Errorf("%+v: a key ends after %v", l, end)
 		}
-		if l.fresh() <= l.watch() {
-			t.Errorf("%+v: fresh for %v, confirmed each %v", l, l.fresh(), l.watch())
+		if l.maxSnapshotAge() <= l.maxConfirmationAge() {
+			t.Errorf("%+v: fresh for %v, confirmed each %v", l, l.maxSnapshotAge(), l.maxConfirmationAge())
 		}
 	})
 }
 
-// TestUsualLimits locks the times of the deployments known so far.
-func TestUsualLimits(t *testing.T) {
+// TestDefaultLimits locks the times of the deployments known so far.
+func TestDefaultLimits(t *testing.T) {
 	l := Limits{}.withDefaults()
-	if l.wait() != 700*time.Millisecond || l.watch() != 1200*time.Millisecond || l.fresh() != 3500*time.Millisecond {
-		t.Errorf("wait %v, watch %v, fresh %v", l.wait(), l.watch(), l.fresh())
+	if l.wait() != 700*time.Millisecond || l.maxConfirmationAge() != 1200*time.Millisecond || l.maxSnapshotAge() != 3500*time.Millisecond {
+		t.Errorf("wait %v, watch %v, fresh %v", l.wait(), l.maxConfirmationAge(), l.maxSnapshotAge())
 	}
 }
 
@@ -57,9 +57,9 @@
 	return false, ctx.Err()
 }
 
-// TestSnapshotIsUsedUntilKeysMayHaveEnded shows that a snapshot which nothing
+// TestSnapshotExpiresBeforeRevocationTime shows that a snapshot which nothing
 // confirms any more is given up before a key that it holds has to end.
-func TestSnapshotIsUsedUntilKeysMayHaveEnded(t *testing.T) {
+func TestSnapshotExpiresBeforeRevocationTime(t *testing.T) {
 	var now time.Duration
 	w := NewWatcher(&silentSource{}, Limits{RevocationTime: 2 * time.Second, ApplyTime: time.Second}, func() time.Duration { return now }, metrics.NewRegistry(), zerolog.Nop())
 	if _, err := w.read(context.Background()); err != nil {
@@ -67,11 +67,11 @@
 	}
 	for ; now < 2*time.Second; now += 10 * time.Millisecond {
 		s, _ := w.FreshSnapshot()
-		if usable := s != nil; usable != (now <= w.limits.fresh()) {
+		if usable := s != nil; usable != (now <= w.limits.maxSnapshotAge()) {
 			t.Fatalf("at %v: usable %v", now, usable)
 		}
 	}
-	if limit := w.limits.fresh() + w.MaxConfirmationAge(); limit >= 2*time.Second {
+	if limit := w.limits.maxSnapshotAge() + w.MaxConfirmationAge(); limit >= 2*time.Second {
 		t.Errorf("a key is used for %v", limit)
 	}
 }
