--- a/internal/graph/job.go
+++ b/internal/graph/job.go
@@ -1,5 +1,5 @@
-// Package graph holds the model of jobs that are graphs of steps: what callers
-// ask for, and what lasts of it in the table.
+// Package graph defines the data model of multi-step jobs: the job
+// specification that callers submit and the progress that is kept in the table.
 package graph
 
 import (
@@ -10,13 +10,14 @@
 	"github.com/juju/errors"
 )
 
-// JobID is the caller's name of a job; a job has one for all entries.
+// JobID is the identifier that the caller gives a job. It is the same at every
+// entry.
 type JobID string
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job JobID
-	// Occurrence counts the repetitions of a job from 0.
+	// Occurrence is the 0-based repetition of the job.
 	Occurrence int
 	Step       int
 	Index      int
@@ -26,65 +27,70 @@
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// Compare orders tasks by job, step and index.
+// Compare orders tasks by job, occurrence, step and index.
 func (t TaskID) Compare(o TaskID) int {
 	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.Occurrence, o.Occurrence),
 		cmp.Compare(t.Step, o.Step), cmp.Compare(t.Index, o.Index))
 }
 
-// Resources is what a task needs, or what a worker has.
+// Resources is an amount of compute resources: the demand of a task or the
+// capacity of a worker.
 type Resources struct {
 	MilliCPU     int `json:"c,omitempty"`
 	MemoryMB     int `json:"m,omitempty"`
 	Accelerators int `json:"a,omitempty"`
 }
 
-// Fits reports whether r is available in o.
+// Fits reports whether r fits into o.
 func (r Resources) Fits(o Resources) bool {
 	return r.MilliCPU <= o.MilliCPU && r.MemoryMB <= o.MemoryMB && r.Accelerators <= o.Accelerators
 }
 
-// Add returns the sum.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.MilliCPU + o.MilliCPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns the difference.
+// Sub returns r minus o; amounts may become negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// acceleratorCores is the number of cores that one accelerator counts as when
-// work of different shapes is compared.
+// acceleratorCores is the number of CPU cores that one accelerator counts as
+// when demands with different resource mixes are compared.
 const acceleratorCores = 8
 
-// Cores returns the size in cores, with accelerators converted.
+// Cores returns the size in CPU-core equivalents; see acceleratorCores.
 func (r Resources) Cores() float64 {
 	return float64(r.MilliCPU)/1000 + acceleratorCores*float64(r.Accelerators)
 }
 
-// Step is a number of equal tasks that run once all steps in After are done.
+// Step is a set of identical tasks that may start once all steps in After are
+// done.
 type Step struct {
 	Count    int           `json:"n"`
 	Needs    Resources     `json:"needs"`
-	Estimate time.Duration `json:"est,omitempty"` // of one task; callers are often wrong
+	Estimate time.Duration `json:"est,omitempty"` // run time of one task, from the caller and often wrong
 	After    []int         `json:"after,omitempty"`
 
-	// Gang tasks make progress only while all of them run, and end together.
+	// Gang marks tasks that make progress only while all of them run and that end
+	// together.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack tasks are slower when they run on more than one rack.
+	// SameRack marks tasks that run slower when spread over several racks.
 	SameRack bool `json:"rack,omitempty"`
-	// RequiredLabel is a label that the worker must have; empty for any.
+	// RequiredLabel is a label that the worker must have; empty means no
+	// requirement.
 	RequiredLabel string `json:"label,omitempty"`
-	// DataRack is the rack on which the tasks run fastest; empty for any.
+	// DataRack is the rack closest to the tasks' data, where they run fastest; empty
+	// means no preference.
 	DataRack string `json:"data,omitempty"`
-	// MaxPerWorker bounds the tasks of the step on one worker; 0 for no bound.
+	// MaxPerWorker limits the tasks of the step on one worker; 0 means no limit.
 	MaxPerWorker int `json:"spread,omitempty"`
-	// Checkpointable tells that a task can resume from a checkpoint.
+	// Checkpointable reports that a task can resume from a checkpoint.
 	Checkpointable bool `json:"ckpt,omitempty"`
 }
 
-// Job is what a caller has submitted, with the terms of its queue at that time.
+// Job is a job specification as submitted, together with the settings of its
+// queue at submission.
 type Job struct {
 	ID      JobID  `json:"-"`
 	Queue   string `json:"queue"`
@@ -94,25 +100,26 @@
 	Spec  string `json:"spec"`
 	Steps []Step `json:"steps"`
 
-	Priority    int `json:"prio"` // 0 comes first
+	Priority    int `json:"prio"` // 0 is the highest
 	MaxAttempts int `json:"attempts"`
-	// Stretch times the longest chain of work, plus Allowance, is the latency
-	// objective.
+	// The latency objective is Stretch times the critical path, plus Allowance.
 	Stretch   float64       `json:"stretch"`
 	Allowance time.Duration `json:"allow"`
-	// SubmittedAt is the time of day at the entry that accepted the job.
+	// SubmittedAt is the wall-clock time at the entry that accepted the job.
 	SubmittedAt time.Time `json:"at"`
 }
 
-// Limits of a job. maxTasks keeps the progress row within the table's row size.
+// Limits of a job. maxTasks keeps the progress row below the table's row size
+// limit.
 const (
 	maxSteps = 100
 	maxTasks = 2000
-	// MaxSpecBytes bounds the text that is handed to each task.
+	// MaxSpecBytes limits the specification text that is passed to each task.
 	MaxSpecBytes = 4000
 )
 
-// Validate reports what is wrong with a job as its caller has written it.
+// Validate checks the parts of a job that the caller specifies. It returns a
+// NotValid error for the first violation.
 func (j *Job) Validate() error {
 	if len(j.Spec) > MaxSpecBytes {
 		return errors.NotValidf("spec of %d bytes (at most %d)", len(j.Spec), MaxSpecBytes)
@@ -150,13 +157,14 @@
 	return nil
 }
 
-// TotalNeeds returns what all tasks of a step need together.
+// TotalNeeds returns the resources that all tasks of the step need together.
 func (s *Step) TotalNeeds() Resources {
 	n := s.Needs
 	return Resources{n.MilliCPU * s.Count, n.MemoryMB * s.Count, n.Accelerators * s.Count}
 }
 
-// CriticalPath returns the longest chain of estimated work through the steps.
+// CriticalPath returns the length of the longest chain of dependent steps by
+// their estimates.
 func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
@@ -171,7 +179,8 @@
 	return longest
 }
 
-// Objective returns the latency within which the job should be completed.
+// Objective returns the latency objective: the time from submission within which
+// the job should complete.
 func (j *Job) Objective() time.Duration {
 	return time.Duration(j.Stretch*float64(j.CriticalPath())) + j.Allowance
 }
--- a/internal/graph/plan/core.go
+++ b/internal/graph/plan/core.go
@@ -8,56 +8,61 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/policy"
 )
 
-// Config sets up a core.
+// Config configures a core.
 type Config struct {
-	// FencingToken is the term's fencing token; it leads the run numbers.
+	// FencingToken is the fencing token of the term. It forms the high bits of run
+	// numbers.
 	FencingToken uint64
-	// TermStart is the time of day at time zero.
+	// TermStart is the wall-clock time at time zero.
 	TermStart time.Time
-	// LeaseBound is how long after the last report of a worker its lease has
-	// run out for certain.
+	// LeaseBound is the time after a worker's last granted report by which its lease
+	// has certainly expired.
 	LeaseBound time.Duration
-	// StopTime is how long a worker may take to stop a run; 0 for usualStop.
+	// StopTime is the time a worker may take to stop a run; 0 means
+	// defaultStopTime.
 	StopTime time.Duration
-	// TakeoverOverlap is for how long after time zero the earlier owner may still grant
-	// leases to workers that have not reported to this one.
+	// TakeoverOverlap is the time after time zero during which the previous owner
+	// may still grant leases to workers that have not reported to this one.
 	TakeoverOverlap time.Duration
 }
 
 const (
-	// maxReportAge is the age of the last report from which a worker gets no new
-	// work; agents report every second.
+	// maxReportAge is the age of the last report beyond which a worker gets no new
+	// work. Agents report every second.
 	maxReportAge = 2500 * time.Millisecond
-	// placementDelay is how long after the first report of a term nothing is placed:
-	// most agents of a calm fleet report within it, and what comes first should
-	// have its choice among their workers.
+	// placementDelay is the time after the first report of a term during which
+	// nothing is placed. Most agents of a healthy fleet report within it, and the
+	// first units in line should be able to choose among all of their workers.
 	placementDelay = 100 * time.Millisecond
-	// preemptionDelay is how long nothing is stopped to make room: nearly all agents
-	// report within it, and their workers may be free.
+	// preemptionDelay is the time after the first report of a term during which no
+	// run is stopped to free resources. Nearly all agents report within it, and
+	// their workers may be idle.
 	preemptionDelay = 600 * time.Millisecond
-	// defaultStopTime is the time of a stop on the deployments known so far.
+	// defaultStopTime is the stop time of the known deployments.
 	defaultStopTime = 400 * time.Millisecond
-	// runNumbersPerTerm is the number of run numbers of one term.
 	runNumbersPerTerm = 1 << 24
 )
 
-// Core decides for one term of an owner. It is not safe for concurrent use.
+// Core holds the scheduling state of one owner term. It is not safe for
+// concurrent use.
 type Core struct {
 	cfg           Config
 	now           time.Duration
 	actions       []Action
 	policy        *policy.Snapshot
 	jobs          map[graph.JobID]*job
-	activeJobs    []*job // not final, in order of submission
+	activeJobs    []*job // jobs that are not final, in the order they were added
 	workers       map[string]*worker
 	sortedWorkers []*worker // by ID
 	runCounter    uint64
-	// hasReports is set by the first report, firstHeard is when it came.
+	// hasReports is set by the first report of the term, received at
+	// firstReportAt.
 	hasReports    bool
 	firstReportAt time.Duration
 	unsavedJobs   []*job
 	sched         schedulingState
-	// needsScheduling is set when something has changed on which places depend.
+	// needsScheduling is set when an event changes something that placement depends
+	// on.
 	needsScheduling bool
 	lastPruneAt     time.Duration
 }
@@ -70,8 +75,8 @@
 	return &Core{cfg: cfg, jobs: map[graph.JobID]*job{}, workers: map[string]*worker{}}
 }
 
-// Step takes one event and returns the actions that follow, in order. Time
-// must not go back.
+// Step handles one event and returns the resulting actions in order. A time
+// before that of an earlier call counts as the latter.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
 	c.actions = nil
@@ -104,14 +109,14 @@
 	}
 }
 
-// recordFirstReport notes the first report of the term.
 func (c *Core) recordFirstReport() {
 	if !c.hasReports {
 		c.hasReports, c.firstReportAt = true, c.now
 	}
 }
 
-// firstReportOlderThan reports whether so much time has passed since the first report.
+// firstReportOlderThan reports whether at least d has passed since the first
+// report of the term.
 func (c *Core) firstReportOlderThan(d time.Duration) bool {
 	return c.hasReports && c.now >= c.firstReportAt+d
 }
@@ -130,14 +135,14 @@
 	}
 }
 
-// FinalJobRetention is how long a job that is final stays known: callers ask for it for
-// minutes.
+// FinalJobRetention is the time for which a final job is kept in memory. Callers
+// query jobs for minutes after they end.
 const FinalJobRetention = time.Hour
 
-// pruneInterval is the time between two looks for jobs to forget.
 const pruneInterval = time.Minute
 
-// pruneFinalJobs drops the jobs that have been final for long.
+// pruneFinalJobs removes jobs that have been final for longer than
+// FinalJobRetention. It does so at most once per pruneInterval.
 func (c *Core) pruneFinalJobs() {
 	if c.now < c.lastPruneAt+pruneInterval {
 		return
@@ -151,19 +156,21 @@
 	}
 }
 
-// nextRunNumber returns a run number that no earlier one of any task reaches.
+// nextRunNumber returns a run number above all earlier ones, including those of
+// earlier terms.
 func (c *Core) nextRunNumber() uint64 {
 	c.runCounter++
 	return c.cfg.FencingToken*runNumbersPerTerm + c.runCounter
 }
 
-// JobStatus is what callers may know of a job.
+// JobStatus is the part of a job's state that callers may see.
 type JobStatus struct {
 	State graph.State
 	Queue string
 }
 
-// JobStatus returns a job's state; ok is false if the core does not know it.
+// JobStatus returns the status of a job; ok is false if the core does not know
+// the job.
 func (c *Core) JobStatus(id graph.JobID) (v JobStatus, ok bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -172,7 +179,7 @@
 	return JobStatus{State: j.visibleState(), Queue: j.Queue}, true
 }
 
-// PendingJobs returns the number of a queue's jobs of which no task has started.
+// PendingJobs returns the number of jobs in a queue with no started task.
 func (c *Core) PendingJobs(queue string) int {
 	n := 0
 	for _, j := range c.activeJobs {
@@ -183,7 +190,8 @@
 	return n
 }
 
-// requestSave asks for the job's progress to be written; then runs once it is.
+// requestSave schedules a save of the job's progress. The callback then, if not
+// nil, is called once the progress is stored.
 func (c *Core) requestSave(j *job, then func()) {
 	if then != nil {
 		j.afterNextSave = append(j.afterNextSave, then)
@@ -194,7 +202,7 @@
 	}
 }
 
-// emitSaves emits a save for each changed job that has none in progress.
+// emitSaves emits a save for each changed job that has no save in progress.
 func (c *Core) emitSaves() {
 	jobs := c.unsavedJobs
 	c.unsavedJobs = nil
--- a/internal/graph/plan/job.go
+++ b/internal/graph/plan/job.go
@@ -6,56 +6,57 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// unitPhase is the phase of a unit.
+// unitPhase is the scheduling phase of a unit.
 type unitPhase int
 
 const (
 	unitWaiting unitPhase = iota
-	unitPlaced            // on its way into the table or running
+	unitPlaced            // the placement is being saved or the run is active
 	unitDone
 )
 
-// unit is what is placed, ended and counted as one: a gang, or a single task.
+// unit is the smallest entity that is placed, stopped and retried as a whole: a
+// gang or a single task.
 type unit struct {
 	job        *job
 	stepIndex  int
-	firstIndex int // of the first task
+	firstIndex int // index of the first task within the step
 	taskCount  int
 	step       *graph.Step
 
 	phase      unitPhase
-	members    []*member // of the present run, one for each task
+	members    []*member // one per task of the current run
 	run        uint64
-	runDone    bool // a member of the present run has ended done
-	runFailed  bool // a member of the present run has failed
-	stopping   bool // the present run is being stopped
+	runDone    bool // a member of the current run ended with EndDone
+	runFailed  bool // a member of the current run ended with EndFailed
+	stopping   bool // the current run is being stopped
 	failures   int
 	checkpoint string
 	notBefore  time.Duration
-	avoidUntil map[string]time.Duration // workers, until when
+	avoidUntil map[string]time.Duration // by worker ID
 	claim      *claim
 }
 
-// member is one task of a unit's present run.
+// member is one task of a unit's current run.
 type member struct {
 	unit   *unit
 	task   graph.TaskID
 	run    uint64
 	worker *worker
-	// incarnation is that of the worker on which the run was placed.
+	// incarnation is the worker's incarnation at placement.
 	incarnation  string
 	recovered    bool // placed in an earlier term
-	startSent    bool // the start has been sent in this term
-	running      bool // the worker has listed it
+	startSent    bool // the start was ordered in this term, or the worker reported the run
+	running      bool // the worker reported the run as running
 	stopping     bool
 	ended        bool
-	orderSession string        // in which the last order was sent
-	lastOrderAt  time.Duration // when it was sent
+	orderSession string        // session of the last order
+	lastOrderAt  time.Duration // time of the last order
 
 	percent        int
-	lastProgressAt time.Duration // when percent last grew
+	lastProgressAt time.Duration // when percent last changed; at first when the start was sent
 	runningSince   time.Duration
-	checkpointAt   time.Duration // when the checkpoint last changed
+	checkpointAt   time.Duration // when checkpoint last changed
 	checkpoint     string
 }
 
@@ -63,18 +64,18 @@
 	*graph.Job
 	units       []*unit
 	unitsByStep [][]*unit
-	state       graph.State // as decided
+	state       graph.State // as decided, possibly not yet saved
 	started     bool        // a task has been started
 	finishedAt  time.Time   // when the state became final
 
-	durableState     graph.State // as saved
-	stateInSave      graph.State // in the save that is in progress
+	durableState     graph.State // as stored in the table
+	stateInSave      graph.State // as written by the save in progress
 	saveNumber       uint64
 	saveInProgress   bool
 	changedSinceSave bool
 	afterCurrentSave []func()
 	afterNextSave    []func()
-	arrivedAt        time.Duration // on the term's clock; negative for earlier ones
+	arrivedAt        time.Duration // on the term's clock; negative if submitted before the term
 }
 
 func newJob(g *graph.Job) *job {
@@ -94,8 +95,9 @@
 	return j
 }
 
-// visibleState is the state that callers may see: a final one once it is durable. A
-// cancelled job has its cancelling in the table already.
+// visibleState returns the state that callers may see. A final state is visible
+// only once it is durable; the cancellation of a cancelled job is stored in the
+// table already.
 func (j *job) visibleState() graph.State {
 	switch {
 	case j.state == graph.Cancelled:
@@ -118,7 +120,7 @@
 	return true
 }
 
-// dependenciesDone reports whether all steps that the unit follows are done.
+// dependenciesDone reports whether all steps that the unit depends on are done.
 func (u *unit) dependenciesDone() bool {
 	for _, s := range u.step.After {
 		if !u.job.stepDone(s) {
@@ -132,7 +134,7 @@
 	return graph.TaskID{Job: u.job.ID, Step: u.stepIndex, Index: u.firstIndex + i}
 }
 
-// remaining estimates the work that is left of one task.
+// remaining estimates the remaining run time of the unit's tasks.
 func (u *unit) remaining() time.Duration {
 	percent := 0
 	for _, m := range u.members {
@@ -141,7 +143,8 @@
 	return u.step.Estimate * time.Duration(100-percent) / 100
 }
 
-// unsavedCoreSeconds estimates the core-seconds that are lost if the unit is stopped now.
+// unsavedCoreSeconds estimates the work in core-seconds that is lost if the unit
+// is stopped now.
 func (u *unit) unsavedCoreSeconds(now time.Duration) float64 {
 	total := 0.0
 	for _, m := range u.members {
@@ -150,7 +153,7 @@
 		}
 		since := m.runningSince
 		if u.step.Checkpointable {
-			// A stop brings a checkpoint of its own.
+			// Stopping a checkpointable run writes a checkpoint.
 			since = now
 		}
 		total += (now - since).Seconds() * u.step.Needs.Cores()
@@ -158,7 +161,8 @@
 	return total
 }
 
-// progress returns what the table has to hold of the job.
+// progress returns the progress of the job to be stored in the table, and records
+// its state as the one in the save.
 func (j *job) progress() graph.Progress {
 	p := graph.Progress{Job: j.ID, State: j.state, FinishedAt: j.finishedAt}
 	if j.state == graph.Queued && j.started {
--- a/internal/graph/plan/types.go
+++ b/internal/graph/plan/types.go
@@ -1,15 +1,15 @@
-// Package plan is the decision core for jobs that are graphs of steps: which
-// task runs on which worker, when it is stopped, and when its end may be
-// acknowledged. It is pure and deterministic: no I/O, no clock, no goroutines.
-// The caller passes events with the time since the start of the owner's term
-// and carries out the returned actions in order.
+// Package plan is the decision core for multi-step jobs. It decides which worker
+// runs a task, when a run is stopped, and when its end may be acknowledged. It is
+// deterministic and does no I/O, reads no clock and starts no goroutines. The
+// caller passes events with the time since the start of the owner's term and
+// executes the returned actions in order.
 //
 // Invariants:
-//   - A start is ordered only after the placement is in the table, and an end
-//     is acknowledged only after its effect is there.
-//   - A task is placed again only when its last run has ended for certain: the
-//     end was listed, the worker never had the run and never will, the worker's
-//     incarnation is gone, or its lease has lapsed.
+//   - A start is ordered only after the placement is stored in the table, and an
+//     end is acknowledged only after its effect is stored there.
+//   - A task is placed again only once its last run has certainly ended: the
+//     worker reported the end, the worker never had the run and never will, the
+//     worker's incarnation has ended, or its lease has expired.
 package plan
 
 import (
@@ -20,24 +20,25 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/policy"
 )
 
-// Event is an input of the core.
+// Event is an input to the core.
 type Event interface{ event() }
 
-// JobSubmitted brings a job that is in the table, with its progress if it has any.
+// JobSubmitted adds a job that is stored in the table, with its progress if it
+// has any.
 type JobSubmitted struct {
 	Job      *graph.Job
 	Progress *graph.Progress
 }
 
-// JobCancelled says that a job's cancelling is in the table.
+// JobCancelled reports that the cancellation of a job is stored in the table.
 type JobCancelled struct{ Job graph.JobID }
 
 // WorkerInfo describes one incarnation of a worker.
 type WorkerInfo struct {
-	// ID is the host's name, which stays when the worker starts anew.
+	// ID is the host name; it survives restarts of the worker.
 	ID string
-	// Instance is the name that the worker has given itself, and Born its start
-	// in milliseconds since 1970, 0 if it does not say.
+	// Instance is the name that the worker chose for itself. StartUnixMillis is its
+	// start in milliseconds since 1970, or 0 if it does not report one.
 	Instance        string
 	StartUnixMillis int64 `json:"Born"`
 	Pool            string
@@ -46,11 +47,12 @@
 	Labels          []string
 	Capacity        graph.Resources
 	Draining        bool
-	// DrainRemaining is how long a draining worker stays at least.
+	// DrainRemaining is the minimum time for which a draining worker stays up.
 	DrainRemaining time.Duration `json:"Remaining"`
 }
 
-// Incarnation names one life of a worker: a host has one at a time.
+// Incarnation identifies one process lifetime of a worker. A host runs at most
+// one at a time. It is empty if the worker reports no instance name.
 func (w WorkerInfo) Incarnation() string {
 	if w.Instance == "" {
 		return ""
@@ -58,43 +60,46 @@
 	return w.Instance + "@" + strconv.FormatInt(w.StartUnixMillis, 10)
 }
 
-// RunAbsent says that a run is not on the worker and never will be.
+// RunAbsent reports that a run is not on the worker and never will be.
 type RunAbsent struct {
 	Task   graph.TaskID
 	Run    uint64
 	Reason string
 }
 
-// WorkerReport is the whole truth about a worker, from its agent, which has
-// seen this term's epoch. Session differs for each connection.
+// WorkerReport is the complete state of a worker, sent by its agent. The agent
+// has seen the epoch of this term. Each connection has its own Session.
 type WorkerReport struct {
 	Worker  WorkerInfo
 	Session string
 	Running []graph.RunState
 	Ended   []graph.RunEnd
 	Absent  []RunAbsent
-	// Number numbers the reports of a session; a Grant names it.
+	// Number is the sequence number of the report within the session. GrantLease
+	// refers to it.
 	Number uint64
-	// WorkerResponsive is false while the worker does not answer its agent. It gets no
-	// grants then: an order with a new deadline could still reach it.
+	// WorkerResponsive is false while the worker does not answer its agent. No
+	// leases are granted then, because an order with a new deadline could still
+	// reach the worker.
 	WorkerResponsive bool
-	// WorkerLeft says that the worker has left and runs nothing any more.
+	// WorkerLeft reports that the worker has left and no longer runs anything.
 	WorkerLeft bool
 }
 
-// SessionClosed says that the connection with a worker's agent has ended.
+// SessionClosed reports that the connection to a worker's agent has ended.
 type SessionClosed struct{ Worker, Session string }
 
-// ProgressSaved says that the progress with this number is in the table.
+// ProgressSaved reports that the progress with this number is stored in the
+// table.
 type ProgressSaved struct {
 	Job    graph.JobID
 	Number uint64
 }
 
-// PolicyChanged brings the operators' configuration.
+// PolicyChanged carries a new version of the operators' configuration.
 type PolicyChanged struct{ Policy *policy.Snapshot }
 
-// Tick lets time pass.
+// Tick advances time without another event.
 type Tick struct{}
 
 func (JobSubmitted) event()  {}
@@ -105,10 +110,10 @@
 func (PolicyChanged) event() {}
 func (Tick) event()          {}
 
-// Action is an output of the core.
+// Action is an output of the core, to be executed by the caller.
 type Action interface{ action() }
 
-// StartRun orders a run. It may be ordered again for the same run.
+// StartRun orders a worker to start a run. It may be repeated for the same run.
 type StartRun struct {
 	Worker      string
 	Incarnation string
@@ -116,15 +121,15 @@
 	Run         uint64
 	Spec        string
 	Checkpoint  string
-	// FirstOfJob is set for the first start of a job; Waited is the time since its
-	// submission then, and Guaranteed tells that it lay within a guarantee.
+	// FirstOfJob is set on the first start of a job. QueueTime is then the time
+	// since submission, and Guaranteed reports that the job was within a guarantee.
 	FirstOfJob bool
 	Guaranteed bool
 	QueueTime  time.Duration
 }
 
-// StopRun orders the end of a run, also of one that may not have begun: the agent
-// lists its end or reports it absent.
+// StopRun orders a worker to stop a run, including one that may not have started.
+// The agent reports either the run's end or its absence.
 type StopRun struct {
 	Worker      string
 	Incarnation string
@@ -132,30 +137,32 @@
 	Run         uint64
 }
 
-// GrantLease lets a worker's lease last for its whole length from when the report
-// with this number was sent. The lease then ends before LeaseBound has passed
-// since the core took the report.
+// GrantLease renews a worker's lease for its full duration, counted from the time
+// at which the numbered report was sent. The lease therefore expires within
+// LeaseBound of the core handling that report.
 type GrantLease struct {
 	Worker       string
 	Incarnation  string
 	ReportNumber uint64
 }
 
-// AcknowledgeEnds lets a worker forget its ends up to a number.
+// AcknowledgeEnds allows a worker to discard its run ends up to and including
+// Number.
 type AcknowledgeEnds struct {
 	Worker      string
 	Incarnation string
 	Number      uint64
 }
 
-// SaveProgress writes a job's progress; Saved answers it.
+// SaveProgress stores the progress of a job. The caller answers with
+// ProgressSaved.
 type SaveProgress struct {
 	Job      graph.JobID
 	Number   uint64
 	Progress graph.Progress
 }
 
-// Notice reports a decision for logs and counters.
+// Notice reports a decision for logging and metrics.
 type Notice struct {
 	Reason Reason
 	Job    graph.JobID
@@ -172,10 +179,10 @@
 func (SaveProgress) action()    {}
 func (Notice) action()          {}
 
-// Reason is a typed reason of a decision.
+// Reason is the typed reason for a decision.
 type Reason string
 
-// The reasons of decisions.
+// The reasons for decisions.
 const (
 	ReasonAccepted           Reason = "accepted"
 	ReasonPlaced             Reason = "placed"
--- a/internal/graph/progress.go
+++ b/internal/graph/progress.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is the state of a job as its caller sees it.
+// State is the state of a job as shown to its caller.
 type State string
 
 // The states of a job. The last three are final.
@@ -14,32 +14,32 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is terminal.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Progress is what lasts of a job's progress: its row is written by the owner
-// before a start is ordered and before an end is acknowledged to the worker.
+// Progress is the persisted progress of a job. The owner writes the row before it
+// orders a start and before it acknowledges an end to the worker.
 type Progress struct {
 	Job   JobID          `json:"id"`
 	State State          `json:"state"`
-	Tasks []TaskProgress `json:"tasks,omitempty"` // those that have been placed
-	// FinishedAt is the time of day at the owner when the state became final.
+	Tasks []TaskProgress `json:"tasks,omitempty"` // only tasks that have been placed
+	// FinishedAt is the owner's wall-clock time at which the state became final.
 	FinishedAt time.Time `json:"end,omitzero"`
 }
 
-// TaskProgress is the progress of one task, or of all tasks of a gang when it
-// describes Index 0 (Failures, Failed, Done and Checkpoint are the gang's then).
+// TaskProgress is the progress of one task. For a gang, the entry with Index 0
+// carries Failures, RunFailed, Done and Checkpoint of the whole gang.
 type TaskProgress struct {
 	Step  int `json:"s"`
 	Index int `json:"i"`
-	// Run, Worker and Incarnation tell where the task may run; Worker is empty
-	// when it runs nowhere for certain.
+	// Run, Worker and Incarnation identify the run that may be active. Worker is
+	// empty if the task is known not to run anywhere.
 	Run         uint64 `json:"r,omitempty"`
 	Worker      string `json:"w,omitempty"`
 	Incarnation string `json:"b,omitempty"`
 	Failures    int    `json:"f,omitempty"`
-	// RunFailed says that a member of the gang's present run has failed: the run
-	// counts among Failures once its other members have ended.
+	// RunFailed reports that a member of the current gang run has failed. The run
+	// is counted in Failures once its other members have ended.
 	RunFailed  bool   `json:"x,omitempty"`
 	Done       bool   `json:"d,omitempty"`
 	Checkpoint string `json:"c,omitempty"`
--- a/internal/graph/run.go
+++ b/internal/graph/run.go
@@ -1,6 +1,6 @@
 package graph
 
-// RunState is a run that a worker lists as running.
+// RunState is an active run as reported by a worker.
 type RunState struct {
 	Task       TaskID
 	Run        uint64
@@ -8,24 +8,24 @@
 	Percent    int
 }
 
-// EndKind tells how a run has ended.
+// EndKind is the way a run ended.
 type EndKind string
 
-// How runs end.
+// The ways a run ends.
 const (
 	EndDone           EndKind = "done"
 	EndFailed         EndKind = "failed"
 	EndStopped        EndKind = "stopped"
-	EndLeaseExpired   EndKind = "lapsed" // the worker's lease ran out
+	EndLeaseExpired   EndKind = "lapsed" // the worker's lease expired
 	EndGangBroken     EndKind = "broken" // another member of the gang ended
-	EndGangIncomplete EndKind = "alone"  // the other members did not come in time
-	EndNeverStarted   EndKind = "absent" // it never began and never will
-	EndWorkerLost     EndKind = "gone"   // with the worker's incarnation, or its lease
+	EndGangIncomplete EndKind = "alone"  // the other members did not start in time
+	EndNeverStarted   EndKind = "absent" // the run never started and never will
+	EndWorkerLost     EndKind = "gone"   // the worker's incarnation ended or its lease expired
 )
 
-// RunEnd is an end that a worker lists until it is acknowledged.
+// RunEnd is the end of a run. A worker reports it until it is acknowledged.
 type RunEnd struct {
-	Number     uint64 // counts the ends of an incarnation from 1
+	Number     uint64 // sequence number within the worker's incarnation, from 1
 	Task       TaskID
 	Run        uint64
 	Kind       EndKind
