--- a/internal/graph/plan/core.go
+++ b/internal/graph/plan/core.go
@@ -39,7 +39,7 @@
 	// their workers may be idle.
 	preemptionDelay = 600 * time.Millisecond
 	// defaultStopTime is the stop time of the known deployments.
-	defaultStopTime = 400 * time.Millisecond
+	defaultStopTime   = 400 * time.Millisecond
 	runNumbersPerTerm = 1 << 24
 )
 
--- a/internal/graph/plan/dump.go
+++ b/internal/graph/plan/dump.go
@@ -4,23 +4,24 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// Dump is the state of a core for the state dump.
+// Dump is the state of a core as written to the state dump.
 type Dump struct {
 	Jobs    []JobDump    `json:"jobs"`
 	Workers []WorkerDump `json:"workers"`
 }
 
-// JobDump is a job that is not final.
+// JobDump describes a job that is not final. Waiting, Placed and Done count its
+// units.
 type JobDump struct {
 	ID      graph.JobID `json:"id"`
 	Queue   string      `json:"queue"`
 	State   graph.State `json:"state"`
-	Waiting int         `json:"waiting"` // units that have no place
+	Waiting int         `json:"waiting"` // units without a placement
 	Placed  int         `json:"placed"`
 	Done    int         `json:"done"`
 }
 
-// WorkerDump is a worker.
+// WorkerDump describes a worker.
 type WorkerDump struct {
 	ID          string          `json:"id"`
 	Rack        string          `json:"rack"`
@@ -34,7 +35,6 @@
 	Quarantined bool            `json:"quarantined"`
 }
 
-// Dump returns the core's state.
 func (c *Core) Dump() Dump {
 	var d Dump
 	for _, j := range c.activeJobs {
--- a/internal/graph/plan/ends.go
+++ b/internal/graph/plan/ends.go
@@ -14,7 +14,7 @@
 	c.finishJob(j, graph.Cancelled, ReasonJobCancelled)
 }
 
-// finishJob gives a job its final state and ends what still runs of it.
+// finishJob sets the final state of a job and stops its remaining runs.
 func (c *Core) finishJob(j *job, state graph.State, why Reason) {
 	j.state = state
 	j.finishedAt = c.cfg.TermStart.Add(c.now)
@@ -34,7 +34,7 @@
 	}
 }
 
-// stopRun orders the end of all members of a unit's present run.
+// stopRun stops all members of a unit's current run.
 func (c *Core) stopRun(u *unit) {
 	u.stopping = true
 	for _, m := range u.members {
@@ -42,8 +42,8 @@
 	}
 }
 
-// stopMember orders the end of one member. Before its start was sent there is
-// nothing to stopMember: the start is not sent any more.
+// stopMember orders a member to stop, at most once per session. If its start has
+// not been sent, no order is needed: a stopping member is not started.
 func (c *Core) stopMember(m *member) {
 	if m.ended || m.stopping && m.orderSession == m.worker.session {
 		return
@@ -59,7 +59,8 @@
 	c.emit(StopRun{Worker: m.worker.info.ID, Incarnation: m.incarnation, Task: m.task, Run: m.run})
 }
 
-// endMember takes the end of one member.
+// endMember records the end of a member, releases its resources and stops the
+// rest of the run unless it is done.
 func (c *Core) endMember(m *member, how graph.EndKind, checkpoint string) {
 	if m.ended {
 		return
@@ -86,7 +87,9 @@
 	c.finishRunIfEnded(u)
 }
 
-// finishRunIfEnded ends the unit's run once all members have ended, or one of them done.
+// finishRunIfEnded marks the unit as done if a member ended with EndDone. Once all
+// members have ended it clears the run, counts a failure and lets the unit wait for
+// placement again, or fails the job after its last attempt.
 func (c *Core) finishRunIfEnded(u *unit) {
 	if u.runDone && u.phase != unitDone {
 		u.phase = unitDone
--- a/internal/graph/plan/clearing.go
+++ b/internal/graph/plan/eviction.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// victim is a unit that may be stopped. rate is its loss for each core that it
-// frees.
+// victim is a unit that may be stopped, with the loss that stopping it causes and
+// that loss per core freed.
 type victim struct {
 	unit              *unit
 	loss, lossPerCore float64
 }
 
-// evictableUnits returns the units with work on a group that may be stopped for a
-// unit: those outside of every guarantee, and for a unit that has none itself
-// only those of a lower priority.
+// evictableUnits returns the units with runs in a group that may be stopped for a
+// unit: those outside of every guarantee and, when preempting, only those of a
+// lower priority.
 func (c *Core) evictableUnits(u *unit, g workerGroup, why Reason, trial *evictionTrial) []victim {
 	seen := map[*unit]bool{}
 	var out []victim
@@ -32,7 +32,8 @@
 	return out
 }
 
-// evictionTrial is a group's room as if some units had ended.
+// evictionTrial is the availability of a group under the assumption that some units
+// have ended.
 type evictionTrial struct {
 	unit           *unit
 	candidates     []candidate
@@ -40,7 +41,8 @@
 	perWorker      map[*worker]int
 }
 
-// newEvictionTrial returns the room without all that is ending already.
+// newEvictionTrial returns a trial in which the units that are being stopped
+// already have ended.
 func newEvictionTrial(u *unit, g workerGroup) *evictionTrial {
 	trial := &evictionTrial{unit: u, candidates: slices.Clone(g.candidates), candidateIndex: map[*worker]int{}, perWorker: u.tasksPerWorker()}
 	for i, s := range trial.candidates {
@@ -54,7 +56,7 @@
 	return trial
 }
 
-// evict adds a unit's needs to the room, and keep takes them out again.
+// evict adds the unit's resources to the availability. restore undoes it.
 func (cl *evictionTrial) evict(v *unit) {
 	cl.forEachCandidate(v, func(s *candidate) { s.available = s.available.Add(v.step.Needs) })
 }
@@ -63,7 +65,8 @@
 	cl.forEachCandidate(v, func(s *candidate) { s.available = s.available.Sub(v.step.Needs) })
 }
 
-// forEachCandidate calls fn with the site of each member of a unit that lies here.
+// forEachCandidate calls fn with the candidate of each active member of a unit that
+// is in the group.
 func (cl *evictionTrial) forEachCandidate(v *unit, fn func(*candidate)) {
 	for _, m := range v.members {
 		if i, ok := cl.candidateIndex[m.worker]; ok && !m.ended {
@@ -72,14 +75,16 @@
 	}
 }
 
-// freedCores is the size in cores of what stopping a unit frees here.
+// freedCores returns the size in cores of the resources that stopping a unit frees
+// in the group.
 func (cl *evictionTrial) freedCores(v *unit) float64 {
-	total := 0.1 // keeps units without need from dividing by zero
+	total := 0.1 // avoids a division by zero for units without resource needs
 	cl.forEachCandidate(v, func(*candidate) { total += v.step.Needs.Cores() })
 	return total
 }
 
-// allocate returns where the unit fits, nil if it does not.
+// allocate returns the placement of the unit in the trial, or nil if it does not
+// fit.
 func (cl *evictionTrial) allocate() []allocation {
 	return packTasks(cl.candidates, cl.unit.step, cl.unit.taskCount, cl.perWorker)
 }
--- a/internal/graph/plan/place.go
+++ b/internal/graph/plan/place.go
@@ -8,19 +8,21 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// candidate is a worker as a place for a unit, with the room that the unit may use.
+// candidate is a worker considered for a unit, with the resources that the unit
+// may use there.
 type candidate struct {
 	*worker
 	available graph.Resources
 }
 
-// allocation is a number of a unit's tasks on one worker.
+// allocation assigns a number of a unit's tasks to one worker.
 type allocation struct {
 	worker *worker
 	tasks  int
 }
 
-// tasksThatFit returns how many tasks of a step fit into the room.
+// tasksThatFit returns the number of tasks of a step that fit into the available
+// resources of one worker, at most step.Count.
 func tasksThatFit(available graph.Resources, step *graph.Step) int {
 	n := step.Count
 	for _, d := range [][2]int{
@@ -38,8 +40,9 @@
 	return n
 }
 
-// packTasks spreads n tasks over the fewest of the sites, the fullest that hold
-// them first. It returns nil if they do not fit.
+// packTasks allocates tasks to as few candidates as possible, preferring the
+// tightest fit. perWorker is the number of tasks of the step already on each
+// worker. It returns nil if the tasks do not fit.
 func packTasks(candidates []candidate, step *graph.Step, tasks int, perWorker map[*worker]int) []allocation {
 	type fit struct {
 		candidate
@@ -76,8 +79,9 @@
 	return allocs
 }
 
-// tighterFit reports whether room for a tasks suits n tasks tighterFit than room for
-// b: the tightest that holds all, else the largest.
+// tighterFit reports whether a worker with room for a tasks is a better choice for
+// n tasks than one with room for b. The smallest one that holds all n wins; if
+// none does, the largest.
 func tighterFit(a, b, n int) bool {
 	switch {
 	case a >= n && b >= n:
@@ -89,8 +93,9 @@
 	}
 }
 
-// unusedFraction is the part of the worker that stays free beside k tasks, summed
-// over the kinds of resources.
+// unusedFraction returns the fraction of the worker's capacity that remains
+// available after placing the given number of tasks, summed over the kinds of
+// resources.
 func unusedFraction(c candidate, step *graph.Step, tasks int) float64 {
 	free := c.available
 	for range tasks {
@@ -107,13 +112,13 @@
 	return float64(a) / float64(b)
 }
 
-// workerGroup is a set of sites over which one unit may be spread.
+// workerGroup is a set of candidates over which one unit may be spread.
 type workerGroup struct {
 	name       string
 	candidates []candidate
 }
 
-// groupByRack splits sites by rack, in order of the racks' names.
+// groupByRack groups candidates by rack, sorted by rack name.
 func groupByRack(candidates []candidate) []workerGroup {
 	var out []workerGroup
 	index := map[string]int{}
@@ -130,9 +135,9 @@
 	return out
 }
 
-// bestPlacement returns the best place for a unit among the sites: within one rack if
-// it can be, the rack that is left with the least room. A same-rack gang takes
-// several racks only when spread is set.
+// bestPlacement returns the best placement of a unit on the candidates, or nil.
+// It prefers a single rack: the data rack, else the one with the fewest available
+// cores. A same-rack gang is spread over racks only if acrossRacks is set.
 func bestPlacement(u *unit, candidates []candidate, acrossRacks bool) []allocation {
 	perWorker := u.tasksPerWorker()
 	if u.taskCount == 1 {
@@ -188,12 +193,12 @@
 	return []allocation{{candidates[best].worker, 1}}
 }
 
-// remoteDataPenalty puts every worker beside the data before every other: leftover
-// is at most one for each kind of resource.
+// remoteDataPenalty ranks every worker in the data rack before all others:
+// unusedFraction is at most one for each kind of resource.
 const remoteDataPenalty = 3
 
-// tasksPerWorker counts the tasks of the unit's step on each worker, and those that
-// have a claim there, for a bound per worker.
+// tasksPerWorker returns the number of tasks of the unit's step that run or have a
+// claim on each worker. It returns nil if the step has no limit per worker.
 func (u *unit) tasksPerWorker() map[*worker]int {
 	if u.step.MaxPerWorker == 0 {
 		return nil
@@ -215,7 +220,7 @@
 	return out
 }
 
-// eligible reports whether a worker may get tasks of a unit now.
+// eligible reports whether tasks of a unit may be placed on a worker now.
 func (c *Core) eligible(w *worker, u *unit) bool {
 	switch {
 	case !w.connected() || !w.responsive || c.now-w.lastReportAt > maxReportAge:
@@ -234,8 +239,9 @@
 
 func (u *unit) onLastAttempt() bool { return u.failures > 0 && u.failures+1 >= u.job.MaxAttempts }
 
-// candidates returns the places that a unit may use now. Room that is set aside for
-// others is left out, unless the unit is expected to be gone by then.
+// candidates returns the eligible workers for a unit with the resources available
+// to it. Claims of other units are excluded, and so are their reservations unless
+// the unit is expected to end before they start.
 func (c *Core) candidates(u *unit) []candidate {
 	out := make([]candidate, 0, len(c.sortedWorkers))
 	for _, w := range c.sortedWorkers {
@@ -246,7 +252,8 @@
 	return out
 }
 
-// free is what a worker has beside what runs there.
+// free returns the worker's capacity minus the use of its runs. It does not
+// account for claims and reservations.
 func (w *worker) free() graph.Resources { return w.info.Capacity.Sub(w.used).Sub(w.unknownUse) }
 
 func (c *Core) availableFor(w *worker, u *unit) graph.Resources {
@@ -264,7 +271,8 @@
 	return available
 }
 
-// reservation keeps room for a unit that waits until at.
+// reservation holds resources back for a waiting unit that is expected to start at
+// expectedStart.
 type reservation struct {
 	unit          *unit
 	allocs        []allocation
--- a/internal/graph/plan/reclaim.go
+++ b/internal/graph/plan/reclaim.go
@@ -8,15 +8,15 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// claimSlack is how long a claim waits for its victims beyond the time of a
-// stop, for orders and reports on their way; a claim on a worker that does not
-// answer is made elsewhere then.
+// claimSlack is the time a claim waits for its victims beyond StopTime, to allow
+// for orders and reports in transit. After that the claim is given up, so that the
+// unit does not wait for a worker that does not answer.
 const claimSlack = 800 * time.Millisecond
 
-// claimTimeout is how long a claim waits for its victims.
+// claimTimeout returns the time a claim waits for its victims to end.
 func (c *Core) claimTimeout() time.Duration { return c.cfg.StopTime + claimSlack }
 
-// claim is a place for a unit where other work is being stopped.
+// claim holds a placement for a unit while other runs are being stopped there.
 type claim struct {
 	unit   *unit
 	allocs []allocation
@@ -34,8 +34,8 @@
 	u.claim = nil
 }
 
-// useClaim places a unit on its claim once the room there is free, and gives
-// the claim up when a worker of it cannot be used any more.
+// useClaim places a unit on its claim once the resources there are free. It drops
+// the claim when a worker is no longer eligible or the claim has timed out.
 func (c *Core) useClaim(u *unit) {
 	cl := u.claim
 	for _, p := range cl.allocs {
@@ -53,15 +53,16 @@
 	c.bind(u, cl.allocs)
 }
 
-// evictionPlan is a way to make room: a place and the units to stop for it.
+// evictionPlan is a placement together with the units to stop for it.
 type evictionPlan struct {
 	allocs  []allocation
 	victims []*unit
 	loss    float64 // weighted core-seconds
 }
 
-// claimRoom stops the work whose loss is least so that a unit fits, unless the
-// loss exceeds the limit or the term has just begun.
+// claimRoom makes a claim for a unit where stopping other units loses least, and
+// stops them. It returns false if the loss would exceed limit, in weighted
+// core-seconds, or if the term is younger than preemptionDelay.
 func (c *Core) claimRoom(u *unit, limit float64, why Reason) bool {
 	if !c.firstReportOlderThan(preemptionDelay) {
 		return false
@@ -84,9 +85,9 @@
 	return true
 }
 
-// planEviction finds the victims within a group that open a place with little loss:
-// they are added one by one, those with the least loss for what they free
-// first, and then those that turned out not to be needed are left out.
+// planEviction finds victims within a group that make the unit fit with little
+// loss, or returns nil. It evicts units greedily, the least loss per freed core
+// first, until the unit fits, and then restores those that are not needed.
 func (c *Core) planEviction(u *unit, g workerGroup, why Reason) *evictionPlan {
 	trial := newEvictionTrial(u, g)
 	victims := c.evictableUnits(u, g, why, trial)
@@ -117,19 +118,21 @@
 	return plan
 }
 
-// Weights of lost core-seconds against each other. Work that is thrown away
-// counts once; work of a job that misses its objective counts by the job's
-// priority, as a short job of the first priority is worth several times as much
-// to its caller, for each core-second, as a long one of the second.
+// Weights of lost core-seconds. Discarded work counts by wasteWeight for any job.
+// The work of a job that misses its objective counts by the job's priority: per
+// core-second, a short job of the highest priority is worth several times as much
+// to its caller as a long job of the second.
 const (
 	wasteWeight       = 1.7
 	topPriorityWeight = 9.0
-	priorityDivisor   = 3.0 // by which each further priority weighs less
-	// lateLossShare is the part of a job's value that is lost when it is late.
+	priorityDivisor   = 3.0 // ratio of the weights of one priority and the next lower
+	// lateLossShare is the fraction of a job's value that is lost when it misses its
+	// objective.
 	lateLossShare = 0.75
 )
 
-// value is the weight of a job by its size in core-seconds.
+// value returns the estimated size of a job in core-seconds, weighted by its
+// priority.
 func (j *job) value() float64 {
 	size := 0.0
 	for i := range j.Steps {
@@ -143,7 +146,8 @@
 	return weight * size
 }
 
-// evictionLoss estimates what is lost if a unit is stopped now and starts anew.
+// evictionLoss estimates the loss, in weighted core-seconds, of stopping a unit now
+// and restarting it later.
 func (c *Core) evictionLoss(u *unit) float64 {
 	lost := wasteWeight * u.unsavedCoreSeconds(c.now)
 	left := u.step.Estimate
@@ -153,10 +157,11 @@
 	return lost + c.lateLoss(u.job, c.now+requeueDelay+left) - c.lateLoss(u.job, c.now+u.remaining())
 }
 
-// requeueDelay is how long a unit that was stopped is expected to wait.
+// requeueDelay is the time that a stopped unit is expected to wait for its next
+// start.
 const requeueDelay = 1500 * time.Millisecond
 
-// lateLoss estimates the value that a job loses if it is completed at a time.
+// lateLoss estimates the value that a job loses if it completes at the given time.
 func (c *Core) lateLoss(j *job, at time.Duration) float64 {
 	objective := j.Objective()
 	switch took := at - j.arrivedAt; {
@@ -169,14 +174,14 @@
 	}
 }
 
-// preempt makes room for a unit of a higher priority that would miss its
-// objective if it waited until the given time, where nothing is lost by it:
-// the gain rests on estimates that are often wrong, a loss is certain.
+// preempt claims room for a unit that would miss its objective if it waited until
+// the given time, provided that stopping lower priorities there loses nothing. The
+// gain depends on estimates that are often wrong, while a loss would be certain.
 func (c *Core) preempt(u *unit, until time.Duration) bool {
 	gain := c.lateLoss(u.job, until+u.step.Estimate) - c.lateLoss(u.job, c.now+c.cfg.StopTime+endReportDelay+u.step.Estimate)
 	return gain > 0 && c.claimRoom(u, 0, ReasonPreempted)
 }
 
-// endReportDelay is how long after a stop its room can be used: the end has to be
-// reported.
+// endReportDelay is the time from the end of a run until its resources can be
+// reused, because the end has to be reported first.
 const endReportDelay = 100 * time.Millisecond
--- a/internal/graph/plan/recover.go
+++ b/internal/graph/plan/recover.go
@@ -6,7 +6,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// addJob takes over a job from the table.
+// addJob adds a job that is stored in the table, and restores its progress. A job
+// that is known already is ignored.
 func (c *Core) addJob(e JobSubmitted) {
 	if c.jobs[e.Job.ID] != nil {
 		return
@@ -24,7 +25,7 @@
 	c.emit(Notice{Reason: ReasonAccepted, Job: j.ID, Detail: j.describe()})
 }
 
-// describe summarizes a job for the log.
+// describe returns a one-line summary of the job for the log.
 func (j *job) describe() string {
 	tasks, gangs := 0, 0
 	for i := range j.Steps {
@@ -37,8 +38,9 @@
 		j.state, j.Priority, j.Account, len(j.Steps), gangs, tasks, j.maxAccelerators(), j.CriticalPath(), j.Objective())
 }
 
-// restoreJob restores a job's units. Where a task may still run it is bound to
-// the worker's incarnation until that worker is heard or its lease is over.
+// restoreJob restores the units of a job from its stored progress. A task that may
+// still be running stays bound to the worker's incarnation until that worker
+// reports or its lease expires.
 func (c *Core) restoreJob(j *job, p *graph.Progress) {
 	j.state, j.durableState, j.finishedAt = p.State, p.State, p.FinishedAt
 	j.started = p.State != graph.Queued
--- a/internal/graph/plan/schedule.go
+++ b/internal/graph/plan/schedule.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// maxReservations bounds the waiting units for which room is set aside.
+	// maxReservations limits the number of waiting units with a reservation.
 	maxReservations = 4
-	// worthlessFactor times the objective is the time after which a job earns
-	// nothing any more.
+	// worthlessFactor times the objective is the latency beyond which completing a
+	// job has no value.
 	worthlessFactor = 3
-	// overrunDivisor is what a run is expected to take beyond an estimate that has
-	// turned out too low, as a part of the estimate.
+	// overrunDivisor determines the remaining time expected of a run that has
+	// exceeded its estimate: estimate/overrunDivisor.
 	overrunDivisor = 4
 )
 
-// schedulingState is what is set aside in the worker's rooms beside what runs.
+// schedulingState holds the claims, and the reservations and cached results of the
+// current scheduling pass.
 type schedulingState struct {
 	claims       []*claim
-	reservations []*reservation // of this pass
-	// noRoom holds the kinds of units that have found no place in this pass. Room
-	// only shrinks within a pass, unless a claim is dropped.
+	reservations []*reservation // of the current pass
+	// noRoom holds the kinds of units that could not be placed in this pass.
+	// Available resources only shrink within a pass, unless a claim is dropped.
 	noRoom map[unitKind]bool
-	// withinGuarantee is the result of Core.withinGuarantee in this pass.
+	// withinGuarantee is the result of jobsWithinGuarantee in this pass.
 	withinGuarantee map[*job]bool
 }
 
-// unitKind is what the places of a unit depend on, besides the workers it avoids.
+// unitKind holds everything that the placement of a unit depends on, except the
+// workers that it avoids.
 type unitKind struct {
 	step        *graph.Step
 	lastAttempt bool
 }
 
-// schedule places what can be placed.
+// schedule runs one scheduling pass over all waiting units.
 func (c *Core) schedule() {
 	if c.policy == nil || !c.firstReportOlderThan(placementDelay) {
 		return
@@ -50,8 +52,8 @@
 	}
 }
 
-// waitingUnits returns the units that could start now, in the order in which they
-// are served.
+// waitingUnits returns the units that are ready to start, in scheduling order:
+// by rank, then by the time at which their job is due.
 func (c *Core) waitingUnits(withinGuarantee map[*job]bool) []*unit {
 	var out []*unit
 	for _, j := range c.activeJobs {
@@ -71,8 +73,8 @@
 	return out
 }
 
-// rank orders jobs: those within a guarantee, then by priority, then those
-// that are too late to be of use.
+// rank returns the scheduling rank of a job, lowest first: jobs within a guarantee,
+// then by priority, then jobs that are too late to have any value.
 func (c *Core) rank(j *job, withinGuarantee bool) int {
 	switch {
 	case withinGuarantee:
@@ -84,11 +86,11 @@
 	}
 }
 
-// dueAt is when a job should be completed.
+// dueAt returns the time by which a job should be completed.
 func (c *Core) dueAt(j *job) time.Duration { return j.arrivedAt + j.Objective() }
 
-// jobsWithinGuarantee returns the jobs of priority 0 that lie within their account's
-// guarantee, the oldest first.
+// jobsWithinGuarantee returns the jobs of priority 0 that fit into the guarantee of
+// their account, which is assigned to the oldest jobs first.
 func (c *Core) jobsWithinGuarantee() map[*job]bool {
 	out := map[*job]bool{}
 	left := map[string]int{}
@@ -107,7 +109,8 @@
 	return out
 }
 
-// maxAccelerators returns the most that a step of the job needs at once.
+// maxAccelerators returns the largest number of accelerators that a step of the
+// job needs at once.
 func (j *job) maxAccelerators() int {
 	most := 0
 	for i := range j.Steps {
@@ -116,7 +119,8 @@
 	return most
 }
 
-// placeUnit places a unit, or claims room for it, or sets room aside.
+// placeUnit places a unit if it fits. Otherwise it reclaims resources for a unit
+// within a guarantee, or makes a reservation and tries preemption.
 func (c *Core) placeUnit(u *unit, withinGuarantee bool) {
 	if u.claim != nil {
 		c.useClaim(u)
@@ -135,7 +139,7 @@
 	}
 }
 
-// findPlacement returns where a unit fits now, nil if it does not.
+// findPlacement returns the placement of a unit that fits now, or nil.
 func (c *Core) findPlacement(u *unit) []allocation {
 	k := unitKind{u.step, u.onLastAttempt()}
 	if c.sched.noRoom[k] {
@@ -152,8 +156,9 @@
 	return nil
 }
 
-// mightFit reports whether the workers have room for a unit if nothing is set
-// aside and all of them may be used; most passes of a busy fleet end here.
+// mightFit reports whether the unit would fit if all workers were eligible and
+// nothing were claimed or reserved. This cheap check rejects most units while the
+// fleet is busy.
 func (c *Core) mightFit(u *unit) bool {
 	n := 0
 	for _, w := range c.sortedWorkers {
@@ -165,7 +170,8 @@
 	return false
 }
 
-// fitsEmptyRack reports whether some rack could hold a gang if it were empty.
+// fitsEmptyRack reports whether some rack could hold the unit if nothing else ran
+// there. It is true for units that need not share a rack.
 func (c *Core) fitsEmptyRack(u *unit) bool {
 	if !u.step.SameRack {
 		return true
@@ -179,7 +185,8 @@
 	return bestPlacement(u, candidates, false) != nil
 }
 
-// bind binds a unit to its place. The starts follow once that is in the table.
+// bind assigns a unit to its workers. The starts are ordered once the placement is
+// saved.
 func (c *Core) bind(u *unit, allocs []allocation) {
 	u.phase = unitPlaced
 	u.run = c.nextRunNumber()
@@ -198,8 +205,8 @@
 	c.requestSave(u.job, func() { c.startRun(u, members) })
 }
 
-// startRun orders the starts of a run that is in the table. If one member cannot
-// startRun any more, none does.
+// startRun orders the starts of a run whose placement is saved. If one member can
+// no longer start, none is started.
 func (c *Core) startRun(u *unit, members []*member) {
 	for _, m := range members {
 		if !c.canStart(m) {
@@ -220,15 +227,15 @@
 	}
 }
 
-// canStart reports whether a member may still start: while its placement was
-// being saved, its job, its worker or its zone may have been taken away.
+// canStart reports whether a member may still start. While its placement was being
+// saved, its job may have been cancelled, or its worker or zone become unavailable.
 func (c *Core) canStart(m *member) bool {
 	w := m.worker
 	return !m.stopping && !m.ended && w.connected() && m.incarnation == w.info.Incarnation() &&
 		!w.info.Draining && !c.policy.ZonesOut[w.info.Zone]
 }
 
-// abandonRun ends a run of which nothing has been ordered.
+// abandonRun ends a run for which no start has been ordered.
 func (c *Core) abandonRun(u *unit, members []*member) {
 	for _, m := range members {
 		c.endMember(m, graph.EndNeverStarted, "")
@@ -243,8 +250,8 @@
 	return u.checkpoint
 }
 
-// reserve sets aside the place where the unit is expected to fit soonest, and
-// returns it; nil if there is none or enough units have one.
+// reserve reserves the placement where the unit is expected to fit earliest, and
+// returns it. It returns nil if there is none, or if maxReservations is reached.
 func (c *Core) reserve(u *unit) *reservation {
 	if len(c.sched.reservations) >= maxReservations {
 		return nil
@@ -261,7 +268,8 @@
 	return best
 }
 
-// candidateGroups returns the sets of workers over which a unit may be spread.
+// candidateGroups returns the groups of workers over which a unit may be spread:
+// the racks for a same-rack unit that fits one, else a single group.
 func (c *Core) candidateGroups(u *unit) []workerGroup {
 	candidates := c.candidates(u)
 	if u.step.SameRack && c.fitsEmptyRack(u) {
@@ -270,8 +278,9 @@
 	return []workerGroup{{candidates: candidates}}
 }
 
-// earliestFit returns when a unit is expected to fit into a group, as the runs
-// there end by their estimates.
+// earliestFit returns a reservation at the time when a unit is expected to fit into
+// a group, given the expected ends of the runs there. It returns nil if the unit
+// does not fit even then.
 func (c *Core) earliestFit(u *unit, g workerGroup) *reservation {
 	type release struct {
 		at     time.Duration
@@ -295,7 +304,7 @@
 	return nil
 }
 
-// expectedEnd estimates when a member ends.
+// expectedEnd estimates the time at which a member ends.
 func (c *Core) expectedEnd(m *member) time.Duration {
 	estimate := m.unit.step.Estimate
 	if !m.running {
--- a/internal/graph/plan/watch.go
+++ b/internal/graph/plan/watch.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// watchRuns stops runs that make no progress, so that they begin elsewhere.
+// watchRuns stops runs that make no progress, so that they are restarted on other
+// workers, and moves runs off draining workers.
 func (c *Core) watchRuns(j *job) {
 	for _, u := range j.units {
 		if u.phase != unitPlaced || u.stopping || len(u.members) == 0 {
@@ -20,12 +21,13 @@
 	}
 }
 
-// orderTimeout is how long an agent may take to tell what became of an order:
-// it tries a start three times for 0.6 s and then stops it.
+// orderTimeout is the time an agent may take to report the outcome of an order. It
+// tries a start three times for 0.6 s each and then stops it.
 const orderTimeout = 5 * time.Second
 
-// watchOrders stops the runs again of whose last order the agent has not told
-// the outcome: it may have been lost with an earlier owner's.
+// watchOrders sends another stop for runs whose last order has had no reported
+// outcome within orderTimeout. The order may have been lost together with orders
+// of an earlier owner.
 func (c *Core) watchOrders(w *worker) {
 	if !w.connected() {
 		return
@@ -41,14 +43,17 @@
 	}
 }
 
-// minStallTime is how long a run may stand still at least, and stallFraction the part of
-// its estimate: one percent of it is the grain of what workers report.
+// A run is stalled if its progress does not change for stallFraction of its
+// estimate, and for minStallTime at least. Workers report progress in steps of one
+// percent.
 const (
 	minStallTime  = 3 * time.Second
 	stallFraction = 0.3
 )
 
-// stalledMember returns the member that keeps a unit from making progress.
+// stalledMember returns the member that holds a unit back, or nil. It picks the one
+// with the least progress, and of those the one whose worker has failed more
+// runs lately.
 func (c *Core) stalledMember(u *unit) *member {
 	limit := max(minStallTime, time.Duration(stallFraction*float64(u.step.Estimate)))
 	var worst *member
@@ -66,11 +71,13 @@
 	return worst
 }
 
-// drainMargin is how long before a worker leaves its last checkpoints are taken.
+// drainMargin is the time before a draining worker leaves at which checkpointable
+// runs are stopped, so that their last checkpoints are taken in time.
 const drainMargin = 900 * time.Millisecond
 
-// watchDraining moves a unit from workers that leave before it is expected to
-// end: at once if its work is lost anyway, else shortly before they leave.
+// watchDraining stops a unit if a draining worker leaves before the unit is
+// expected to end: at once if its work is lost anyway, or drainMargin before the
+// worker leaves if it has checkpoints.
 func (c *Core) watchDraining(u *unit) {
 	for _, m := range u.members {
 		w := m.worker
--- a/internal/graph/plan/workers.go
+++ b/internal/graph/plan/workers.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// failureWindow is how long a failed run counts against its worker.
+	// failureWindow is the time for which a failed run counts against its worker.
 	failureWindow = 12 * time.Second
-	// quarantineThreshold is the number of failed runs of different units, without
-	// a run that was done in between, after which a worker gets no new work.
+	// quarantineThreshold is the number of failed runs of different units, with no
+	// successful run in between, at which a worker is quarantined: it gets no new
+	// work.
 	quarantineThreshold = 2
-	// initialQuarantine is the first quarantine; each further one lasts twice as long.
+	// initialQuarantine is the duration of the first quarantine. It doubles with
+	// each further one, up to maxQuarantine.
 	initialQuarantine = 4 * time.Second
-	// maxQuarantine bounds a quarantine.
-	maxQuarantine = 16 * time.Second
-	// refusalBackoff is how long a unit avoids a worker that has refused it.
+	maxQuarantine     = 16 * time.Second
+	// refusalBackoff is the time for which a unit avoids a worker that refused it.
 	refusalBackoff = 1500 * time.Millisecond
 )
 
-// worker is a worker as the owner knows it.
+// worker is the owner's view of a worker.
 type worker struct {
 	info         WorkerInfo
 	reported     bool // in this term
 	lastReportAt time.Duration
-	// lastGrantAt is when the last report was taken that got a grant.
+	// lastGrantAt is the time of the last report that was answered by a lease grant.
+	// For a worker that has not reported in this term it is the latest time at which
+	// the previous owner may have granted a lease.
 	lastGrantAt time.Duration
 	responsive  bool
 	session     string
-	lost        bool // its lease is over
+	lost        bool // the lease has expired
 
-	members    []*member // not ended
+	members    []*member // members that have not ended
 	used       graph.Resources
-	unknownUse graph.Resources // of runs that were not placed there
+	unknownUse graph.Resources // used by runs that the owner did not place here
 
 	pendingAcks  []*pendingAck
-	lastEndSeen  uint64 // highest number of an end that was taken
+	lastEndSeen  uint64 // highest number of a processed end
 	lastEndAcked uint64
 
 	recentFailures   []failure
-	quarantinedUntil time.Duration // until
+	quarantinedUntil time.Duration
 	quarantineCount  int
 	drainReportedAt  time.Duration
 }
@@ -52,7 +55,7 @@
 	unit *unit
 }
 
-// pendingAck is an end whose effect is on its way into the table.
+// pendingAck is a run end that is acknowledged once its effect is saved.
 type pendingAck struct {
 	number uint64
 	saved  bool
@@ -83,7 +86,7 @@
 	w.used = w.used.Sub(m.unit.step.Needs)
 }
 
-// handleReport takes over what a worker's agent has reported.
+// handleReport updates the worker's state from a report of its agent.
 func (c *Core) handleReport(e WorkerReport) {
 	c.recordFirstReport()
 	w := c.worker(e.Worker.ID)
@@ -124,7 +127,8 @@
 	c.reconcileMembers(w, e, newSession)
 }
 
-// changeIncarnation says that a worker's earlier incarnations, and all they ran, are gone.
+// changeIncarnation resets a worker's state when a new incarnation reports. Earlier
+// incarnations and all of their runs have ended.
 func (c *Core) changeIncarnation(w *worker, now string) {
 	if w.reported {
 		c.emit(Notice{Reason: ReasonIncarnationChanged, Worker: w.info.ID, Detail: now})
@@ -134,8 +138,8 @@
 	c.endLostMembers(w, now)
 }
 
-// endLostMembers ends all members on a worker that were not placed on the given
-// incarnation: they cannot run any more.
+// endLostMembers ends all members on a worker except those placed on the given
+// incarnation. They cannot be running any more.
 func (c *Core) endLostMembers(w *worker, except string) {
 	for _, m := range slices.Clone(w.members) {
 		if m.incarnation == except {
@@ -146,7 +150,7 @@
 	}
 }
 
-// noIncarnation is the incarnation of no worker.
+// noIncarnation matches no incarnation of a worker.
 const noIncarnation = ""
 
 func (c *Core) updateRunning(w *worker, running []graph.RunState) {
@@ -163,7 +167,8 @@
 	}
 }
 
-// stopUnknownRun stops a run that the owner has not placed there.
+// stopUnknownRun stops a reported run that the owner did not place on the worker,
+// and counts its resources as used until it is gone.
 func (c *Core) stopUnknownRun(w *worker, r graph.RunState) {
 	if j := c.jobs[r.Task.Job]; j != nil {
 		if u := j.unitOf(r.Task.Step, r.Task.Index); u != nil {
@@ -200,7 +205,9 @@
 	return nil
 }
 
-// processEnds takes ends in order. Each is acknowledged once its effect is saved.
+// processEnds handles the reported ends in order. Each is acknowledged once its
+// effect is saved. If an acknowledged end is reported again, the acknowledgement
+// is repeated.
 func (c *Core) processEnds(w *worker, ended []graph.RunEnd) {
 	again := false
 	for _, e := range ended {
@@ -232,14 +239,15 @@
 	})
 }
 
-// processLateEnd takes the end of a run that is not on the books: nothing depends on
-// it unless the job's state is still on its way into the table.
+// processLateEnd handles the end of a run that the owner no longer tracks. Nothing
+// depends on it unless the job's state is still being saved.
 func (c *Core) processLateEnd(e graph.RunEnd, ack *pendingAck) {
 	c.emit(Notice{Reason: ReasonRunEnded, Job: e.Task.Job, Task: e.Task.String(), Run: e.Run, Detail: "late " + string(e.Kind)})
 	ack.saved = true
 }
 
-// acknowledgeEnds lets the worker forget the ends whose effects are all saved.
+// acknowledgeEnds acknowledges the ends up to the first one whose effect is not
+// saved yet. With again it repeats an acknowledgement that was sent before.
 func (c *Core) acknowledgeEnds(w *worker, again bool) {
 	before := w.lastEndAcked
 	for len(w.pendingAcks) > 0 && w.pendingAcks[0].saved {
@@ -265,9 +273,9 @@
 	c.requestSave(u.job, nil)
 }
 
-// reconcileMembers settles the members that the report does not account for. What was
-// ordered over an earlier connection, or in an earlier term, may have been lost:
-// it is stopped, which also keeps it from beginning late.
+// reconcileMembers stops the members whose runs the report does not list. An order
+// sent over an earlier connection or in an earlier term may have been lost. The
+// stop makes the agent report the outcome and prevents a late start.
 func (c *Core) reconcileMembers(w *worker, e WorkerReport, newSession bool) {
 	listed := map[graph.TaskID]uint64{}
 	for _, r := range e.Running {
@@ -296,7 +304,8 @@
 	}
 }
 
-// watchLease notices that a worker is not heard of.
+// watchLease marks a worker as lost and ends its members once its lease has
+// certainly expired.
 func (c *Core) watchLease(w *worker) {
 	if w.lost || c.now-w.lastGrantAt <= c.cfg.LeaseBound {
 		return
@@ -306,7 +315,8 @@
 	c.endLostMembers(w, noIncarnation)
 }
 
-// recordFailure counts a failed run against a worker.
+// recordFailure counts a failed or stalled run of a unit against the worker, and
+// quarantines the worker at quarantineThreshold.
 func (c *Core) recordFailure(w *worker, u *unit) {
 	w.recentFailures = slices.DeleteFunc(w.recentFailures, func(f failure) bool { return c.now-f.at > failureWindow || f.unit == u })
 	w.recentFailures = append(w.recentFailures, failure{c.now, u})
