--- a/internal/graph/plan/bench_test.go
+++ b/internal/graph/plan/bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// tasksPerWorker fills a fleet as at the target: 31,000 tasks on 4,400 workers.
+// tasksPerWorker is the load of the target fleet: 31,000 tasks on 4,400 workers.
 const tasksPerWorker = 7
 
-// fullFleet is a core whose workers all run tasks of jobs with 33 tasks each.
+// fullFleet is a core with workers that are filled by jobs of 33 tasks each.
 type fullFleet struct {
 	core    *Core
 	infos   []WorkerInfo
@@ -38,7 +38,7 @@
 	return f
 }
 
-// step gives the core an event and answers its saves and starts at once.
+// step passes an event to the core and completes its saves and starts at once.
 func (f *fullFleet) step(ev Event) {
 	pending := f.core.Step(f.now, ev)
 	for len(pending) > 0 {
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkBeat is one report of a worker without news.
+// BenchmarkBeat measures one worker report without changes.
 func BenchmarkBeat(b *testing.B) {
 	benchSizes(b, func(b *testing.B, f *fullFleet) {
 		for i := range b.N {
@@ -86,7 +86,7 @@
 	})
 }
 
-// BenchmarkTick is one look at the clock; there are five a second.
+// BenchmarkTick measures one tick. The owner sends five per second.
 func BenchmarkTick(b *testing.B) {
 	benchSizes(b, func(b *testing.B, f *fullFleet) {
 		for range b.N {
@@ -95,7 +95,7 @@
 	})
 }
 
-// BenchmarkSubmit is a job of 4 tasks, from its submission to its cancelling.
+// BenchmarkSubmit measures a job of 4 tasks from submission to cancellation.
 func BenchmarkSubmit(b *testing.B) {
 	benchSizes(b, func(b *testing.B, f *fullFleet) {
 		for range b.N {
@@ -104,16 +104,16 @@
 	})
 }
 
-// overloadGang is the size of the gangs that wait within a guarantee, and
-// overloadAccount the account that it belongs to.
+// overloadGang is the size of the gang that waits within a guarantee, and
+// overloadAccount is its account.
 const (
 	overloadGang    = 4
 	overloadAccount = "a0"
 )
 
-// newOverloadedFleet is a full fleet of 52 workers, as at a burst of the larger sites:
-// jobs of 30 tasks wait, single tasks and gangs by turns, and a gang within a
-// guarantee waits for room to be reclaimed.
+// newOverloadedFleet returns a full fleet of 52 workers, as in a burst on the larger
+// deployments. Jobs of 30 single tasks and gangs wait alternately, and one gang
+// within a guarantee waits for resources to be reclaimed.
 func newOverloadedFleet(waiting int) *fullFleet {
 	f := newFullFleet(52)
 	for range waiting / 30 {
@@ -127,7 +127,7 @@
 	return f
 }
 
-// expireClaims lets so much time go by that a claim is given up and made anew.
+// expireClaims advances time so far that the claim times out and is made again.
 func (f *fullFleet) expireClaims() {
 	f.now += f.core.claimTimeout()
 	for _, w := range f.core.sortedWorkers {
@@ -149,9 +149,9 @@
 	}
 }
 
-// TestSchedulingCostWithWaitingTasks shows that a pass over a full fleet costs
-// about the same for three times as many waiting tasks of as many more jobs, by
-// its allocations, which do not depend on the machine.
+// TestSchedulingCostWithWaitingTasks checks that a scheduling pass over a full fleet
+// costs about the same with three times as many waiting tasks, in three times as
+// many jobs. It compares allocations, which do not depend on the machine.
 func TestSchedulingCostWithWaitingTasks(t *testing.T) {
 	allocations := func(waiting int) float64 { return testing.AllocsPerRun(20, newOverloadedFleet(waiting).expireClaims) }
 	few, many := allocations(300), allocations(900)
@@ -160,8 +160,8 @@
 	}
 }
 
-// BenchmarkClaim measures how a gang within a guarantee picks its victims among
-// hundreds of running tasks.
+// BenchmarkClaim measures the selection of victims among hundreds of running tasks
+// for a gang within a guarantee.
 func BenchmarkClaim(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
@@ -175,7 +175,7 @@
 	}
 }
 
-// submitGang submits a gang of whole workers.
+// submitGang submits a gang whose tasks take a whole worker each.
 func (f *fullFleet) submitGang(tasks int, account string, priority int) {
 	f.lastJob++
 	f.step(JobSubmitted{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("%016x", f.lastJob)), Queue: "q", Account: account, Pool: "pool", Priority: priority,
--- a/internal/graph/plan/core_test.go
+++ b/internal/graph/plan/core_test.go
@@ -7,33 +7,34 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// harness is a core with one or more workers of 8 accelerators, stepped by hand.
+// harness drives a core with workers of 8 accelerators event by event.
 type harness struct {
 	t    *testing.T
 	core *Core
 	now  time.Duration
 }
 
-// newHarness returns a bed whose term has lasted for long enough to place and stop
-// work at once.
+// newHarness returns a harness without the start-up delays of a term: work is
+// placed and preempted at once.
 func newHarness(t *testing.T) *harness {
 	b := newTermHarness(t)
 	b.core.skipStartupDelays()
 	return b
 }
 
-// skipStartupDelays makes a core that has heard of its fleet long ago.
+// skipStartupDelays sets the first report of the term far enough in the past that
+// placementDelay and preemptionDelay are over.
 func (c *Core) skipStartupDelays() { c.hasReports, c.firstReportAt = true, -preemptionDelay }
 
-// newTermHarness returns a bed at the begin of a term.
+// newTermHarness returns a harness at the start of a term.
 func newTermHarness(t *testing.T) *harness {
 	b := &harness{t: t, core: New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0)})}
 	b.step(PolicyChanged{loadPolicy()})
 	return b
 }
 
-// step gives an event, answers the saves that follow at once and returns the
-// other actions but notices.
+// step passes an event to the core, completes the resulting saves at once and
+// returns the other actions except notices.
 func (b *harness) step(ev Event) []Action {
 	var out []Action
 	for _, a := range b.core.Step(b.now, ev) {
@@ -69,9 +70,9 @@
 	return out
 }
 
-// TestUnknownRunsUseCapacity shows that a run which the owner has not placed counts
-// against its worker's capacity until it is gone: workers need not refuse what
-// does not fit.
+// TestUnknownRunsUseCapacity checks that a run that the owner did not place counts
+// against the capacity of its worker until it has ended. Otherwise the worker is
+// overcommitted, since workers need not refuse a start that does not fit.
 func TestUnknownRunsUseCapacity(t *testing.T) {
 	b := newHarness(t)
 	b.report("w0", nil)
@@ -81,7 +82,7 @@
 		t.Fatalf("placed twice: %+v", first)
 	}
 	b.step(JobCancelled{"j0"})
-	// The worker runs another run of the job's task, which nobody knows any more.
+	// The worker reports a run of the job's task that the owner does not know.
 	stray := graph.RunState{Task: graph.TaskID{Job: "j0"}, Run: 1}
 	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runNumbersPerTerm + 1, Kind: graph.EndStopped}
 	b.report("w0", []graph.RunState{stray}, ended)
@@ -93,8 +94,9 @@
 	}
 }
 
-// TestNoGrantsWhileWorkerUnresponsive shows that a worker which does not answer its agent
-// gets no grants, and that its lease counts from the last report with one.
+// TestNoGrantsWhileWorkerUnresponsive checks that a worker that does not answer its
+// agent is granted no lease, and that its lease expires LeaseBound after the last
+// report that was granted one.
 func TestNoGrantsWhileWorkerUnresponsive(t *testing.T) {
 	b := newHarness(t)
 	granted := func(actions []Action) bool {
@@ -124,9 +126,9 @@
 	}
 }
 
-// TestFailedRunCountsAcrossTerms shows that the failure of one member of a gang
-// counts as an attempt, once, if the owner changes before the other members
-// have ended: the end may have been acknowledged by then.
+// TestFailedRunCountsAcrossTerms checks that the failure of a gang member counts as
+// exactly one attempt when the owner changes before the other members have ended.
+// The failed end may have been acknowledged by then and is not reported again.
 func TestFailedRunCountsAcrossTerms(t *testing.T) {
 	for _, other := range []graph.EndKind{graph.EndGangBroken, graph.EndFailed} {
 		t.Run(string(other), func(t *testing.T) {
@@ -161,13 +163,13 @@
 	}
 }
 
-// gangOfTwo is a job of one gang that fills two workers and has two attempts.
+// gangOfTwo returns a job with one gang that fills two workers, and two attempts.
 func gangOfTwo() *graph.Job {
 	return &graph.Job{ID: "j0", Queue: "q", Account: "a0", Pool: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2, SubmittedAt: time.Unix(0, 0),
 		Steps: []graph.Step{{Count: 2, Gang: true, Needs: graph.Resources{MilliCPU: 1000, Accelerators: 8}, Estimate: time.Second}}}
 }
 
-// startGang starts a gang on two workers, which list it as running.
+// startGang starts a gang on two workers, which report it as running.
 func (b *harness) startGang(job *graph.Job) []StartRun {
 	b.report("w0", nil)
 	b.report("w1", nil)
@@ -185,9 +187,9 @@
 	return graph.RunEnd{Number: 1, Task: s.Task, Run: s.Run, Kind: how}
 }
 
-// TestOverlappingTermKeepsLeases shows that work on a worker that has not
-// reported is taken for running as long as the earlier owner may have granted
-// it a lease after this term began.
+// TestOverlappingTermKeepsLeases checks that a run on a worker that has not reported
+// counts as active while a lease granted by the previous owner may be valid. That
+// owner may have granted one during the overlap after this term began.
 func TestOverlappingTermKeepsLeases(t *testing.T) {
 	const overlap = time.Second
 	job := gangOfTwo()
@@ -208,10 +210,11 @@
 	}
 }
 
-// TestTermStartDelays shows that a new owner neither places work on the
-// first worker that reports, while what comes first may need it, nor stops work
-// there for a job within a guarantee, while a free worker is about to report; and
-// that it does both once the time for it is over.
+// TestTermStartDelays checks the delays at the start of a term. Until placementDelay
+// has passed, a new owner must not place work on the first worker that reports,
+// because the first unit in line may need it. Until preemptionDelay has passed, it
+// must not stop a run there for a job within a guarantee, because an idle worker
+// may be about to report.
 func TestTermStartDelays(t *testing.T) {
 	for _, hasFreeWorker := range []bool{true, false} {
 		before := newHarness(t)
@@ -254,9 +257,9 @@
 	return n
 }
 
-// TestUnansweredOrderIsStoppedAgain shows that a start or a stop of whose
-// outcome the agent never tells is settled by another stop on the same
-// connection, and not before an agent may need that long.
+// TestUnansweredOrderIsStoppedAgain checks that a start or stop whose outcome the
+// agent never reports is followed by another stop on the same connection, and not
+// before orderTimeout.
 func TestUnansweredOrderIsStoppedAgain(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		b := newHarness(t)
@@ -279,8 +282,8 @@
 	}
 }
 
-// TestClaimWaitsForSlowStops shows that a claim outlasts the time that the
-// deployment's workers may take to stop a run, and is given up after it.
+// TestClaimWaitsForSlowStops checks that a claim is kept for as long as the workers
+// of the deployment may take to stop a run.
 func TestClaimWaitsForSlowStops(t *testing.T) {
 	for _, stop := range []time.Duration{0, 400 * time.Millisecond, 1500 * time.Millisecond} {
 		b := newHarness(t)
--- a/internal/graph/plan/fleet_test.go
+++ b/internal/graph/plan/fleet_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// simStep is the grain of the simulated time and the delay of a message.
+	// simStep is the resolution of the simulated time and the delay of a message.
 	simStep = 10 * time.Millisecond
-	// simTickInterval and simBeat are the intervals of the owner's ticks and of the
-	// workers' reports.
+	// simTickInterval and simReportInterval are the intervals between ticks of the
+	// owner and between reports of a worker.
 	simTickInterval   = 200 * time.Millisecond
 	simReportInterval = time.Second
-	// simLeaseBound is the lease bound of the cores.
+	// simLeaseBound is Config.LeaseBound of the cores.
 	simLeaseBound = 6500 * time.Millisecond
 	simStopTime   = 100 * time.Millisecond
 )
@@ -27,40 +27,41 @@
 	task        graph.TaskID
 	run         uint64
 	unit        *simUnit
-	progress    time.Duration // of work done
-	stopAt      time.Duration // 0 unless it is being stopped
-	resumedFrom time.Duration // work that its checkpoint had saved
+	progress    time.Duration // work done
+	stopAt      time.Duration // when it stops; 0 if it is not being stopped
+	resumedFrom time.Duration // work restored from the checkpoint
 }
 
-// simUnit is the truth about a unit: its work, and whether it fails.
+// simUnit is the actual state of a unit, as opposed to the core's view: its work,
+// its failures and its active runs.
 type simUnit struct {
 	job          *simJob
 	step         *graph.Step
-	work         time.Duration // of one task on a sound worker
-	failuresLeft int           // runs that fail by their own fault before one is done
-	done         bool          // a run of it has ended done
-	doneAcked    bool          // such an end was acknowledged, and no lease ran out before
-	// failedRuns and ackedFailures hold the runs that have ended failedRuns, and those of
-	// them whose end was acknowledged before a lease ran out.
+	work         time.Duration // run time of one task on a worker at full speed
+	failuresLeft int           // runs that fail, independent of the worker, before one succeeds
+	done         bool          // a run ended with EndDone
+	doneAcked    bool          // such an end was acknowledged before a lease expired
+	// failedRuns holds the runs that ended with EndFailed, and ackedFailures those of
+	// them whose end was acknowledged before a lease expired.
 	failedRuns, ackedFailures map[uint64]bool
-	runs                      []*simRun    // live
-	startedTasks              map[int]bool // tasks, by index
+	runs                      []*simRun    // active
+	startedTasks              map[int]bool // by index
 	memberCount               int
 }
 
-// simJob is a submitted job and what became of it.
+// simJob is a submitted job and its outcome.
 type simJob struct {
 	*graph.Job
 	units              map[int][]*simUnit // by step
 	submitted          time.Duration
 	cancelled          time.Duration
 	final              graph.State
-	firstStepStartedAt time.Duration // when all tasks of the first step had begun
-	withinGuarantee    bool          // its account's jobs of the first priority have never exceeded the guarantee
+	firstStepStartedAt time.Duration // when all tasks of the first step had started
+	withinGuarantee    bool          // the account's jobs of priority 0 have never exceeded its guarantee
 	finishedAt,
-	trueDuration time.Duration // longest chain of true work
+	trueDuration time.Duration // critical path by the actual work instead of the estimates
 	value        float64
-	lateFraction float64 // part of the worth when late
+	lateFraction float64 // fraction of the value that a late job earns
 }
 
 // simWorker is a simulated worker with its agent.
@@ -68,19 +69,19 @@
 	info          WorkerInfo
 	session       int
 	linked        bool
-	partitioned   bool    // its agent and the owner do not hear each other
-	speed         float64 // of its work
-	faulty        bool    // fails what it runs
+	partitioned   bool    // no messages pass between its agent and the owner
+	speed         float64 // 1 is full speed
+	faulty        bool    // fails all of its runs
 	runs          []*simRun
 	ended         []graph.RunEnd
 	lastAcked     uint64
-	highestEnded  map[string]uint64 // highest run stopped or ended, by task
+	highestEnded  map[string]uint64 // by task: highest run that was stopped or has ended
 	absent        []RunAbsent
-	nextReportAt  time.Duration // of the next beat
+	nextReportAt  time.Duration
 	reportNow     bool
-	leaseEnd      time.Duration // when what runs is killed
-	switchesAt    time.Duration // when its agent leaves an earlier owner
-	lastLapsedEnd uint64        // ends up to it were listed when the lease ran out
+	leaseEnd      time.Duration // when its runs are killed
+	switchesAt    time.Duration // when its agent switches from the earlier owner
+	lastLapsedEnd uint64        // highest end when the lease last expired
 }
 
 type simOrder struct {
@@ -89,13 +90,14 @@
 	core      *Core
 }
 
-// sim plays a load against a core and checks what workers and callers see.
+// sim simulates a fleet that runs a load against a core, and checks what workers and
+// callers observe.
 type sim struct {
 	now       time.Duration
 	core      *Core
-	termStart time.Duration // of the term
-	// earlierOwner is an owner that has been followed and acts on until it has
-	// noticed, nil if there is none.
+	termStart time.Duration
+	// earlierOwner is a superseded owner that still acts because it has not noticed
+	// the takeover; nil if there is none.
 	earlierOwner *Core
 	earlierStart time.Duration
 	earlierUntil time.Duration
@@ -129,7 +131,7 @@
 	return s
 }
 
-// takeOver begins a new term from the rows, after the earlier owner has ended.
+// takeOver starts a new term from the stored rows after the earlier owner has ended.
 func (s *sim) takeOver() {
 	s.earlierOwner = nil
 	s.orders = slices.DeleteFunc(s.orders, func(o simOrder) bool { _, isSave := o.action.(SaveProgress); return !isSave })
@@ -140,11 +142,11 @@
 	}
 }
 
-// simOverlap is for how long an earlier owner may act after it was followed.
+// simOverlap is the time for which a superseded owner may still act.
 const simOverlap = 900 * time.Millisecond
 
-// takeOverWithOverlap begins a new term while the earlier owner acts on, unfenced at
-// the workers whose agents have not moved yet.
+// takeOverWithOverlap starts a new term while the earlier owner still acts. It is not
+// fenced off at workers whose agents have not switched yet.
 func (s *sim) takeOverWithOverlap(switchDelay func() time.Duration) {
 	s.earlierOwner, s.earlierStart, s.earlierUntil = s.core, s.termStart, s.now+simOverlap
 	s.beginTerm(simOverlap)
@@ -153,7 +155,7 @@
 	}
 }
 
-// switchOwners lets the agents go that leave the earlier owner now.
+// switchOwners connects the agents to the new owner whose switch is due.
 func (s *sim) switchOwners() {
 	if s.earlierOwner == nil {
 		return
@@ -170,7 +172,7 @@
 	}
 }
 
-// connect begins a connection with the owner that the agent follows.
+// connect starts a new session with the owner that the agent follows.
 func (w *simWorker) connect() {
 	w.session++
 	w.absent = nil
@@ -235,7 +237,7 @@
 	s.step(JobCancelled{j.ID})
 }
 
-// runUntil lets time pass.
+// runUntil advances the simulation to the given time.
 func (s *sim) runUntil(end time.Duration) {
 	for s.now < end {
 		s.now += simStep
@@ -294,7 +296,7 @@
 		}
 	case GrantLease:
 		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
-			// The lease counts from when the report was sent.
+			// The lease is counted from the time at which the report was sent.
 			w.leaseEnd = max(w.leaseEnd, time.Duration(a.ReportNumber)*simStep+simLeaseBound-400*time.Millisecond)
 		}
 	case AcknowledgeEnds:
@@ -306,7 +308,7 @@
 	}
 }
 
-// reachableWorker returns the reachableWorker that an order reaches, nil if it does not.
+// reachableWorker returns the worker that an order reaches, or nil.
 func (s *sim) reachableWorker(id, incarnation string, o simOrder) *simWorker {
 	for _, w := range s.workers {
 		if o.core == s.ownerOf(w) && w.info.ID == id && w.info.Incarnation() == incarnation && w.linked && !w.partitioned {
@@ -316,7 +318,8 @@
 	return nil
 }
 
-// recordAcked marks the units whose ends are acknowledged for good.
+// recordAcked marks the units whose ends are acknowledged, except ends that were
+// still unacknowledged when a lease expired.
 func (s *sim) recordAcked(w *simWorker, number uint64) {
 	for _, e := range w.ended {
 		if e.Number > number || e.Number <= w.lastLapsedEnd {
@@ -332,7 +335,7 @@
 	}
 }
 
-// addRun adds a run to a set, which may be nil.
+// addRun adds a run to a set, which may be nil, and returns the set.
 func addRun(set map[uint64]bool, run uint64) map[uint64]bool {
 	if set == nil {
 		set = map[uint64]bool{}
@@ -365,7 +368,7 @@
 		w.reportNow = true
 		return
 	}
-	if w.info.Draining { // the agent knows before the owner
+	if w.info.Draining { // the agent knows this before the owner does
 		w.absent = append(w.absent, RunAbsent{a.Task, a.Run, "drains"})
 		w.reportNow = true
 		return
@@ -389,7 +392,8 @@
 	u.runs = append(u.runs, r)
 }
 
-// recordFirstStep notes when all tasks of a job's first step have begun.
+// recordFirstStep records the time at which all tasks of a job's first step have
+// started.
 func (s *sim) recordFirstStep(j *simJob) {
 	n := 0
 	for _, u := range j.units[0] {
@@ -400,8 +404,8 @@
 	}
 }
 
-// updateGuarantees notes which jobs of the first priority lie within a guarantee:
-// with all others of the account that have not ended they need no more.
+// updateGuarantees clears withinGuarantee for the active jobs of each account whose
+// active jobs of priority 0 together need more than its guarantee.
 func (s *sim) updateGuarantees() {
 	need := map[string]int{}
 	for _, j := range s.jobs {
@@ -424,7 +428,7 @@
 	return most
 }
 
-// checkStart checks the promises that a start must keep.
+// checkStart checks the invariants that every start must satisfy.
 func (s *sim) checkStart(w *simWorker, u *simUnit, a StartRun) {
 	j := u.job
 	if j.cancelled > 0 && s.now > j.cancelled+3*time.Second {
@@ -485,7 +489,7 @@
 	w.reportNow = true
 }
 
-// advance lets the runs of a worker go on.
+// advance simulates one step of the runs of a worker.
 func (s *sim) advance(w *simWorker) {
 	if w.leaseEnd > 0 && s.now > w.leaseEnd {
 		for _, r := range slices.Clone(w.runs) {
@@ -520,7 +524,8 @@
 	}
 }
 
-// rackSlowdown is the factor by which a same-rack gang on several racks is slower.
+// rackSlowdown returns the factor by which a same-rack gang is slower on several
+// racks.
 func (s *sim) rackSlowdown(u *simUnit, run uint64) float64 {
 	if !u.step.SameRack {
 		return 1
@@ -539,7 +544,8 @@
 	return 1
 }
 
-// allMembersRunning reports whether all members of a run are present.
+// allMembersRunning reports whether all members of a run are active and none is
+// being stopped.
 func (u *simUnit) allMembersRunning(run uint64) bool {
 	n := 0
 	for _, r := range u.runs {
@@ -550,7 +556,7 @@
 	return n == u.memberCount
 }
 
-// finishRun ends all members of a run as done.
+// finishRun ends all members of a run with EndDone.
 func (s *sim) finishRun(u *simUnit, run uint64) {
 	if u.doneAcked {
 		s.fail("%s step is done twice", u.job.ID)
@@ -565,7 +571,8 @@
 	}
 }
 
-// endRun ends one run; the other members of its gang break.
+// endRun ends one member of a run. Unless it is done, the other members of its gang
+// end with EndGangBroken.
 func (s *sim) endRun(w *simWorker, r *simRun, how graph.EndKind) {
 	u := r.unit
 	w.runs = slices.DeleteFunc(w.runs, func(o *simRun) bool { return o == r })
@@ -594,7 +601,7 @@
 	}
 }
 
-// report reports to the owner when there is news, and every simBeat.
+// report sends a report to the owner on a change and every simReportInterval.
 func (s *sim) report(w *simWorker) {
 	if !w.linked || w.partitioned || !w.reportNow && s.now < w.nextReportAt {
 		return
@@ -622,7 +629,7 @@
 	s.step(e)
 }
 
-// crash ends a worker's life; a new one begins at once.
+// crash ends a worker's incarnation. A new one starts at once.
 func (s *sim) crash(w *simWorker) {
 	for _, r := range slices.Clone(w.runs) {
 		s.wasted += (r.progress - r.resumedFrom).Seconds() * r.unit.step.Needs.Cores()
@@ -644,7 +651,8 @@
 	w.reportNow = true
 }
 
-// checkFinalJobs notes the jobs that have become final and checks what is shown.
+// checkFinalJobs records the jobs that have become final and checks that the state
+// shown to callers is correct.
 func (s *sim) checkFinalJobs() {
 	for _, j := range s.jobs {
 		if j.final != "" {
@@ -667,8 +675,8 @@
 	}
 }
 
-// outOfAttempts reports whether as many runs of a unit have ended failed as the
-// job has attempts.
+// outOfAttempts reports whether some unit has as many failed runs as the job has
+// attempts.
 func (j *simJob) outOfAttempts() bool {
 	for _, units := range j.units {
 		for _, u := range units {
@@ -691,12 +699,12 @@
 	return true
 }
 
-// objective is the latency that callers expect, by the true work.
+// objective returns the latency objective by the actual work.
 func (j *simJob) objective() time.Duration {
 	return time.Duration(j.Stretch*float64(j.trueDuration)) + j.Allowance
 }
 
-// earnedValue returns what a job has earnedValue of its worth.
+// earnedValue returns the part of its value that a job has earned.
 func (j *simJob) earnedValue() float64 {
 	took := j.finishedAt - j.submitted
 	switch {
@@ -709,14 +717,13 @@
 	}
 }
 
-// wasteCost is the price of a core-second of work thrown away, in the worth of
-// the jobs.
+// wasteCost is the cost of a discarded core-second, in units of job value.
 const wasteCost = 0.0017
 
-// result sums up a play.
+// result summarizes a simulation.
 type result struct {
-	value  float64 // earned of what was owed
-	net    float64 // less the price of work thrown away
+	value  float64 // fraction of the total value that was earned
+	net    float64 // value minus the cost of discarded work
 	onTime int
 	late   int
 	missed int
--- a/internal/graph/plan/load_test.go
+++ b/internal/graph/plan/load_test.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/policy"
 )
 
-// class is a kind of job of a load.
+// class describes the distribution of one kind of job in a load.
 type class struct {
 	name            string
 	priority        int
@@ -19,14 +19,14 @@
 	meanWork        time.Duration
 	workSpread      float64
 	maxWork         time.Duration
-	meanTasks       float64 // tasks, mean
+	meanTasks       float64
 	maxTasks        int
 	needs           graph.Resources
 	accelerators    []int
-	gangShare       float64 // share of the steps
-	sameRackShare   float64 // share of the gangs
+	gangShare       float64 // fraction of the steps
+	sameRackShare   float64 // fraction of the gangs
 	checkpointShare float64
-	estimateSpread  float64 // of the estimates
+	estimateSpread  float64 // log-normal sigma of the estimates' error
 	stretch         float64
 	allowance       time.Duration
 	maxAttempts     int
@@ -36,8 +36,8 @@
 	cancelShare     float64
 }
 
-// assessments is the load of the tree assessments on a busy day: long surveys,
-// short conflict reports that come first, and wide bundles of evidence.
+// assessments returns the job classes of a busy day of tree assessments: long
+// surveys, short conflict reports of priority 0, and wide bundles of evidence.
 func assessments() []class {
 	return []class{
 		{"survey", 1, 0.36, 8500 * time.Millisecond, 0.3, 11 * time.Second, 1.5, 9, graph.Resources{MilliCPU: 52000, MemoryMB: 110000}, []int{1, 2, 4, 8, 8}, 0.5, 0.6, 0.45, 0.9, 3, time.Second, 2, 0.02, 3, 0.3, 0.05},
@@ -58,7 +58,7 @@
 	return mean * math.Exp(r.NormFloat64()*spread-spread*spread/2)
 }
 
-// draw draws a job of a class.
+// draw generates a job of a class.
 func (c *class) draw(r *rand.Rand, n int) *simJob {
 	j := &simJob{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("j%04d", n)), Queue: c.name, Account: fmt.Sprintf("a%d", int(r.Float64()*r.Float64()*4)),
 		Pool: "pool", Spec: fmt.Sprint("spec", n), Priority: c.priority, MaxAttempts: c.maxAttempts, Stretch: c.stretch, Allowance: c.allowance}, units: map[int][]*simUnit{}}
@@ -109,14 +109,15 @@
 		}
 		j.units[i] = append(j.units[i], u)
 	}
-	// A wide step runs in waves where it takes more than a quarter of the fleet.
+	// A step that needs more than a quarter of the fleet runs in several waves.
 	waves := math.Max(1, float64(s.Count*max(s.Needs.Accelerators, 1))/22)
 	j.trueDuration += time.Duration(float64(work) * waves)
 	_ = step
 	return work.Seconds() * float64(s.Count) * s.Needs.Cores()
 }
 
-// linkSteps points the units at the steps once no more are appended.
+// linkSteps sets the step pointers of the units. It is called after the last append
+// to Steps, which may move the slice.
 func (j *simJob) linkSteps() {
 	for i, units := range j.units {
 		for _, u := range units {
@@ -125,13 +126,13 @@
 	}
 }
 
-// arrival is a job with its time.
+// arrival is a job with its submission time.
 type arrival struct {
 	at  time.Duration
 	job *simJob
 }
 
-// arrivals draws a load of some seconds with a burst of the first priority.
+// arrivals generates a load of the given seconds with a burst of jobs of priority 0.
 func arrivals(r *rand.Rand, classes []class, seconds int, factor float64) []arrival {
 	var out []arrival
 	n := 0
@@ -153,7 +154,7 @@
 	return out
 }
 
-// play plays a load until all jobs are final, or for long enough.
+// play submits a load and runs until all jobs are final or a time limit is reached.
 func (s *sim) play(load []arrival, cancels *rand.Rand, cancelShare map[string]float64) {
 	type cancellation struct {
 		at  time.Duration
@@ -190,7 +191,7 @@
 
 var assessmentWorker = graph.Resources{MilliCPU: 128000, MemoryMB: 262144, Accelerators: 8}
 
-// playAssessments plays a busy day of 34 seconds.
+// playAssessments simulates a busy day compressed into 34 seconds.
 func playAssessments(t testing.TB, seed int64, factor float64) *sim {
 	r := rand.New(rand.NewSource(seed))
 	s := newSim(11, assessmentWorker, loadPolicy(), func(f string, args ...any) { t.Helper(); t.Errorf(f, args...) })
@@ -199,9 +200,9 @@
 	return s
 }
 
-// TestAssessmentLoad plays busy days without faults. Every job has to get its
-// answer, nothing may start against the promises, no start may be refused for
-// want of room, and nearly all of the worth has to be earned.
+// TestAssessmentLoad simulates busy days without faults. Every job must become
+// final, no start may violate an invariant or be refused for lack of resources, and
+// nearly all of the value must be earned.
 func TestAssessmentLoad(t *testing.T) {
 	var sum float64
 	const days = 20
@@ -226,12 +227,13 @@
 	}
 }
 
-// reclaimLimit is within which the first step of a job of the first priority
-// within its account's guarantee has to have begun, after its acceptance.
+// reclaimLimit is the time from submission within which the first step of a job of
+// priority 0 within its account's guarantee must have started.
 const reclaimLimit = 2900 * time.Millisecond
 
-// TestGuaranteedJobsStartInTime plays overloaded days on which the workers are full of
-// other accounts' work, and checks the bound for all jobs within a guarantee.
+// TestGuaranteedJobsStartInTime simulates overloaded days on which the workers are
+// full of other accounts' jobs, and checks reclaimLimit for all jobs within a
+// guarantee.
 func TestGuaranteedJobsStartInTime(t *testing.T) {
 	within := 0
 	for seed := range int64(30) {
@@ -252,9 +254,9 @@
 	}
 }
 
-// TestHeavyLoad plays days on which more is asked for than fits. Work of the
-// first priority has to take room where nothing is lost by it: without that, at
-// twice the usual load, a twentieth of the worth is missed.
+// TestHeavyLoad simulates days with more demand than capacity. Jobs of priority 0
+// must preempt others where nothing is lost by it. Without preemption, a twentieth
+// of the value is lost at twice the usual load.
 func TestHeavyLoad(t *testing.T) {
 	for _, day := range []struct{ factor, least float64 }{{1.2, 0.95}, {2.2, 0.85}} {
 		var worth, net, wasted float64
--- a/internal/graph/plan/machine_test.go
+++ b/internal/graph/plan/machine_test.go
@@ -12,14 +12,14 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/policy"
 )
 
-// planMachine drives a fleet by drawn actions. The oracle is the fleet itself:
-// it fails a start that breaks a promise, and at the end every job has to have
-// its answer.
+// planMachine drives a simulated fleet with random actions. The simulation is the
+// oracle: it fails on a start that violates an invariant, and at the end every job
+// must be final.
 type planMachine struct {
 	*sim
 	rnd      *rand.Rand
 	jobCount int
-	// calmAt is when the last disturbance ended or began.
+	// calmAt is when the last fault began or ended.
 	calmAt time.Duration
 }
 
@@ -45,7 +45,7 @@
 	m.submit(j)
 }
 
-// rebuildUnits rebuilds the units of a job whose first step is no gang any more.
+// rebuildUnits recreates the units of a job whose first step is no longer a gang.
 func (m *planMachine) rebuildUnits(c class, j *simJob) *simJob {
 	j.units[0] = nil
 	for range j.Steps[0].Count {
@@ -54,7 +54,7 @@
 	return j
 }
 
-// tooWide reports whether a gang is too wide for the machine's small fleet.
+// tooWide reports whether a gang of the job is too wide for the small fleet.
 func tooWide(j *simJob) bool {
 	for _, s := range j.Steps {
 		if s.Gang && (s.Count > 4 || s.TotalNeeds().Accelerators > 8) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// reconnect ends a cut: orders and reports of the old connection are lost.
+// reconnect ends a partition. Orders and reports of the old session are lost.
 func (w *simWorker) reconnect() {
 	w.partitioned = false
 	w.session++
@@ -144,13 +144,14 @@
 	if !next.ZonesOut[zone] {
 		m.policy = next
 	}
-	// What is on its way when a zone goes out may still start there.
+	// Orders in transit when a zone becomes unavailable may still start runs there.
 	m.step(PolicyChanged{next})
 	m.runUntil(m.now + 2*simStep)
 	m.policy = next
 }
 
-// recoverAndCheck ends all disturbances and expects an answer to every job.
+// recoverAndCheck ends all faults and checks that every job becomes final and that
+// no runs, ends or used resources are left over.
 func (m *planMachine) recoverAndCheck(t *rapid.T) {
 	m.storeDown = false
 	if m.policy.ZonesOut["z0"] {
@@ -186,9 +187,9 @@
 	}
 }
 
-// TestPlanMachine shows that no task runs twice at a time or after it was done,
-// that nothing starts against the promises, and that every job gets its one
-// answer, whatever crashes, is cut off, is slow or takes over.
+// TestPlanMachine checks that no task runs twice at the same time or again after it
+// was done, that no start violates an invariant, and that every job becomes final
+// exactly once, under crashes, partitions, slow workers and takeovers.
 func TestPlanMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(8, assessmentWorker, loadPolicy(), t.Fatalf)
@@ -199,9 +200,9 @@
 	})
 }
 
-// TestNoSecondRunUnderEarlierOwnersLease shows that work is not begun again while it runs on
-// under a lease that an earlier owner has granted after it was followed, by an
-// agent that the new owner has never heard.
+// TestNoSecondRunUnderEarlierOwnersLease checks that a task is not started again
+// while it still runs under a lease that an earlier owner granted after the
+// takeover, to a worker whose agent has never reported to the new owner.
 func TestNoSecondRunUnderEarlierOwnersLease(t *testing.T) {
 	s := newSim(8, assessmentWorker, loadPolicy(), t.Errorf)
 	s.runUntil(time.Second)
@@ -222,7 +223,7 @@
 	}
 	s.runUntil(s.now + simOverlap - 4*simStep)
 	for _, w := range s.workers {
-		w.reportNow = len(w.runs) > 0 // the last report to the earlier owner
+		w.reportNow = len(w.runs) > 0 // last report to the earlier owner
 	}
 	s.runUntil(s.now + 2*simStep)
 	for _, w := range s.workers {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy holds what operators decide: queues, client accounts, pools
-// of workers and the availability zones that are out, as one snapshot with a
-// version, and the watcher that keeps it current.
+// Package policy holds the operators' configuration as a versioned snapshot of
+// queues, client accounts, worker pools and unavailable zones, and the watcher that
+// keeps it current.
 package policy
 
 import (
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Queue is a queue of jobs that callers address by host and path.
+// Queue is a job queue that callers address by host and path prefix.
 type Queue struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	// Pool is the service whose workers run the queue's tasks.
 	Pool        string
-	Priority    int // 0 comes first and may preempt others
-	MaxAttempts int // failed runs of a task after which its job has failed
+	Priority    int // 0 is the highest and may preempt others
+	MaxAttempts int // number of failed runs of a task that fails its job
 	Stretch     float64
 	Allowance   time.Duration
-	// Public queues need no key.
+	// Public queues can be used without a key.
 	Public bool
-	// Advised queues may only use the workers that an adviser names.
+	// Advised queues may only use workers that an adviser selects.
 	Advised bool
 }
 
@@ -29,34 +29,33 @@
 type ClientAccount struct {
 	Name string
 	Keys []string
-	// GuaranteedAccelerators is the number of accelerators that the account's jobs of
-	// priority 0 can always reclaim.
+	// GuaranteedAccelerators is the number of accelerators that the account's jobs
+	// of priority 0 can always reclaim.
 	GuaranteedAccelerators int
 }
 
 // Pool is a service whose workers run tasks.
 type Pool struct {
 	Name string
-	// EnforcesCapacity tells that workers refuse what does not fit.
+	// EnforcesCapacity reports that workers refuse tasks that do not fit.
 	EnforcesCapacity bool
-	// Standby pools have no workers that are on.
+	// Standby pools have no workers switched on.
 	Standby bool
 }
 
-// Snapshot is the configuration at one version. It is not changed once it is
-// published.
+// Snapshot is one version of the configuration. It is immutable once published.
 type Snapshot struct {
 	Version  uint64
 	Queues   []Queue
 	Accounts []ClientAccount
 	Pools    []Pool
-	// ZonesOut are the availability zones in which nothing may start.
+	// ZonesOut holds the availability zones in which nothing may start.
 	ZonesOut map[string]bool
 
 	accountOfKey map[string]*ClientAccount
 }
 
-// buildIndex prepares look-ups.
+// buildIndex builds the lookup table of AccountByKey.
 func (s *Snapshot) buildIndex() {
 	s.accountOfKey = map[string]*ClientAccount{}
 	for i := range s.Accounts {
@@ -66,8 +65,8 @@
 	}
 }
 
-// MatchQueue returns the queue with the longest prefix of the path, and the rest of
-// the path.
+// MatchQueue returns the queue of the host with the longest matching path prefix,
+// and the rest of the path. The queue is nil if none matches.
 func (s *Snapshot) MatchQueue(host, path string) (q *Queue, rest string) {
 	for i := range s.Queues {
 		c := &s.Queues[i]
@@ -78,10 +77,11 @@
 	return q, rest
 }
 
-// AccountByKey returns the account that has a key, nil if none has.
+// AccountByKey returns the account that owns a key, or nil.
 func (s *Snapshot) AccountByKey(key string) *ClientAccount { return s.accountOfKey[key] }
 
-// GuaranteedAccelerators returns the accelerators that an account is guaranteed.
+// GuaranteedAccelerators returns the number of accelerators guaranteed to an
+// account, 0 if the account is unknown.
 func (s *Snapshot) GuaranteedAccelerators(account string) int {
 	for i := range s.Accounts {
 		if s.Accounts[i].Name == account {
--- a/internal/policy/watcher.go
+++ b/internal/policy/watcher.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// waitFraction is the part of the time in which a change has to be in force that
-	// one call waits for a change, and slackPart the part that its answer may take
-	// beyond that: a silent connection is found after both, and the change has to
-	// be read then.
+	// waitFraction is the fraction of the time to apply a change for which one call
+	// waits for a change, and slackFraction the fraction that its response may take
+	// beyond that. A silent connection is detected after both, and enough time has
+	// to remain to read the change.
 	waitFraction  = 0.35
 	slackFraction = 0.25
-	// maxWait bounds the wait, so that an entry without the store is known soon.
+	// maxWait limits the wait, so that an entry that has lost the store is detected
+	// soon.
 	maxWait = 700 * time.Millisecond
-	// defaultRevocationTime and usualApply are the limits where none are set.
 	defaultRevocationTime = 5 * time.Second
 	defaultApplyTime      = 2 * time.Second
-	// revocationMargin is the part of the time in which a key has to end that a snapshot
-	// is not used in, for calls on their way and a clock's rate.
+	// revocationMargin is the fraction of RevocationTime by which a snapshot expires
+	// early, to allow for calls in progress and clock drift.
 	revocationMargin = 0.06
-	// readTimeout bounds one read of the whole configuration.
+	// readTimeout limits one read of the whole configuration.
 	readTimeout = 1200 * time.Millisecond
-	// retryDelay is the time between two calls after a failure.
+	// retryDelay is the pause after a failed call.
 	retryDelay = 100 * time.Millisecond
 )
 
-// Limits are the times in which operators' changes have to take effect. Zero
-// values take the usual ones.
+// Limits are the times within which operators' changes must take effect. Zero
+// values select the defaults.
 type Limits struct {
-	// RevocationTime is within which a key has to end after its removal, also at an entry
-	// that does not reach the store.
+	// RevocationTime is the time within which a removed key must be rejected, also at
+	// an entry that cannot reach the store.
 	RevocationTime time.Duration
-	// ApplyTime is within which any change has to be in force.
+	// ApplyTime is the time within which any change must be in effect.
 	ApplyTime time.Duration
 }
 
@@ -53,21 +53,23 @@
 	return l
 }
 
-// wait is how long one call waits for a change.
+// wait returns the time one call to the source waits for a change.
 func (l Limits) wait() time.Duration {
 	return min(maxWait, fractionOf(waitFraction, min(l.ApplyTime, l.RevocationTime/2)))
 }
 
-// slack is how long the answer may take beyond that.
+// slack returns the time that the response may take beyond wait.
 func (l Limits) slack() time.Duration {
 	return fractionOf(slackFraction, min(l.ApplyTime, l.RevocationTime/2))
 }
 
-// maxConfirmationAge is the age that a confirmation reaches while all is well.
+// maxConfirmationAge returns the age that the last confirmation may reach in normal
+// operation.
 func (l Limits) maxConfirmationAge() time.Duration { return l.wait() + l.slack() }
 
-// maxSnapshotAge is the age of the last confirmation up to which a snapshot may be used
-// for callers. A watch may have missed a change for as long as one call lasts.
+// maxSnapshotAge returns the age of the last confirmation up to which a snapshot may
+// be used for callers. A change may go unnoticed for the duration of one call, hence
+// maxConfirmationAge is subtracted.
 func (l Limits) maxSnapshotAge() time.Duration {
 	return l.RevocationTime - l.maxConfirmationAge() - fractionOf(revocationMargin, l.RevocationTime)
 }
@@ -76,20 +78,21 @@
 	return time.Duration(fraction * float64(d))
 }
 
-// ErrHistoryGone says that the store no longer tells what has changed since a
-// revision; the configuration has to be read anew.
+// ErrHistoryGone reports that the store no longer has the changes since a revision.
+// The whole configuration has to be read again.
 const ErrHistoryGone = errors.ConstError("history is gone")
 
-// Source is where operators keep the configuration.
+// Source is the store in which operators keep the configuration.
 type Source interface {
-	// Read returns the configuration as of one moment and its revision.
+	// Read returns a consistent snapshot of the configuration and its revision.
 	Read(ctx context.Context) (*Snapshot, uint64, error)
-	// WaitForChange returns once something has changed after a revision, or after wait.
+	// WaitForChange returns once something has changed since the revision after, or
+	// once wait has elapsed.
 	WaitForChange(ctx context.Context, after uint64, wait time.Duration) (changed bool, err error)
 }
 
-// Watcher keeps the newest configuration. A process never goes back to a lower
-// version.
+// Watcher keeps the newest configuration. It never goes back to a lower version
+// within a process.
 type Watcher struct {
 	source   Source
 	limits   Limits
@@ -106,7 +109,7 @@
 	loops       kernel.Loops
 }
 
-// NewWatcher returns a watcher that is not running yet.
+// NewWatcher returns a watcher. Start has to be called to run it.
 func NewWatcher(source Source, limits Limits, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *Watcher {
 	return &Watcher{
 		source:   source,
@@ -118,38 +121,41 @@
 	}
 }
 
-// Start starts to follow the configuration.
+// Start starts watching the configuration.
 func (w *Watcher) Start(context.Context) error {
 	w.loops.Begin()
 	w.loops.Go(w.follow)
 	return nil
 }
 
-// Stop ends the watch.
+// Stop stops watching.
 func (w *Watcher) Stop(context.Context) error {
 	w.loops.End()
 	return nil
 }
 
-// Subscribe calls fn after each change, in order, from one goroutine.
+// Subscribe registers fn to be called after each change, in order, from a single
+// goroutine.
 func (w *Watcher) Subscribe(fn func(*Snapshot)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.subscribers = append(w.subscribers, fn)
 }
 
-// LatestSnapshot returns the newest snapshot, however old its confirmation is; nil
-// before the first one.
+// LatestSnapshot returns the newest snapshot regardless of the age of its
+// confirmation, or nil if none has been read.
 func (w *Watcher) LatestSnapshot() *Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.current
 }
 
-// MaxConfirmationAge is the age that a confirmation reaches while all is well.
+// MaxConfirmationAge returns the age that the last confirmation may reach in normal
+// operation.
 func (w *Watcher) MaxConfirmationAge() time.Duration { return w.limits.maxConfirmationAge() }
 
-// FreshSnapshot returns the newest snapshot if it has been confirmed lately, else nil.
+// FreshSnapshot returns the newest snapshot and the age of its last confirmation.
+// The snapshot is nil if the confirmation is too old for it to be used for callers.
 func (w *Watcher) FreshSnapshot() (s *Snapshot, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,8 +166,8 @@
 	return w.current, age
 }
 
-// StoreOutage returns for how long the store has failed to confirm the configuration,
-// 0 while it does.
+// StoreOutage returns the time since the last confirmation if the store fails to
+// confirm the configuration, and 0 otherwise.
 func (w *Watcher) StoreOutage() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -225,7 +231,7 @@
 func (w *Watcher) markRegained() {
 	if w.storeLost {
 		w.storeLost = false
-		w.log.Info().Msg("configuration store regained")
+		w.log.Info().Msg("configuration store reachable again")
 	}
 }
 
@@ -235,11 +241,12 @@
 	defer w.mu.Unlock()
 	if !w.storeLost && !errors.Is(err, ErrHistoryGone) {
 		w.storeLost = true
-		w.log.Warn().Err(err).Dur("confirmed_ago", w.clock()-w.confirmedAt).Msg("configuration store lost")
+		w.log.Warn().Err(err).Dur("confirmed_ago", w.clock()-w.confirmedAt).Msg("configuration store unreachable; using the last snapshot until it expires")
 	}
 }
 
-// apply takes over what was read in a call that began at start.
+// apply publishes a snapshot that was read by a call started at start, unless its
+// version is lower than the current one, and notifies the subscribers.
 func (w *Watcher) apply(start time.Duration, next *Snapshot) {
 	w.mu.Lock()
 	w.markRegained()
@@ -253,7 +260,7 @@
 	subscribers := append(([]func(*Snapshot))(nil), w.subscribers...)
 	w.mu.Unlock()
 	w.log.Info().Uint64("version", next.Version).Int("queues", len(next.Queues)).
-		Int("accounts", len(next.Accounts)).Int("zones_out", len(next.ZonesOut)).Msg("configuration in force")
+		Int("accounts", len(next.Accounts)).Int("zones_out", len(next.ZonesOut)).Msg("configuration applied")
 	for _, fn := range subscribers {
 		fn(next)
 	}
--- a/internal/policy/watcher_test.go
+++ b/internal/policy/watcher_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestLimits shows, for any bounds, that a change which comes just after a watch
-// has begun on a connection that goes silent is read in time, that a key ends in
-// time at an entry that never hears of its removal, and that a snapshot stays
-// fresh while all is well.
+// TestLimits checks the derived times for any limits: a change that is made just
+// after a call on a connection that goes silent is read within ApplyTime, an entry
+// that never learns of a removed key stops accepting it within RevocationTime, and a
+// snapshot stays fresh in normal operation.
 func TestLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{
@@ -32,7 +32,7 @@
 	})
 }
 
-// TestDefaultLimits locks the times of the deployments known so far.
+// TestDefaultLimits pins the times of the known deployments, which use the defaults.
 func TestDefaultLimits(t *testing.T) {
 	l := Limits{}.withDefaults()
 	if l.wait() != 700*time.Millisecond || l.maxConfirmationAge() != 1200*time.Millisecond || l.maxSnapshotAge() != 3500*time.Millisecond {
@@ -40,7 +40,7 @@
 	}
 }
 
-// silentSource answers one read and no watch.
+// silentSource answers one read and then no further call.
 type silentSource struct{ reads int }
 
 func (s *silentSource) Read(ctx context.Context) (*Snapshot, uint64, error) {
@@ -57,8 +57,8 @@
 	return false, ctx.Err()
 }
 
-// TestSnapshotExpiresBeforeRevocationTime shows that a snapshot which nothing
-// confirms any more is given up before a key that it holds has to end.
+// TestSnapshotExpiresBeforeRevocationTime checks that a snapshot that is no longer
+// confirmed is discarded before a removed key that it holds must be rejected.
 func TestSnapshotExpiresBeforeRevocationTime(t *testing.T) {
 	var now time.Duration
 	w := NewWatcher(&silentSource{}, Limits{RevocationTime: 2 * time.Second, ApplyTime: time.Second}, func() time.Duration { return now }, metrics.NewRegistry(), zerolog.Nop())
