--- a/internal/graph/plan/core_test.go
+++ b/internal/graph/plan/core_test.go
@@ -17,9 +17,9 @@
 // newHarness returns a harness without the start-up delays of a term: work is
 // placed and preempted at once.
 func newHarness(t *testing.T) *harness {
-	b := newTermHarness(t)
-	b.core.skipStartupDelays()
-	return b
+	h := newTermHarness(t)
+	h.core.skipStartupDelays()
+	return h
 }
 
 // skipStartupDelays sets the first report of the term far enough in the past that
@@ -28,20 +28,20 @@
 
 // newTermHarness returns a harness at the start of a term.
 func newTermHarness(t *testing.T) *harness {
-	b := &harness{t: t, core: New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0)})}
-	b.step(PolicyChanged{loadPolicy()})
-	return b
+	h := &harness{t: t, core: New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0)})}
+	h.step(PolicyChanged{loadPolicy()})
+	return h
 }
 
 // step passes an event to the core, completes the resulting saves at once and
 // returns the other actions except notices.
-func (b *harness) step(ev Event) []Action {
+func (h *harness) step(ev Event) []Action {
 	var out []Action
-	for _, a := range b.core.Step(b.now, ev) {
+	for _, a := range h.core.Step(h.now, ev) {
 		switch a := a.(type) {
 		case Notice:
 		case SaveProgress:
-			out = append(out, b.step(ProgressSaved{Job: a.Job, Number: a.Number})...)
+			out = append(out, h.step(ProgressSaved{Job: a.Job, Number: a.Number})...)
 		default:
 			out = append(out, a)
 		}
@@ -49,14 +49,14 @@
 	return out
 }
 
-func (b *harness) report(id string, running []graph.RunState, ended ...graph.RunEnd) []Action {
-	return b.step(WorkerReport{Worker: WorkerInfo{ID: id, Instance: "i-" + id, StartUnixMillis: 1, Pool: "pool", Zone: "z0", Rack: "r0",
+func (h *harness) report(id string, running []graph.RunState, ended ...graph.RunEnd) []Action {
+	return h.step(WorkerReport{Worker: WorkerInfo{ID: id, Instance: "i-" + id, StartUnixMillis: 1, Pool: "pool", Zone: "z0", Rack: "r0",
 		Capacity: graph.Resources{MilliCPU: 16000, Accelerators: 8}}, Session: "s", Running: running, Ended: ended, Number: 1, WorkerResponsive: true})
 }
 
-func (b *harness) submit(id graph.JobID, accelerators int) []Action {
-	return b.step(JobSubmitted{Job: &graph.Job{ID: id, Queue: "q", Account: "a0", Pool: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2,
-		SubmittedAt: time.Unix(0, 0).Add(b.now),
+func (h *harness) submit(id graph.JobID, accelerators int) []Action {
+	return h.step(JobSubmitted{Job: &graph.Job{ID: id, Queue: "q", Account: "a0", Pool: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2,
+		SubmittedAt: time.Unix(0, 0).Add(h.now),
 		Steps:       []graph.Step{{Count: 1, Needs: graph.Resources{MilliCPU: 1000, Accelerators: accelerators}, Estimate: time.Second}}}})
 }
 
@@ -74,22 +74,22 @@
 // against the capacity of its worker until it has ended. Otherwise the worker is
 // overcommitted, since workers need not refuse a start that does not fit.
 func TestUnknownRunsUseCapacity(t *testing.T) {
-	b := newHarness(t)
-	b.report("w0", nil)
-	b.submit("j0", 6)
-	first := starts(b.step(Tick{}))
+	h := newHarness(t)
+	h.report("w0", nil)
+	h.submit("j0", 6)
+	first := starts(h.step(Tick{}))
 	if len(first) != 0 {
 		t.Fatalf("placed twice: %+v", first)
 	}
-	b.step(JobCancelled{"j0"})
+	h.step(JobCancelled{"j0"})
 	// The worker reports a run of the job's task that the owner does not know.
 	stray := graph.RunState{Task: graph.TaskID{Job: "j0"}, Run: 1}
 	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runNumbersPerTerm + 1, Kind: graph.EndStopped}
-	b.report("w0", []graph.RunState{stray}, ended)
-	if s := starts(b.submit("j1", 4)); len(s) > 0 {
+	h.report("w0", []graph.RunState{stray}, ended)
+	if s := starts(h.submit("j1", 4)); len(s) > 0 {
 		t.Fatalf("started beside a stray run: %+v", s)
 	}
-	if s := starts(b.report("w0", nil)); len(s) != 1 || s[0].Task.Job != "j1" {
+	if s := starts(h.report("w0", nil)); len(s) != 1 || s[0].Task.Job != "j1" {
 		t.Fatalf("after the stray run is gone: %+v", s)
 	}
 }
@@ -98,7 +98,7 @@
 // agent is granted no lease, and that its lease expires LeaseBound after the last
 // report that was granted one.
 func TestNoGrantsWhileWorkerUnresponsive(t *testing.T) {
-	b := newHarness(t)
+	h := newHarness(t)
 	granted := func(actions []Action) bool {
 		for _, a := range actions {
 			if _, ok := a.(GrantLease); ok {
@@ -107,21 +107,21 @@
 		}
 		return false
 	}
-	if !granted(b.report("w0", nil)) {
+	if !granted(h.report("w0", nil)) {
 		t.Fatal("no grant for a worker that answers")
 	}
-	if s := starts(b.submit("j0", 8)); len(s) != 1 {
+	if s := starts(h.submit("j0", 8)); len(s) != 1 {
 		t.Fatalf("%+v", s)
 	}
-	silent := WorkerReport{Worker: b.core.workers["w0"].info, Session: "s", Number: 2}
-	for b.now < simLeaseBound {
-		b.now += time.Second
-		if granted(b.step(silent)) {
-			t.Fatalf("grant at %v for a worker that does not answer", b.now)
+	silent := WorkerReport{Worker: h.core.workers["w0"].info, Session: "s", Number: 2}
+	for h.now < simLeaseBound {
+		h.now += time.Second
+		if granted(h.step(silent)) {
+			t.Fatalf("grant at %v for a worker that does not answer", h.now)
 		}
-		b.step(Tick{})
-		if lost := b.core.workers["w0"].lost; lost != (b.now > simLeaseBound) {
-			t.Fatalf("at %v: lost %v", b.now, lost)
+		h.step(Tick{})
+		if lost := h.core.workers["w0"].lost; lost != (h.now > simLeaseBound) {
+			t.Fatalf("at %v: lost %v", h.now, lost)
 		}
 	}
 }
@@ -132,12 +132,12 @@
 func TestFailedRunCountsAcrossTerms(t *testing.T) {
 	for _, other := range []graph.EndKind{graph.EndGangBroken, graph.EndFailed} {
 		t.Run(string(other), func(t *testing.T) {
-			b := newHarness(t)
+			h := newHarness(t)
 			job := gangOfTwo()
-			first := b.startGang(job)
-			b.report(first[0].Worker, nil, runEnd(first[0], graph.EndFailed))
+			first := h.startGang(job)
+			h.report(first[0].Worker, nil, runEnd(first[0], graph.EndFailed))
 
-			row := b.core.jobs[job.ID].progress()
+			row := h.core.jobs[job.ID].progress()
 			next := newHarness(t)
 			next.step(JobSubmitted{Job: job, Progress: &row})
 			next.report(first[0].Worker, nil)
@@ -170,15 +170,15 @@
 }
 
 // startGang starts a gang on two workers, which report it as running.
-func (b *harness) startGang(job *graph.Job) []StartRun {
-	b.report("w0", nil)
-	b.report("w1", nil)
-	out := starts(b.step(JobSubmitted{Job: job}))
+func (h *harness) startGang(job *graph.Job) []StartRun {
+	h.report("w0", nil)
+	h.report("w1", nil)
+	out := starts(h.step(JobSubmitted{Job: job}))
 	if len(out) != 2 {
-		b.t.Fatalf("started %+v", out)
+		h.t.Fatalf("started %+v", out)
 	}
 	for _, s := range out {
-		b.report(s.Worker, []graph.RunState{{Task: s.Task, Run: s.Run}})
+		h.report(s.Worker, []graph.RunState{{Task: s.Task, Run: s.Run}})
 	}
 	return out
 }
@@ -193,9 +193,9 @@
 func TestOverlappingTermKeepsLeases(t *testing.T) {
 	const overlap = time.Second
 	job := gangOfTwo()
-	b := newHarness(t)
-	b.startGang(job)
-	row := b.core.jobs[job.ID].progress()
+	h := newHarness(t)
+	h.startGang(job)
+	row := h.core.jobs[job.ID].progress()
 
 	next := newHarness(t)
 	next.core.cfg.TakeoverOverlap = overlap
@@ -223,25 +223,25 @@
 		row := before.core.jobs["j0"].progress()
 		running := []graph.RunState{{Task: s[0].Task, Run: s[0].Run}}
 
-		b := newTermHarness(t)
-		b.step(JobSubmitted{Job: before.core.jobs["j0"].Job, Progress: &row})
+		h := newTermHarness(t)
+		h.step(JobSubmitted{Job: before.core.jobs["j0"].Job, Progress: &row})
 		claim := *before.core.jobs["j0"].Job
 		claim.ID, claim.Account, claim.Priority = "j1", "a0", 0
-		b.step(JobSubmitted{Job: &claim})
-		actions := b.report("w0", running)
+		h.step(JobSubmitted{Job: &claim})
+		actions := h.report("w0", running)
 		if hasFreeWorker {
-			actions = append(actions, b.report("w1", nil)...)
+			actions = append(actions, h.report("w1", nil)...)
 		}
 		if len(starts(actions)) > 0 {
 			t.Errorf("second worker %v: placed with the first reports: %+v", hasFreeWorker, actions)
 		}
-		b.now += placementDelay
-		actions = b.step(Tick{})
+		h.now += placementDelay
+		actions = h.step(Tick{})
 		if countStops(actions) > 0 || hasFreeWorker && len(starts(actions)) != 1 {
 			t.Errorf("second worker %v: %+v", hasFreeWorker, actions)
 		}
-		b.now += preemptionDelay
-		if n := countStops(b.step(Tick{})); hasFreeWorker && n > 0 || !hasFreeWorker && n != 1 {
+		h.now += preemptionDelay
+		if n := countStops(h.step(Tick{})); hasFreeWorker && n > 0 || !hasFreeWorker && n != 1 {
 			t.Errorf("second worker %v: %d stops after the fleet has settled", hasFreeWorker, n)
 		}
 	}
@@ -262,18 +262,18 @@
 // before orderTimeout.
 func TestUnansweredOrderIsStoppedAgain(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
-		b := newHarness(t)
-		b.report("w0", nil)
-		s := starts(b.submit("j0", 8))
+		h := newHarness(t)
+		h.report("w0", nil)
+		s := starts(h.submit("j0", 8))
 		if stopped {
-			b.step(JobCancelled{"j0"})
+			h.step(JobCancelled{"j0"})
 		}
 		var at time.Duration
-		for b.now < 3*orderTimeout && at == 0 {
-			b.now += 200 * time.Millisecond
-			actions := append(b.report("w0", nil), b.step(Tick{})...)
+		for h.now < 3*orderTimeout && at == 0 {
+			h.now += 200 * time.Millisecond
+			actions := append(h.report("w0", nil), h.step(Tick{})...)
 			if countStops(actions) > 0 {
-				at = b.now
+				at = h.now
 			}
 		}
 		if at < orderTimeout || at > orderTimeout+time.Second {
@@ -286,25 +286,25 @@
 // of the deployment may take to stop a run.
 func TestClaimWaitsForSlowStops(t *testing.T) {
 	for _, stop := range []time.Duration{0, 400 * time.Millisecond, 1500 * time.Millisecond} {
-		b := newHarness(t)
-		b.core = New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0), StopTime: stop})
-		b.core.skipStartupDelays()
-		b.step(PolicyChanged{loadPolicy()})
-		b.report("w0", nil)
-		victim := starts(b.submit("j0", 8))[0]
-		claim := *b.core.jobs["j0"].Job
+		h := newHarness(t)
+		h.core = New(Config{FencingToken: 3, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0), StopTime: stop})
+		h.core.skipStartupDelays()
+		h.step(PolicyChanged{loadPolicy()})
+		h.report("w0", nil)
+		victim := starts(h.submit("j0", 8))[0]
+		claim := *h.core.jobs["j0"].Job
 		claim.ID, claim.Account, claim.Priority = "j1", "a0", 0
-		b.step(JobSubmitted{Job: &claim})
-		u := b.core.jobs["j1"].units[0]
+		h.step(JobSubmitted{Job: &claim})
+		u := h.core.jobs["j1"].units[0]
 		if u.claim == nil {
 			t.Fatalf("stop %v: no claim", stop)
 		}
-		b.now += max(stop, defaultStopTime) + claimSlack/2
-		b.step(Tick{})
+		h.now += max(stop, defaultStopTime) + claimSlack/2
+		h.step(Tick{})
 		if u.claim == nil {
 			t.Errorf("stop %v: claim given up before the stop is overdue", stop)
 		}
-		if s := starts(b.report("w0", nil, runEnd(victim, graph.EndStopped))); len(s) != 1 || s[0].Task.Job != "j1" {
+		if s := starts(h.report("w0", nil, runEnd(victim, graph.EndStopped))); len(s) != 1 || s[0].Task.Job != "j1" {
 			t.Errorf("stop %v: started %+v", stop, s)
 		}
 	}
--- a/internal/policy/watcher.go
+++ b/internal/policy/watcher.go
@@ -21,12 +21,12 @@
 	slackFraction = 0.25
 	// maxWait limits the wait, so that an entry that has lost the store is detected
 	// soon.
-	maxWait = 700 * time.Millisecond
+	maxWait               = 700 * time.Millisecond
 	defaultRevocationTime = 5 * time.Second
 	defaultApplyTime      = 2 * time.Second
-	// revocationMargin is the fraction of RevocationTime by which a snapshot expires
+	// marginFraction is the fraction of RevocationTime by which a snapshot expires
 	// early, to allow for calls in progress and clock drift.
-	revocationMargin = 0.06
+	marginFraction = 0.06
 	// readTimeout limits one read of the whole configuration.
 	readTimeout = 1200 * time.Millisecond
 	// retryDelay is the pause after a failed call.
@@ -71,7 +71,7 @@
 // be used for callers. A change may go unnoticed for the duration of one call, hence
 // maxConfirmationAge is subtracted.
 func (l Limits) maxSnapshotAge() time.Duration {
-	return l.RevocationTime - l.maxConfirmationAge() - fractionOf(revocationMargin, l.RevocationTime)
+	return l.RevocationTime - l.maxConfirmationAge() - fractionOf(marginFraction, l.RevocationTime)
 }
 
 func fractionOf(fraction float64, d time.Duration) time.Duration {
@@ -241,7 +241,7 @@
 	defer w.mu.Unlock()
 	if !w.storeLost && !errors.Is(err, ErrHistoryGone) {
 		w.storeLost = true
-		w.log.Warn().Err(err).Dur("confirmed_ago", w.clock()-w.confirmedAt).Msg("configuration store unreachable; using the last snapshot until it expires")
+		w.log.Warn().Err(err).Dur("confirmed_ago", w.clock()-w.confirmedAt).Msg("configuration store unreachable")
 	}
 }
 
@@ -260,7 +260,7 @@
 	subscribers := append(([]func(*Snapshot))(nil), w.subscribers...)
 	w.mu.Unlock()
 	w.log.Info().Uint64("version", next.Version).Int("queues", len(next.Queues)).
-		Int("accounts", len(next.Accounts)).Int("zones_out", len(next.ZonesOut)).Msg("configuration applied")
+		Int("accounts", len(next.Accounts)).Int("zones_out", len(next.ZonesOut)).Msg("configuration in force")
 	for _, fn := range subscribers {
 		fn(next)
 	}
