--- a/internal/graph/plan/core.go
+++ b/internal/graph/plan/core.go
@@ -171,7 +171,7 @@
 
 // JobStatus returns the status of a job; ok is false if the core does not know
 // the job.
-func (c *Core) JobStatus(id graph.JobID) (v JobStatus, ok bool) {
+func (c *Core) JobStatus(id graph.JobID) (status JobStatus, ok bool) {
 	j := c.jobs[id]
 	if j == nil {
 		return JobStatus{}, false
--- a/internal/graph/plan/core_test.go
+++ b/internal/graph/plan/core_test.go
@@ -77,20 +77,20 @@
 	h := newHarness(t)
 	h.report("w0", nil)
 	h.submit("j0", 6)
-	first := starts(h.step(Tick{}))
-	if len(first) != 0 {
-		t.Fatalf("placed twice: %+v", first)
+	placed := starts(h.step(Tick{}))
+	if len(placed) != 0 {
+		t.Fatalf("placed twice: %+v", placed)
 	}
 	h.step(JobCancelled{"j0"})
 	// The worker reports a run of the job's task that the owner does not know.
-	stray := graph.RunState{Task: graph.TaskID{Job: "j0"}, Run: 1}
+	unknown := graph.RunState{Task: graph.TaskID{Job: "j0"}, Run: 1}
 	ended := graph.RunEnd{Number: 1, Task: graph.TaskID{Job: "j0"}, Run: 3*runNumbersPerTerm + 1, Kind: graph.EndStopped}
-	h.report("w0", []graph.RunState{stray}, ended)
+	h.report("w0", []graph.RunState{unknown}, ended)
 	if s := starts(h.submit("j1", 4)); len(s) > 0 {
-		t.Fatalf("started beside a stray run: %+v", s)
+		t.Fatalf("started despite an unknown run: %+v", s)
 	}
 	if s := starts(h.report("w0", nil)); len(s) != 1 || s[0].Task.Job != "j1" {
-		t.Fatalf("after the stray run is gone: %+v", s)
+		t.Fatalf("after the unknown run has ended: %+v", s)
 	}
 }
 
@@ -242,7 +242,7 @@
 		}
 		h.now += preemptionDelay
 		if n := countStops(h.step(Tick{})); hasFreeWorker && n > 0 || !hasFreeWorker && n != 1 {
-			t.Errorf("second worker %v: %d stops after the fleet has settled", hasFreeWorker, n)
+			t.Errorf("second worker %v: %d stops after the preemption delay", hasFreeWorker, n)
 		}
 	}
 }
--- a/internal/graph/plan/ends.go
+++ b/internal/graph/plan/ends.go
@@ -15,10 +15,10 @@
 }
 
 // finishJob sets the final state of a job and stops its remaining runs.
-func (c *Core) finishJob(j *job, state graph.State, why Reason) {
+func (c *Core) finishJob(j *job, state graph.State, reason Reason) {
 	j.state = state
 	j.finishedAt = c.cfg.TermStart.Add(c.now)
-	c.emit(Notice{Reason: why, Job: j.ID, Detail: fmt.Sprintf("after %v, objective %v", c.now-j.arrivedAt, j.Objective())})
+	c.emit(Notice{Reason: reason, Job: j.ID, Detail: fmt.Sprintf("after %v, objective %v", c.now-j.arrivedAt, j.Objective())})
 	for _, u := range j.units {
 		c.dropClaim(u)
 		if !u.runDone {
@@ -61,7 +61,7 @@
 
 // endMember records the end of a member, releases its resources and stops the
 // rest of the run unless it is done.
-func (c *Core) endMember(m *member, how graph.EndKind, checkpoint string) {
+func (c *Core) endMember(m *member, kind graph.EndKind, checkpoint string) {
 	if m.ended {
 		return
 	}
@@ -69,11 +69,11 @@
 	c.needsScheduling = true
 	c.release(m)
 	u := m.unit
-	c.emit(Notice{Reason: ReasonRunEnded, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID, Detail: string(how)})
+	c.emit(Notice{Reason: ReasonRunEnded, Job: u.job.ID, Task: m.task.String(), Run: m.run, Worker: m.worker.info.ID, Detail: string(kind)})
 	if checkpoint != "" && u.step.Checkpointable {
 		u.checkpoint = checkpoint
 	}
-	switch how {
+	switch kind {
 	case graph.EndDone:
 		u.runDone = true
 		c.recordSuccess(m.worker, u)
--- a/internal/graph/plan/eviction.go
+++ b/internal/graph/plan/eviction.go
@@ -12,7 +12,7 @@
 // evictableUnits returns the units with runs in a group that may be stopped for a
 // unit: those outside of every guarantee and, when preempting, only those of a
 // lower priority.
-func (c *Core) evictableUnits(u *unit, g workerGroup, why Reason, trial *evictionTrial) []victim {
+func (c *Core) evictableUnits(u *unit, g workerGroup, reason Reason, trial *evictionTrial) []victim {
 	seen := map[*unit]bool{}
 	var out []victim
 	for _, s := range g.candidates {
@@ -22,7 +22,7 @@
 				continue
 			}
 			seen[v] = true
-			if why == ReasonPreempted && v.job.Priority <= u.job.Priority {
+			if reason == ReasonPreempted && v.job.Priority <= u.job.Priority {
 				continue
 			}
 			loss := c.evictionLoss(v)
--- a/internal/graph/plan/fleet_test.go
+++ b/internal/graph/plan/fleet_test.go
@@ -273,34 +273,34 @@
 	s.orders = append(rest, s.orders...)
 }
 
-func (s *sim) execute(o simOrder) {
-	switch a := o.action.(type) {
+func (s *sim) execute(order simOrder) {
+	switch a := order.action.(type) {
 	case SaveProgress:
 		if s.storeDown {
-			o.deliverAt = s.now + simStep
-			s.orders = append(s.orders, o)
+			order.deliverAt = s.now + simStep
+			s.orders = append(s.orders, order)
 			return
 		}
-		if o.core != s.core {
+		if order.core != s.core {
 			return // fenced off
 		}
 		s.rows[a.Job] = a.Progress
 		s.step(ProgressSaved{Job: a.Job, Number: a.Number})
 	case StartRun:
-		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, order); w != nil {
 			s.startRun(w, a)
 		}
 	case StopRun:
-		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, order); w != nil {
 			s.stopRun(w, a)
 		}
 	case GrantLease:
-		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, order); w != nil {
 			// The lease is counted from the time at which the report was sent.
 			w.leaseEnd = max(w.leaseEnd, time.Duration(a.ReportNumber)*simStep+simLeaseBound-400*time.Millisecond)
 		}
 	case AcknowledgeEnds:
-		if w := s.reachableWorker(a.Worker, a.Incarnation, o); w != nil {
+		if w := s.reachableWorker(a.Worker, a.Incarnation, order); w != nil {
 			s.recordAcked(w, a.Number)
 			w.lastAcked = max(w.lastAcked, a.Number)
 			w.ended = slices.DeleteFunc(w.ended, func(e graph.RunEnd) bool { return e.Number <= w.lastAcked })
@@ -444,7 +444,7 @@
 		s.fail("%v starts with spec %q", a.Task, a.Spec)
 	}
 	if s.policy.ZonesOut[w.info.Zone] {
-		s.fail("%v starts in zone %s, which is out", a.Task, w.info.Zone)
+		s.fail("%v starts in zone %s, which is unavailable", a.Task, w.info.Zone)
 	}
 	for _, step := range u.step.After {
 		for _, o := range j.units[step] {
@@ -573,23 +573,23 @@
 
 // endRun ends one member of a run. Unless it is done, the other members of its gang
 // end with EndGangBroken.
-func (s *sim) endRun(w *simWorker, r *simRun, how graph.EndKind) {
+func (s *sim) endRun(w *simWorker, r *simRun, kind graph.EndKind) {
 	u := r.unit
 	w.runs = slices.DeleteFunc(w.runs, func(o *simRun) bool { return o == r })
 	u.runs = slices.DeleteFunc(u.runs, func(o *simRun) bool { return o == r })
 	saved := ""
-	if u.step.Checkpointable && how != graph.EndDone {
+	if u.step.Checkpointable && kind != graph.EndDone {
 		saved = fmt.Sprint(int64(r.progress))
-	} else if how != graph.EndDone {
+	} else if kind != graph.EndDone {
 		s.wasted += (r.progress - r.resumedFrom).Seconds() * u.step.Needs.Cores()
 	}
 	w.highestEnded[r.task.String()] = max(w.highestEnded[r.task.String()], r.run)
-	w.ended = append(w.ended, graph.RunEnd{Number: w.lastAcked + uint64(len(w.ended)) + 1, Task: r.task, Run: r.run, Kind: how, Checkpoint: saved})
+	w.ended = append(w.ended, graph.RunEnd{Number: w.lastAcked + uint64(len(w.ended)) + 1, Task: r.task, Run: r.run, Kind: kind, Checkpoint: saved})
 	w.reportNow = true
-	if how == graph.EndFailed {
+	if kind == graph.EndFailed {
 		u.failedRuns = addRun(u.failedRuns, r.run)
 	}
-	if how == graph.EndDone {
+	if kind == graph.EndDone {
 		return
 	}
 	for _, other := range s.workers {
--- a/internal/graph/plan/load_test.go
+++ b/internal/graph/plan/load_test.go
@@ -210,20 +210,20 @@
 		s := playAssessments(t, seed, 0.8)
 		for _, j := range s.jobs {
 			if j.final == "" {
-				t.Errorf("seed %d: %s has no answer", seed, j.ID)
+				t.Errorf("seed %d: %s did not become final", seed, j.ID)
 			}
 		}
 		if s.rejected > 0 {
-			t.Errorf("seed %d: %d starts were refused for want of room", seed, s.rejected)
+			t.Errorf("seed %d: %d starts were refused for lack of resources", seed, s.rejected)
 		}
 		res := s.result()
-		t.Logf("seed %d: %d jobs, worth %.3f, %d in aim, %d late, %d missed, wasted %.0f core-s, p50 %v p95 %v",
+		t.Logf("seed %d: %d jobs, value %.3f, %d on time, %d late, %d missed, wasted %.0f core-s, p50 %v p95 %v",
 			seed, len(s.jobs), res.value, res.onTime, res.late, res.missed, res.wasted, res.p50, res.p95)
 		sum += res.value
 	}
-	t.Logf("mean worth %.4f", sum/days)
+	t.Logf("mean value %.4f", sum/days)
 	if sum/days < 0.95 {
-		t.Errorf("mean worth %.3f is below 0.95", sum/days)
+		t.Errorf("mean value %.3f is below 0.95", sum/days)
 	}
 }
 
@@ -250,7 +250,7 @@
 	}
 	t.Logf("%d jobs within guarantees", within)
 	if within < 30 {
-		t.Errorf("only %d jobs lay within guarantees", within)
+		t.Errorf("only %d jobs were within guarantees", within)
 	}
 }
 
@@ -259,22 +259,22 @@
 // of the value is lost at twice the usual load.
 func TestHeavyLoad(t *testing.T) {
 	for _, day := range []struct{ factor, least float64 }{{1.2, 0.95}, {2.2, 0.85}} {
-		var worth, net, wasted float64
+		var value, net, wasted float64
 		late, missed := 0, 0
 		const days = 30
 		factor := day.factor
 		for seed := range int64(days) {
 			s := playAssessments(t, 1000+seed, factor)
 			r := s.result()
-			worth += r.value / days
+			value += r.value / days
 			net += r.net / days
 			wasted += r.wasted / days
 			late += r.late
 			missed += r.missed
 		}
-		t.Logf("load %.1f: worth %.4f, net %.4f, %d late, %d missed, wasted %.0f core-s a day", factor, worth, net, late, missed, wasted)
-		if worth < day.least {
-			t.Errorf("load %.1f: mean worth %.3f is below %.2f", factor, worth, day.least)
+		t.Logf("load %.1f: value %.4f, net %.4f, %d late, %d missed, wasted %.0f core-s a day", factor, value, net, late, missed, wasted)
+		if value < day.least {
+			t.Errorf("load %.1f: mean value %.3f is below %.2f", factor, value, day.least)
 		}
 	}
 }
--- a/internal/graph/plan/machine_test.go
+++ b/internal/graph/plan/machine_test.go
@@ -171,7 +171,7 @@
 	}
 	for _, j := range m.jobs {
 		if j.final == "" {
-			t.Fatalf("%s has no answer: %+v", j.ID, m.core.Dump())
+			t.Fatalf("%s did not become final: %+v", j.ID, m.core.Dump())
 		}
 	}
 	m.runUntil(m.now + 5*time.Second)
@@ -182,7 +182,7 @@
 	}
 	for _, w := range m.core.sortedWorkers {
 		if w.used != (graph.Resources{}) {
-			t.Fatalf("%s: %+v are taken by nothing", w.info.ID, w.used)
+			t.Fatalf("%s: %+v counted as used without a run", w.info.ID, w.used)
 		}
 	}
 }
@@ -231,6 +231,6 @@
 	}
 	s.runUntil(s.now + 2*simLeaseBound)
 	if s.starts < 2 {
-		t.Error("the task was not begun again once the lease was over")
+		t.Error("the task was not started again after the lease expired")
 	}
 }
--- a/internal/graph/plan/place.go
+++ b/internal/graph/plan/place.go
@@ -49,13 +49,13 @@
 		tasks int
 	}
 	var fits []fit
-	for _, p := range candidates {
-		most := tasksThatFit(p.available, step)
+	for _, c := range candidates {
+		most := tasksThatFit(c.available, step)
 		if step.MaxPerWorker > 0 {
-			most = min(most, step.MaxPerWorker-perWorker[p.worker])
+			most = min(most, step.MaxPerWorker-perWorker[c.worker])
 		}
 		if most > 0 {
-			fits = append(fits, fit{p, most})
+			fits = append(fits, fit{c, most})
 		}
 	}
 	var allocs []allocation
--- a/internal/graph/plan/reclaim.go
+++ b/internal/graph/plan/reclaim.go
@@ -60,26 +60,26 @@
 	loss    float64 // weighted core-seconds
 }
 
-// claimRoom makes a claim for a unit where stopping other units loses least, and
-// stops them. It returns false if the loss would exceed limit, in weighted
+// claimByEviction makes a claim for a unit where stopping other units loses least, and
+// stops them. It returns false if the loss would exceed maxLoss, in weighted
 // core-seconds, or if the term is younger than preemptionDelay.
-func (c *Core) claimRoom(u *unit, limit float64, why Reason) bool {
+func (c *Core) claimByEviction(u *unit, maxLoss float64, reason Reason) bool {
 	if !c.firstReportOlderThan(preemptionDelay) {
 		return false
 	}
 	var best *evictionPlan
 	for _, g := range c.candidateGroups(u) {
-		if o := c.planEviction(u, g, why); o != nil && (best == nil || o.loss < best.loss) {
+		if o := c.planEviction(u, g, reason); o != nil && (best == nil || o.loss < best.loss) {
 			best = o
 		}
 	}
-	if best == nil || best.loss > limit {
+	if best == nil || best.loss > maxLoss {
 		return false
 	}
 	u.claim = &claim{unit: u, allocs: best.allocs, madeAt: c.now}
 	c.sched.claims = append(c.sched.claims, u.claim)
 	for _, v := range best.victims {
-		c.emit(Notice{Reason: why, Job: v.job.ID, Task: v.taskID(0).String(), Run: v.run, Detail: "for " + string(u.job.ID)})
+		c.emit(Notice{Reason: reason, Job: v.job.ID, Task: v.taskID(0).String(), Run: v.run, Detail: "for " + string(u.job.ID)})
 		c.stopRun(v)
 	}
 	return true
@@ -88,9 +88,9 @@
 // planEviction finds victims within a group that make the unit fit with little
 // loss, or returns nil. It evicts units greedily, the least loss per freed core
 // first, until the unit fits, and then restores those that are not needed.
-func (c *Core) planEviction(u *unit, g workerGroup, why Reason) *evictionPlan {
+func (c *Core) planEviction(u *unit, g workerGroup, reason Reason) *evictionPlan {
 	trial := newEvictionTrial(u, g)
-	victims := c.evictableUnits(u, g, why, trial)
+	victims := c.evictableUnits(u, g, reason, trial)
 	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.lossPerCore, b.lossPerCore) })
 	allocs := trial.allocate()
 	evicted := 0
@@ -179,7 +179,7 @@
 // gain depends on estimates that are often wrong, while a loss would be certain.
 func (c *Core) preempt(u *unit, until time.Duration) bool {
 	gain := c.lateLoss(u.job, until+u.step.Estimate) - c.lateLoss(u.job, c.now+c.cfg.StopTime+endReportDelay+u.step.Estimate)
-	return gain > 0 && c.claimRoom(u, 0, ReasonPreempted)
+	return gain > 0 && c.claimByEviction(u, 0, ReasonPreempted)
 }
 
 // endReportDelay is the time from the end of a run until its resources can be
--- a/internal/graph/plan/schedule.go
+++ b/internal/graph/plan/schedule.go
@@ -130,7 +130,7 @@
 		c.bind(u, allocs)
 		return
 	}
-	if withinGuarantee && c.claimRoom(u, math.Inf(1), ReasonReclaimed) {
+	if withinGuarantee && c.claimByEviction(u, math.Inf(1), ReasonReclaimed) {
 		c.useClaim(u)
 		return
 	}
@@ -295,10 +295,10 @@
 	}
 	slices.SortStableFunc(releases, func(a, b release) int { return cmp.Compare(a.at, b.at) })
 	candidates := slices.Clone(g.candidates)
-	for _, e := range releases {
-		candidates[e.index].available = candidates[e.index].available.Add(e.member.unit.step.Needs)
+	for _, next := range releases {
+		candidates[next.index].available = candidates[next.index].available.Add(next.member.unit.step.Needs)
 		if allocs := packTasks(candidates, u.step, u.taskCount, nil); allocs != nil {
-			return &reservation{unit: u, allocs: allocs, expectedStart: e.at}
+			return &reservation{unit: u, allocs: allocs, expectedStart: next.at}
 		}
 	}
 	return nil
--- a/internal/graph/plan/workers.go
+++ b/internal/graph/plan/workers.go
@@ -87,55 +87,55 @@
 }
 
 // handleReport updates the worker's state from a report of its agent.
-func (c *Core) handleReport(e WorkerReport) {
+func (c *Core) handleReport(report WorkerReport) {
 	c.recordFirstReport()
-	w := c.worker(e.Worker.ID)
-	if w.info.Incarnation() != e.Worker.Incarnation() {
-		c.changeIncarnation(w, e.Worker.Incarnation())
+	w := c.worker(report.Worker.ID)
+	if w.info.Incarnation() != report.Worker.Incarnation() {
+		c.changeIncarnation(w, report.Worker.Incarnation())
 	}
-	lost := !e.WorkerResponsive && c.now-w.lastGrantAt > c.cfg.LeaseBound
+	lost := !report.WorkerResponsive && c.now-w.lastGrantAt > c.cfg.LeaseBound
 	if !w.reported || w.lost && !lost {
-		c.emit(Notice{Reason: ReasonWorkerUp, Worker: e.Worker.ID, Detail: e.Worker.Rack})
+		c.emit(Notice{Reason: ReasonWorkerUp, Worker: report.Worker.ID, Detail: report.Worker.Rack})
 	}
-	if e.Worker.Draining && !w.info.Draining {
+	if report.Worker.Draining && !w.info.Draining {
 		w.drainReportedAt = c.now
-		c.emit(Notice{Reason: ReasonWorkerDraining, Worker: e.Worker.ID, Detail: e.Worker.DrainRemaining.String()})
+		c.emit(Notice{Reason: ReasonWorkerDraining, Worker: report.Worker.ID, Detail: report.Worker.DrainRemaining.String()})
 	}
-	if !w.reported || w.lost != lost || w.session != e.Session || w.responsive != e.WorkerResponsive || w.info.Draining != e.Worker.Draining || w.info.Capacity != e.Worker.Capacity {
+	if !w.reported || w.lost != lost || w.session != report.Session || w.responsive != report.WorkerResponsive || w.info.Draining != report.Worker.Draining || w.info.Capacity != report.Worker.Capacity {
 		c.needsScheduling = true
 	}
-	w.info = e.Worker
-	w.reported, w.responsive = true, e.WorkerResponsive
+	w.info = report.Worker
+	w.reported, w.responsive = true, report.WorkerResponsive
 	w.lost = w.lost && lost
 	w.lastReportAt = c.now
-	if e.WorkerResponsive && !e.WorkerLeft {
+	if report.WorkerResponsive && !report.WorkerLeft {
 		w.lastGrantAt = c.now
-		c.emit(GrantLease{Worker: w.info.ID, Incarnation: w.info.Incarnation(), ReportNumber: e.Number})
+		c.emit(GrantLease{Worker: w.info.ID, Incarnation: w.info.Incarnation(), ReportNumber: report.Number})
 	}
-	newSession := w.session != e.Session
-	w.session = e.Session
-	c.updateRunning(w, e.Running)
-	c.processEnds(w, e.Ended)
-	for _, a := range e.Absent {
+	newSession := w.session != report.Session
+	w.session = report.Session
+	c.updateRunning(w, report.Running)
+	c.processEnds(w, report.Ended)
+	for _, a := range report.Absent {
 		c.handleAbsent(w, a)
 	}
-	if e.WorkerLeft {
+	if report.WorkerLeft {
 		w.responsive = false
 		c.endLostMembers(w, noIncarnation)
 		return
 	}
-	c.reconcileMembers(w, e, newSession)
+	c.reconcileMembers(w, report, newSession)
 }
 
 // changeIncarnation resets a worker's state when a new incarnation reports. Earlier
 // incarnations and all of their runs have ended.
-func (c *Core) changeIncarnation(w *worker, now string) {
+func (c *Core) changeIncarnation(w *worker, incarnation string) {
 	if w.reported {
-		c.emit(Notice{Reason: ReasonIncarnationChanged, Worker: w.info.ID, Detail: now})
+		c.emit(Notice{Reason: ReasonIncarnationChanged, Worker: w.info.ID, Detail: incarnation})
 	}
 	w.pendingAcks, w.lastEndSeen, w.lastEndAcked = nil, 0, 0
 	w.recentFailures, w.quarantinedUntil = nil, 0
-	c.endLostMembers(w, now)
+	c.endLostMembers(w, incarnation)
 }
 
 // endLostMembers ends all members on a worker except those placed on the given
@@ -209,10 +209,10 @@
 // effect is saved. If an acknowledged end is reported again, the acknowledgement
 // is repeated.
 func (c *Core) processEnds(w *worker, ended []graph.RunEnd) {
-	again := false
+	resend := false
 	for _, e := range ended {
 		if e.Number <= w.lastEndSeen {
-			again = again || e.Number <= w.lastEndAcked
+			resend = resend || e.Number <= w.lastEndAcked
 			continue
 		}
 		w.lastEndSeen = e.Number
@@ -220,7 +220,7 @@
 		w.pendingAcks = append(w.pendingAcks, ack)
 		c.processEnd(w, e, ack)
 	}
-	c.acknowledgeEnds(w, again)
+	c.acknowledgeEnds(w, resend)
 }
 
 func (c *Core) processEnd(w *worker, e graph.RunEnd, ack *pendingAck) {
@@ -247,14 +247,14 @@
 }
 
 // acknowledgeEnds acknowledges the ends up to the first one whose effect is not
-// saved yet. With again it repeats an acknowledgement that was sent before.
-func (c *Core) acknowledgeEnds(w *worker, again bool) {
+// saved yet. With resend it repeats an acknowledgement that was sent before.
+func (c *Core) acknowledgeEnds(w *worker, resend bool) {
 	before := w.lastEndAcked
 	for len(w.pendingAcks) > 0 && w.pendingAcks[0].saved {
 		w.lastEndAcked = w.pendingAcks[0].number
 		w.pendingAcks = w.pendingAcks[1:]
 	}
-	if (w.lastEndAcked > before || again) && w.connected() {
+	if (w.lastEndAcked > before || resend) && w.connected() {
 		c.emit(AcknowledgeEnds{Worker: w.info.ID, Incarnation: w.info.Incarnation(), Number: w.lastEndAcked})
 	}
 }
