--- a/internal/graph/plan/workers.go
+++ b/internal/graph/plan/workers.go
@@ -273,9 +273,10 @@
 	c.requestSave(u.job, nil)
 }
 
-// reconcileMembers stops the members whose runs the report does not list. An order
-// sent over an earlier connection or in an earlier term may have been lost. The
-// stop makes the agent report the outcome and prevents a late start.
+// reconcileMembers stops the members whose runs the report does not list, and
+// repeats stops that were sent in an earlier session. An order sent over an earlier
+// connection or in an earlier term may have been lost. The stop makes the agent
+// report the outcome and prevents a late start.
 func (c *Core) reconcileMembers(w *worker, e WorkerReport, newSession bool) {
 	listed := map[graph.TaskID]uint64{}
 	for _, r := range e.Running {
