--- a/internal/confstate/view.go
+++ b/internal/confstate/view.go
@@ -6,22 +6,23 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// view is what this process knows of the configuration. It is pure; times are
+// view is this process's knowledge of the configuration. It does no I/O; times are
 // on the process's monotonic clock.
 type view struct {
 	current *api.Config
-	// confirmed is the time at which current was certainly not older than the
-	// store's configuration.
-	confirmed time.Duration
-	// known is set once any configuration was read or relayed.
-	known bool
+	// confirmedAt is a time at which current was certainly not older than the
+	// configuration in the store.
+	confirmedAt time.Duration
+	// everConfirmed is set once a configuration, read or relayed, was confirmed.
+	everConfirmed bool
 }
 
 func newView() *view {
 	return &view{current: (&api.Config{}).Clone()}
 }
 
-// apply takes over a configuration with a higher version.
+// apply replaces the current configuration if c has a higher version, and reports
+// whether it did.
 func (v *view) apply(c *api.Config) bool {
 	if c.Version <= v.current.Version {
 		return false
@@ -30,19 +31,19 @@
 	return true
 }
 
-// confirm says that the store's version was the given one at a time. It tells
-// nothing when this process does not have that version yet.
+// confirm records that the store had the given version at a time. It does nothing
+// if this process does not have that version yet.
 func (v *view) confirm(version uint64, at time.Duration) {
 	if version > v.current.Version {
 		return
 	}
-	if !v.known || at > v.confirmed {
-		v.confirmed = at
+	if !v.everConfirmed || at > v.confirmedAt {
+		v.confirmedAt = at
 	}
-	v.known = true
+	v.everConfirmed = true
 }
 
-// fresh reports whether the configuration was confirmed within FreshLimit.
-func (v *view) fresh(now time.Duration) bool {
-	return v.known && now-v.confirmed <= FreshLimit
+// isFresh reports whether the configuration was confirmed within MaxConfigAge.
+func (v *view) isFresh(now time.Duration) bool {
+	return v.everConfirmed && now-v.confirmedAt <= MaxConfigAge
 }
