--- a/internal/graph/plan/core.go
+++ b/internal/graph/plan/core.go
@@ -8,215 +8,225 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/policy"
 )
 
-// Config sets up a core.
+// Config configures a core.
 type Config struct {
-	// FencingToken is the term's fencing token; it leads the run numbers.
+	// FencingToken is the fencing token of the term. It forms the high bits of run
+	// numbers.
 	FencingToken uint64
-	// TermStart is the time of day at time zero.
+	// TermStart is the wall-clock time at time zero.
 	TermStart time.Time
-	// LeaseBound is how long after the last report of a worker its lease has
-	// run out for certain.
+	// LeaseBound is the time after a worker's last granted report by which its lease
+	// has certainly expired.
 	LeaseBound time.Duration
-	// StopTime is how long a worker may take to stop a run; 0 for usualStop.
+	// StopTime is the time a worker may take to stop a run; 0 means
+	// defaultStopTime.
 	StopTime time.Duration
-	// TakeoverOverlap is for how long after time zero the earlier owner may still grant
-	// leases to workers that have not reported to this one.
+	// TakeoverOverlap is the time after time zero during which the previous owner
+	// may still grant leases to workers that have not reported to this one.
 	TakeoverOverlap time.Duration
 }
 
 const (
-	// quietAfter is the age of the last report from which a worker gets no new
-	// work; agents report every second.
-	quietAfter = 2500 * time.Millisecond
-	// placeDelay is how long after the first report of a term nothing is placed:
-	// most agents of a calm fleet report within it, and what comes first should
-	// have its choice among their workers.
-	placeDelay = 100 * time.Millisecond
-	// settleTime is how long nothing is stopped to make room: nearly all agents
-	// report within it, and their workers may be free.
-	settleTime = 600 * time.Millisecond
-	// usualStop is the time of a stop on the deployments known so far.
-	usualStop = 400 * time.Millisecond
-	// runsPerTerm is the number of run numbers of one term.
-	runsPerTerm = 1 << 24
+	// maxReportAge is the age of the last report beyond which a worker gets no new
+	// work. Agents report every second.
+	maxReportAge = 2500 * time.Millisecond
+	// placementDelay is the time after the first report of a term during which
+	// nothing is placed. Most agents of a healthy fleet report within it, and the
+	// first units in line should be able to choose among all of their workers.
+	placementDelay = 100 * time.Millisecond
+	// preemptionDelay is the time after the first report of a term during which no
+	// run is stopped to free resources. Nearly all agents report within it, and
+	// their workers may be idle.
+	preemptionDelay = 600 * time.Millisecond
+	// defaultStopTime is the stop time of the known deployments.
+	defaultStopTime   = 400 * time.Millisecond
+	runNumbersPerTerm = 1 << 24
 )
 
-// Core decides for one term of an owner. It is not safe for concurrent use.
+// Core holds the scheduling state of one owner term. It is not safe for
+// concurrent use.
 type Core struct {
-	cfg     Config
-	now     time.Duration
-	out     []Action
-	policy  *policy.Snapshot
-	jobs    map[graph.JobID]*job
-	live    []*job // not final, in order of submission
-	workers map[string]*worker
-	ordered []*worker // by ID
-	runs    uint64
-	// heard is set by the first report, firstHeard is when it came.
-	heard      bool
-	firstHeard time.Duration
-	unsaved    []*job
-	books      books
-	// stirred is set when something has changed on which places depend.
-	stirred  bool
-	forgotAt time.Duration
+	cfg           Config
+	now           time.Duration
+	actions       []Action
+	policy        *policy.Snapshot
+	jobs          map[graph.JobID]*job
+	activeJobs    []*job // jobs that are not final, in the order they were added
+	workers       map[string]*worker
+	sortedWorkers []*worker // by ID
+	runCounter    uint64
+	// hasReports is set by the first report of the term, received at
+	// firstReportAt.
+	hasReports    bool
+	firstReportAt time.Duration
+	unsavedJobs   []*job
+	sched         schedulingState
+	// needsScheduling is set when an event changes something that placement depends
+	// on.
+	needsScheduling bool
+	lastPruneAt     time.Duration
 }
 
 // New returns a core without jobs and workers.
 func New(cfg Config) *Core {
 	if cfg.StopTime == 0 {
-		cfg.StopTime = usualStop
+		cfg.StopTime = defaultStopTime
 	}
 	return &Core{cfg: cfg, jobs: map[graph.JobID]*job{}, workers: map[string]*worker{}}
 }
 
-// Step takes one event and returns the actions that follow, in order. Time
-// must not go back.
+// Step handles one event and returns the resulting actions in order. A time
+// before that of an earlier call counts as the latter.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
-	c.out = nil
+	c.actions = nil
 	c.handle(ev)
-	if c.stirred {
-		c.stirred = false
+	if c.needsScheduling {
+		c.needsScheduling = false
 		c.schedule()
 	}
-	c.flush()
-	return c.out
+	c.emitSaves()
+	return c.actions
 }
 
 func (c *Core) handle(ev Event) {
 	switch e := ev.(type) {
 	case JobSubmitted:
-		c.submitted(e)
+		c.addJob(e)
 	case JobCancelled:
-		c.cancel(e.Job)
+		c.cancelJob(e.Job)
 	case WorkerReport:
-		c.report(e)
+		c.handleReport(e)
 	case SessionClosed:
-		c.sessionClosed(e)
+		c.handleSessionClosed(e)
 	case ProgressSaved:
-		c.saved(e)
+		c.handleSaved(e)
 	case PolicyChanged:
 		c.policy = e.Policy
-		c.stirred = true
+		c.needsScheduling = true
 	case Tick:
-		c.tick()
+		c.handleTick()
 	}
 }
 
-// noteReport notes the first report of the term.
-func (c *Core) noteReport() {
-	if !c.heard {
-		c.heard, c.firstHeard = true, c.now
+func (c *Core) recordFirstReport() {
+	if !c.hasReports {
+		c.hasReports, c.firstReportAt = true, c.now
 	}
 }
 
-// hearing reports whether so much time has passed since the first report.
-func (c *Core) hearing(d time.Duration) bool { return c.heard && c.now >= c.firstHeard+d }
+// firstReportOlderThan reports whether at least d has passed since the first
+// report of the term.
+func (c *Core) firstReportOlderThan(d time.Duration) bool {
+	return c.hasReports && c.now >= c.firstReportAt+d
+}
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Core) tick() {
-	c.stirred = true
-	c.forget()
-	for _, w := range c.ordered {
-		c.watchWorker(w)
+func (c *Core) handleTick() {
+	c.needsScheduling = true
+	c.pruneFinalJobs()
+	for _, w := range c.sortedWorkers {
+		c.watchLease(w)
 		c.watchOrders(w)
 	}
-	for _, j := range c.live {
+	for _, j := range c.activeJobs {
 		c.watchRuns(j)
 	}
 }
 
-// FinalJobRetention is how long a job that is final stays known: callers ask for it for
-// minutes.
+// FinalJobRetention is the time for which a final job is kept in memory. Callers
+// query jobs for minutes after they end.
 const FinalJobRetention = time.Hour
 
-// forgetInterval is the time between two looks for jobs to forget.
-const forgetInterval = time.Minute
+const pruneInterval = time.Minute
 
-// forget drops the jobs that have been final for long.
-func (c *Core) forget() {
-	if c.now < c.forgotAt+forgetInterval {
+// pruneFinalJobs removes jobs that have been final for longer than
+// FinalJobRetention. It does so at most once per pruneInterval.
+func (c *Core) pruneFinalJobs() {
+	if c.now < c.lastPruneAt+pruneInterval {
 		return
 	}
-	c.forgotAt = c.now
+	c.lastPruneAt = c.now
 	now := c.cfg.TermStart.Add(c.now)
 	for id, j := range c.jobs {
-		if j.durable.Final() && !j.saving && !j.finished.IsZero() && now.Sub(j.finished) > FinalJobRetention {
+		if j.durableState.Final() && !j.saveInProgress && !j.finishedAt.IsZero() && now.Sub(j.finishedAt) > FinalJobRetention {
 			delete(c.jobs, id)
 		}
 	}
 }
 
-// nextRun returns a run number that no earlier one of any task reaches.
-func (c *Core) nextRun() uint64 {
-	c.runs++
-	return c.cfg.FencingToken*runsPerTerm + c.runs
+// nextRunNumber returns a run number above all earlier ones, including those of
+// earlier terms.
+func (c *Core) nextRunNumber() uint64 {
+	c.runCounter++
+	return c.cfg.FencingToken*runNumbersPerTerm + c.runCounter
 }
 
-// JobStatus is what callers may know of a job.
+// JobStatus is the part of a job's state that callers may see.
 type JobStatus struct {
 	State graph.State
 	Queue string
 }
 
-// JobStatus returns a job's state; ok is false if the core does not know it.
-func (c *Core) JobStatus(id graph.JobID) (v JobStatus, ok bool) {
+// JobStatus returns the status of a job; ok is false if the core does not know
+// the job.
+func (c *Core) JobStatus(id graph.JobID) (status JobStatus, ok bool) {
 	j := c.jobs[id]
 	if j == nil {
 		return JobStatus{}, false
 	}
-	return JobStatus{State: j.shown(), Queue: j.Queue}, true
+	return JobStatus{State: j.visibleState(), Queue: j.Queue}, true
 }
 
-// PendingJobs returns the number of a queue's jobs of which no task has started.
+// PendingJobs returns the number of jobs in a queue with no started task.
 func (c *Core) PendingJobs(queue string) int {
 	n := 0
-	for _, j := range c.live {
-		if j.Queue == queue && j.shown() == graph.Queued {
+	for _, j := range c.activeJobs {
+		if j.Queue == queue && j.visibleState() == graph.Queued {
 			n++
 		}
 	}
 	return n
 }
 
-// save asks for the job's progress to be written; then runs once it is.
-func (c *Core) save(j *job, then func()) {
+// requestSave schedules a save of the job's progress. The callback then, if not
+// nil, is called once the progress is stored.
+func (c *Core) requestSave(j *job, then func()) {
 	if then != nil {
-		j.afterNext = append(j.afterNext, then)
+		j.afterNextSave = append(j.afterNextSave, then)
 	}
-	j.dirty = true
-	if !slices.Contains(c.unsaved, j) {
-		c.unsaved = append(c.unsaved, j)
+	j.changedSinceSave = true
+	if !slices.Contains(c.unsavedJobs, j) {
+		c.unsavedJobs = append(c.unsavedJobs, j)
 	}
 }
 
-// flush emits a save for each changed job that has none in progress.
-func (c *Core) flush() {
-	jobs := c.unsaved
-	c.unsaved = nil
+// emitSaves emits a save for each changed job that has no save in progress.
+func (c *Core) emitSaves() {
+	jobs := c.unsavedJobs
+	c.unsavedJobs = nil
 	for _, j := range jobs {
-		if j.saving {
-			c.unsaved = append(c.unsaved, j)
+		if j.saveInProgress {
+			c.unsavedJobs = append(c.unsavedJobs, j)
 			continue
 		}
-		j.saving, j.dirty = true, false
-		j.number++
-		j.afterSave, j.afterNext = j.afterNext, nil
-		c.emit(SaveProgress{Job: j.ID, Number: j.number, Progress: j.progress()})
+		j.saveInProgress, j.changedSinceSave = true, false
+		j.saveNumber++
+		j.afterCurrentSave, j.afterNextSave = j.afterNextSave, nil
+		c.emit(SaveProgress{Job: j.ID, Number: j.saveNumber, Progress: j.progress()})
 	}
 }
 
-func (c *Core) saved(e ProgressSaved) {
+func (c *Core) handleSaved(e ProgressSaved) {
 	j := c.jobs[e.Job]
-	if j == nil || !j.saving || j.number != e.Number {
+	if j == nil || !j.saveInProgress || j.saveNumber != e.Number {
 		return
 	}
-	j.saving = false
-	j.durable = j.savedState
-	then := j.afterSave
-	j.afterSave = nil
+	j.saveInProgress = false
+	j.durableState = j.stateInSave
+	then := j.afterCurrentSave
+	j.afterCurrentSave = nil
 	for _, fn := range then {
 		fn()
 	}
