--- a/internal/entry/scheduler/term.go
+++ b/internal/entry/scheduler/term.go
@@ -20,7 +20,7 @@
 	saveTimeout    = 5 * time.Second
 	saveRetryDelay = 200 * time.Millisecond
 	// maxConcurrentSaves bounds the jobs whose rows are written at one time;
-	// others wait.
+	// others wait in order.
 	maxConcurrentSaves = 256
 	// finishedRetention is the minimum time for which the id of a final job is
 	// remembered. Older ids are dropped once there are maxFinishedIDs.
