--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -33,7 +33,7 @@
 type OwnershipSource interface {
 	// Authority returns the current ownership, without StartAfter, and how long
 	// a term that starts now must wait before it starts jobs.
-	Authority() (sched.Ownership, time.Duration)
+	Authority() (sched.OwnerStatus, time.Duration)
 }
 
 // ConfigSource returns the current configuration.
@@ -138,7 +138,7 @@
 
 // beginTerm is called with mu held. The job rows are read in the background,
 // without mu.
-func (s *Service) beginTerm(a sched.Ownership, wait time.Duration) {
+func (s *Service) beginTerm(a sched.OwnerStatus, wait time.Duration) {
 	t := newTerm(s, a.Epoch, wait)
 	s.term = t
 	s.log.Info().Uint64("epoch", a.Epoch).Dur("start_after", wait).Msg("term began")
@@ -208,7 +208,7 @@
 // replay is called with mu held. Ownership is passed to the core first, since it
 // decides how the attempts found in the rows are handled. Jobs precede the
 // workers' reports, so that no report names a job unknown to the core.
-func (s *Service) replay(t *term, authority sched.Ownership, rows []jobs.Row) {
+func (s *Service) replay(t *term, authority sched.OwnerStatus, rows []jobs.Row) {
 	t.step(authority, sched.ConfigUpdate{Config: s.config.Current()})
 	for _, row := range rows {
 		t.submit(row.Record)
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -72,7 +72,7 @@
 			b.apply(GroupReport{Worker: p.Worker, JobID: id, Attempt: rec.Attempt, State: GroupRunning})
 		}
 	}
-	b.apply(Ownership{Owner: true, Epoch: 1})
+	b.apply(OwnerStatus{Owner: true, Epoch: 1})
 }
 
 func (b *bench) job(tasks int) api.Job {
--- a/internal/sched/compare_test.go
+++ b/internal/sched/compare_test.go
@@ -206,7 +206,7 @@
 	for _, w := range load.fleet {
 		t.addAgent(w.Worker, w.Zone, w.Rack, w.Capacity).up()
 	}
-	t.step(Ownership{Owner: true, Epoch: 1})
+	t.step(OwnerStatus{Owner: true, Epoch: 1})
 	t.tick()
 	t.sample()
 	for _, job := range load.jobs {
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -29,7 +29,7 @@
 	ordered   []*worker
 	jobs      map[string]*job
 	config    *api.Config
-	authority Ownership
+	authority OwnerStatus
 	draining  bool
 	timers    timerQueue
 	queue     *queue
@@ -108,7 +108,7 @@
 		c.saved(e)
 	case ConfigUpdate:
 		c.configured(e.Config)
-	case Ownership:
+	case OwnerStatus:
 		c.authority = e
 	case Tick:
 		c.tick()
--- a/internal/sched/rig_test.go
+++ b/internal/sched/rig_test.go
@@ -184,7 +184,7 @@
 			r.step(Submit{r.rows[id]})
 		}
 	}
-	r.step(Ownership{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
+	r.step(OwnerStatus{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
 }
 
 // agent is a fake worker agent that keeps the group protocol.
--- a/internal/sched/scenario_test.go
+++ b/internal/sched/scenario_test.go
@@ -106,7 +106,7 @@
 		s.workerCommand(d.CmdArgs[0].Key, d.CmdArgs[1].Key)
 	case "store":
 		s.storeDown = d.CmdArgs[0].Key != "up"
-		s.step(Ownership{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
+		s.step(OwnerStatus{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
 	case "drain":
 		s.step(Drain{})
 	case "takeover":
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -87,10 +87,10 @@
 // ConfigUpdate brings a configuration; one with a lower version is ignored.
 type ConfigUpdate struct{ Config *api.Config }
 
-// Ownership tells whether this process is the owner at this moment, with the
+// OwnerStatus tells whether this process is the owner at this moment, with the
 // epoch of its term. Without authority the core starts nothing. StartAfter is
 // the time up to which the previous owner's permissions may still be in use.
-type Ownership struct {
+type OwnerStatus struct {
 	Owner      bool
 	Epoch      uint64
 	StartAfter time.Duration
@@ -111,7 +111,7 @@
 func (GroupReport) event()  {}
 func (SaveResult) event()   {}
 func (ConfigUpdate) event() {}
-func (Ownership) event()    {}
+func (OwnerStatus) event()  {}
 func (Tick) event()         {}
 func (Drain) event()        {}
 
