--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -13,34 +13,34 @@
 	holdTimeout = 1500 * time.Millisecond
 	// saveTimeout is how long holds are kept for the attempt's row.
 	saveTimeout = 15 * time.Second
-	// stopResend is the time between two stops to a worker that does not confirm.
-	stopResend = time.Second
-	// workerPause is how long a worker that refused a hold is not chosen again.
-	workerPause = 2 * time.Second
+	// stopResendInterval is the time between two stops to a worker that does not confirm.
+	stopResendInterval = time.Second
+	// holdFailurePause is how long a worker that refused a hold is not chosen again.
+	holdFailurePause = 2 * time.Second
 )
 
-// begin takes the capacity of a placement and asks all workers to hold it.
-func (c *Core) begin(j *job, parts []placement.Assignment, firm bool) {
+// beginAttempt takes the capacity of a placement and asks all workers to hold it.
+func (c *Core) beginAttempt(j *job, parts []placement.Assignment, firm bool) {
 	c.dropWaiting(j)
-	c.takeParts(j, claim{parts: parts}, firm, groupHolding)
-	c.hold(j)
+	c.createGroups(j, claim{parts: parts}, firm, groupHolding)
+	c.sendHolds(j)
 }
 
-// takeParts creates the groups of a new attempt.
-func (c *Core) takeParts(j *job, cl claim, firm bool, state groupState) {
+// createGroups creates the groups of a new attempt.
+func (c *Core) createGroups(j *job, cl claim, firm bool, state groupState) {
 	c.queue.remove(j)
 	j.attempt = c.nextAttempt(j)
 	j.groups = nil
-	j.firm = firm
-	j.verdict = ""
+	j.nonPreemptible = firm
+	j.finalOutcome = ""
 	first := 0
 	for _, p := range cl.parts {
 		g := &group{
 			job: j, attempt: j.attempt, worker: c.workers[p.Worker.Name],
-			firstTask: first, tasks: p.Tasks, amount: j.perTask.Times(p.Tasks),
-			state: state, firm: firm,
+			firstTask: first, tasks: p.Tasks, resources: j.perTask.Times(p.Tasks),
+			state: state, nonPreemptible: firm,
 		}
-		g.share = cl.res.shareOn(g.worker)
+		g.reservedPart = cl.res.shareOn(g.worker)
 		first += p.Tasks
 		j.groups = append(j.groups, g)
 		c.take(g)
@@ -53,10 +53,10 @@
 // nextAttempt numbers attempts by the owner's epoch, so that the number of a
 // hold that a former owner did not get to save is never used again.
 func (c *Core) nextAttempt(j *job) uint32 {
-	return max(j.attempt, uint32(c.authority.Epoch)<<attemptBits) + 1
+	return max(j.attempt, uint32(c.ownership.Epoch)<<attemptBits) + 1
 }
 
-func (c *Core) hold(j *job) {
+func (c *Core) sendHolds(j *job) {
 	j.phase = phaseHolding
 	for _, g := range j.groups {
 		g.state = groupHolding
@@ -74,8 +74,8 @@
 func (c *Core) holdTimedOut(j *job) {
 	for _, g := range j.groups {
 		if g.state == groupHolding {
-			c.notice(j, g.worker.Name, ReasonHoldTimeout, "")
-			c.pause(g.worker, workerPause)
+			c.emitNotice(j, g.worker.Name, ReasonHoldTimeout, "")
+			c.pause(g.worker, holdFailurePause)
 		}
 	}
 	c.holdFailed(j, "hold timeout")
@@ -89,30 +89,30 @@
 // abandonHolds gives up an attempt that is not durable. Its groups keep their
 // capacity until each has ended for certain.
 func (c *Core) abandonHolds(j *job, why string) {
-	j.reserved = nil
+	j.reservation = nil
 	for _, g := range j.groups {
 		g.detached = true
-		c.stop(g, 0, why)
+		c.stopGroup(g, 0, why)
 	}
 	j.groups = nil
-	j.lost = 0
+	j.unlinkedGroups = 0
 }
 
 func (c *Core) groupHeld(g *group) {
 	j := g.job
 	g.state = groupHeld
-	if j.phase != phaseHolding || !j.all(groupHeld) {
+	if j.phase != phaseHolding || !j.allGroupsIn(groupHeld) {
 		return
 	}
 	j.phase = phaseSaving
-	j.aborted = false
+	j.abortedWhileSaving = false
 	j.rec.State = api.JobRunning
 	j.rec.Attempt = j.attempt
 	j.rec.Placements = placements(j)
 	c.emit(Save{j.rec})
 	attempt := j.attempt
 	c.after(saveTimeout, func() {
-		if j.phase == phaseSaving && j.attempt == attempt && !j.aborted {
+		if j.phase == phaseSaving && j.attempt == attempt && !j.abortedWhileSaving {
 			c.abortSaving(j, "the row is not written in time")
 		}
 	})
@@ -129,32 +129,32 @@
 // abortSaving releases the holds of an attempt whose row is being written; the
 // job goes on when the answer of the write has come.
 func (c *Core) abortSaving(j *job, why string) {
-	if j.aborted {
+	if j.abortedWhileSaving {
 		return
 	}
-	j.aborted = true
+	j.abortedWhileSaving = true
 	c.abandonHolds(j, why)
 }
 
-func (c *Core) savedAttempt(j *job, failed bool) {
+func (c *Core) attemptSaved(j *job, failed bool) {
 	if failed {
 		c.abortSaving(j, "the row could not be written")
 		j.rec.State = api.JobQueued
 		j.rec.Placements = nil
-		c.afterAbort(j, c.backoff)
+		c.continueAfterAbort(j, c.backoff)
 		return
 	}
-	if !j.aborted && !c.startable(j) {
+	if !j.abortedWhileSaving && !c.startable(j) {
 		c.abortSaving(j, "no start any more")
 	}
-	if j.aborted {
-		c.afterAbort(j, c.requeue)
+	if j.abortedWhileSaving {
+		c.continueAfterAbort(j, c.requeue)
 		return
 	}
-	c.start(j)
+	c.startAttempt(j)
 }
 
-func (c *Core) afterAbort(j *job, again func(*job)) {
+func (c *Core) continueAfterAbort(j *job, again func(*job)) {
 	if j.rec.CancelAsked {
 		c.finish(j, api.OutcomeCancelled, "cancelled before a start")
 		return
@@ -164,7 +164,7 @@
 
 // startable reports whether a held and saved attempt may start now.
 func (c *Core) startable(j *job) bool {
-	if !c.authority.Owner || c.now < c.authority.StartAfter || j.lost > 0 {
+	if !c.ownership.Owner || c.now < c.ownership.StartAfter || j.unlinkedGroups > 0 {
 		return false
 	}
 	for _, g := range j.groups {
@@ -175,12 +175,12 @@
 	return true
 }
 
-func (c *Core) start(j *job) {
+func (c *Core) startAttempt(j *job) {
 	j.phase = phaseRunning
 	j.started = true
 	j.everStarted = true
 	j.startedAt = c.now
-	j.holdFails = 0
+	j.holdFailures = 0
 	for _, g := range j.groups {
 		c.startGroup(g)
 	}
@@ -195,68 +195,68 @@
 	})
 }
 
-// end stops all groups of a running attempt. The job goes on when all of them
+// endAttempt stops all groups of a running attempt. The job goes on when all of them
 // have ended for certain.
-func (c *Core) end(j *job, grace time.Duration, why Reason) {
+func (c *Core) endAttempt(j *job, grace time.Duration, why Reason) {
 	if j.phase == phaseEnding {
 		return
 	}
 	j.phase = phaseEnding
-	j.moves = why
+	j.endReason = why
 	for _, g := range j.groups {
 		if g.live() {
-			c.stop(g, grace, string(why))
+			c.stopGroup(g, grace, string(why))
 		}
 	}
-	c.settle(j)
+	c.concludeAttempt(j)
 }
 
-// grace is the time that a job's groups get for a checkpoint.
-func grace(j *job) time.Duration {
+// checkpointGrace is the time that a job's groups get for a checkpoint.
+func checkpointGrace(j *job) time.Duration {
 	if j.rec.Job.Checkpointable {
 		return CheckpointGrace
 	}
 	return 0
 }
 
-// settle goes on with a job once no group of its attempt is left.
-func (c *Core) settle(j *job) {
+// concludeAttempt goes on with a job once no group of its attempt is left.
+func (c *Core) concludeAttempt(j *job) {
 	if j.phase != phaseRunning && j.phase != phaseEnding {
 		return
 	}
-	if j.anyLive() {
+	if j.hasLiveGroup() {
 		return
 	}
-	j.ranFor += c.now - j.startedAt
-	j.reserved = nil
+	j.earlierRunTime += c.now - j.startedAt
+	j.reservation = nil
 	switch {
-	case j.all(groupDone):
+	case j.allGroupsIn(groupDone):
 		c.finish(j, api.OutcomeDone, "")
 	case j.rec.CancelAsked:
 		c.finish(j, api.OutcomeCancelled, "cancelled while running")
-	case j.verdict != "":
-		c.finish(j, j.verdict, j.verdictDetail)
-	case j.started && !j.movable() && !j.unstarted():
-		c.notice(j, "", ReasonMayHaveRun, string(j.moves))
-		c.finish(j, api.OutcomeUnknown, "the job may have run and is not idempotent: "+string(j.moves))
+	case j.finalOutcome != "":
+		c.finish(j, j.finalOutcome, j.finalDetail)
+	case j.started && !j.restartable() && !j.neverStarted():
+		c.emitNotice(j, "", ReasonMayHaveRun, string(j.endReason))
+		c.finish(j, api.OutcomeUnknown, "the job may have run and is not idempotent: "+string(j.endReason))
 	default:
 		c.requeue(j)
 	}
 }
 
-// stop asks a worker to end a group and repeats that until it is confirmed or
+// stopGroup asks a worker to end a group and repeats that until it is confirmed or
 // the lease has lapsed.
-func (c *Core) stop(g *group, grace time.Duration, why string) {
-	if !g.live() || g.ending {
+func (c *Core) stopGroup(g *group, grace time.Duration, why string) {
+	if !g.live() || g.stopping {
 		return
 	}
-	g.ending = true
+	g.stopping = true
 	if g.state == groupClaimed {
-		c.gone(g, groupGone)
+		c.gone(g, groupEnded)
 		return
 	}
 	c.sendStop(g, grace, why)
-	c.watchLapse(g)
+	c.watchLease(g)
 }
 
 func (c *Core) sendStop(g *group, grace time.Duration, why string) {
@@ -266,30 +266,30 @@
 	if g.worker.Linked {
 		c.emit(Stop{Worker: g.worker.Name, JobID: g.job.id(), Attempt: g.attempt, Grace: grace, Reason: why})
 	}
-	c.after(grace+stopResend, func() { c.sendStop(g, 0, why) })
+	c.after(grace+stopResendInterval, func() { c.sendStop(g, 0, why) })
 }
 
-// watchLapse ends a group that is not renewed any more at the end of its lease.
-func (c *Core) watchLapse(g *group) {
+// watchLease ends a group that is not renewed any more at the end of its lease.
+func (c *Core) watchLease(g *group) {
 	c.timers.add(g.leaseUntil, func() {
-		if !g.live() || !(g.ending || !g.worker.Linked) {
+		if !g.live() || !(g.stopping || !g.worker.Linked) {
 			return
 		}
 		if g.leaseUntil > c.now {
-			c.watchLapse(g)
+			c.watchLease(g)
 			return
 		}
-		c.lapsed(g)
+		c.leaseExpired(g)
 	})
 }
 
-func (c *Core) lapsed(g *group) {
-	c.gone(g, groupGone)
-	c.broken(g, ReasonWorkerLost)
+func (c *Core) leaseExpired(g *group) {
+	c.gone(g, groupEnded)
+	c.groupLost(g, ReasonWorkerLost)
 }
 
-// broken ends an attempt that has lost one of its groups.
-func (c *Core) broken(g *group, why Reason) {
+// groupLost ends an attempt that has lost one of its groups.
+func (c *Core) groupLost(g *group, why Reason) {
 	j := g.job
 	if g.detached {
 		return
@@ -300,9 +300,9 @@
 	case phaseSaving:
 		c.abortSaving(j, string(why))
 	case phaseRunning:
-		c.notice(j, g.worker.Name, why, "")
-		c.end(j, grace(j), why)
+		c.emitNotice(j, g.worker.Name, why, "")
+		c.endAttempt(j, checkpointGrace(j), why)
 	case phaseEnding:
-		c.settle(j)
+		c.concludeAttempt(j)
 	}
 }
--- a/internal/sched/bind.go
+++ b/internal/sched/bind.go
@@ -5,28 +5,28 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-func (c *Core) orphan(g *group) {
-	g.share = nil
-	g.account.surplus = g.account.surplus.Add(g.amount)
-	g.firm = true
-	g.fixed = true
+func (c *Core) detachFromReservation(g *group) {
+	g.reservedPart = nil
+	g.account.surplus = g.account.surplus.Add(g.resources)
+	g.nonPreemptible = true
+	g.nonRestartable = true
 	c.update(g.worker, func(f *fleet.Worker) {
-		f.NonPreemptible = f.NonPreemptible.Add(g.amount)
-		f.NonRestartable = f.NonRestartable.Add(g.amount)
+		f.NonPreemptible = f.NonPreemptible.Add(g.resources)
+		f.NonRestartable = f.NonRestartable.Add(g.resources)
 	})
-	if j := g.job; !g.detached && j.reserved != nil {
-		j.reserved = nil
-		j.firm = true
-		c.unbound = append(c.unbound, j)
+	if j := g.job; !g.detached && j.reservation != nil {
+		j.reservation = nil
+		j.nonPreemptible = true
+		c.unboundJobs = append(c.unboundJobs, j)
 	}
 }
 
-// bind gives a guarantee without a place the one where a gang of its profile
+// bindToRunningGang gives a guarantee without a place the one where a gang of its profile
 // runs already, as after a takeover.
-func (c *Core) bind(r *reservation) bool {
-	for _, j := range c.unbound {
+func (c *Core) bindToRunningGang(r *reservation) bool {
+	for _, j := range c.unboundJobs {
 		if j.rec.Job.Profile == r.profile && c.bindable(j, r) {
-			c.bindTo(j, r)
+			c.bindJob(j, r)
 			return true
 		}
 	}
@@ -34,11 +34,11 @@
 }
 
 func (c *Core) bindable(j *job, r *reservation) bool {
-	if j.phase != phaseRunning || !j.firm || j.rec.Job.Gang.Tasks != r.gang.Tasks || !j.perTask.Fits(r.gang.PerTask) {
+	if j.phase != phaseRunning || !j.nonPreemptible || j.rec.Job.Gang.Tasks != r.gang.Tasks || !j.perTask.Fits(r.gang.PerTask) {
 		return false
 	}
 	for _, g := range j.groups {
-		more := r.gang.PerTask.Times(g.tasks).Sub(g.amount)
+		more := r.gang.PerTask.Times(g.tasks).Sub(g.resources)
 		if !g.live() || !g.worker.InService() || !more.Fits(g.worker.Available(fleet.Preemptible)) {
 			return false
 		}
@@ -46,25 +46,25 @@
 	return true
 }
 
-func (c *Core) bindTo(j *job, r *reservation) {
+func (c *Core) bindJob(j *job, r *reservation) {
 	parts := make([]placement.Assignment, 0, len(j.groups))
 	for _, g := range j.groups {
 		parts = append(parts, placement.Assignment{Worker: g.worker.Worker, Tasks: g.tasks})
 	}
 	c.place(r, parts)
-	j.firm = false
-	j.reserved = r
+	j.nonPreemptible = false
+	j.reservation = r
 	for _, g := range j.groups {
-		g.share = r.shareOn(g.worker)
-		g.share.used = g.share.used.Add(g.amount)
-		g.account.surplus = g.account.surplus.Sub(g.amount)
+		g.reservedPart = r.shareOn(g.worker)
+		g.reservedPart.used = g.reservedPart.used.Add(g.resources)
+		g.account.surplus = g.account.surplus.Sub(g.resources)
 		c.update(g.worker, func(f *fleet.Worker) {
-			f.NonPreemptible = f.NonPreemptible.Sub(g.amount)
-			if g.fixed {
-				f.NonRestartable = f.NonRestartable.Sub(g.amount)
+			f.NonPreemptible = f.NonPreemptible.Sub(g.resources)
+			if g.nonRestartable {
+				f.NonRestartable = f.NonRestartable.Sub(g.resources)
 			}
 		})
-		g.firm = false
-		g.fixed = false
+		g.nonPreemptible = false
+		g.nonRestartable = false
 	}
 }
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -45,7 +45,7 @@
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.loss(c.now), b.loss(c.now)), cmp.Compare(a.id(), b.id()))
+		return cmp.Or(cmp.Compare(a.lostWork(c.now), b.lostWork(c.now)), cmp.Compare(a.id(), b.id()))
 	})
 	for _, v := range candidates {
 		if c.opens(j, &cl) {
@@ -60,7 +60,7 @@
 	}
 	c.spare(j, &cl)
 	for _, v := range cl.victims {
-		cl.loss += v.loss(c.now)
+		cl.loss += v.lostWork(c.now)
 	}
 	return cl, true
 }
@@ -77,20 +77,20 @@
 
 func (rule victimRule) allows(g *group, now time.Duration) bool {
 	j := g.job
-	if g.ending || g.detached || g.fixed {
+	if g.stopping || g.detached || g.nonRestartable {
 		return false
 	}
-	if rule.below > 0 && j.total().Accelerators >= rule.below {
+	if rule.below > 0 && j.totalResources().Accelerators >= rule.below {
 		return false
 	}
-	if !j.preemptible() && !(rule.firm && j.firm) {
+	if !j.preemptible() && !(rule.firm && j.nonPreemptible) {
 		return false
 	}
 	switch j.phase {
 	case phaseHolding:
 		return true
 	case phaseSaving:
-		return !j.aborted
+		return !j.abortedWhileSaving
 	case phaseRunning:
 		return now-j.startedAt >= rule.minRun
 	}
@@ -105,12 +105,12 @@
 	unreserved := w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)
 	for _, g := range w.groups {
 		victim := !g.detached && slices.Contains(cl.victims, g.job)
-		if !g.ending && !victim {
+		if !g.stopping && !victim {
 			continue
 		}
-		open = open.Add(g.amount)
-		if g.firm {
-			unreserved = unreserved.Add(g.amount)
+		open = open.Add(g.resources)
+		if g.nonPreemptible {
+			unreserved = unreserved.Add(g.resources)
 		}
 	}
 	if cl.rule.firm {
@@ -162,15 +162,15 @@
 	if cl.res != nil {
 		why = ReasonReclaimed
 	}
-	j.reserved = cl.res
-	c.takeParts(j, cl, !c.lent(j) && cl.res == nil, groupClaimed)
+	j.reservation = cl.res
+	c.createGroups(j, cl, !c.lent(j) && cl.res == nil, groupClaimed)
 	j.phase = phaseClaiming
 	for _, g := range j.groups {
 		g.worker.claims = append(g.worker.claims, j)
 	}
 	for _, v := range cl.victims {
-		c.notice(v, "", why, j.id())
-		c.preempt(v, min(graceTime, grace(v)), why)
+		c.emitNotice(v, "", why, j.id())
+		c.preempt(v, min(graceTime, checkpointGrace(v)), why)
 	}
 	attempt := j.attempt
 	c.after(claimTimeout, func() {
@@ -194,7 +194,7 @@
 	case phaseSaving:
 		c.abortSaving(j, string(why))
 	case phaseRunning:
-		c.end(j, graceTime, why)
+		c.endAttempt(j, graceTime, why)
 	}
 }
 
@@ -209,18 +209,18 @@
 
 func (c *Core) claimReady(j *job) {
 	for _, g := range j.groups {
-		if !g.amount.Fits(g.worker.Unused()) {
+		if !g.resources.Fits(g.worker.Unused()) {
 			return
 		}
 	}
 	c.forgetClaim(j)
 	for _, g := range j.groups {
 		c.update(g.worker, func(f *fleet.Worker) {
-			f.Claimed = f.Claimed.Sub(g.amount)
-			f.Used = f.Used.Add(g.amount)
+			f.Claimed = f.Claimed.Sub(g.resources)
+			f.Used = f.Used.Add(g.resources)
 		})
 	}
-	c.hold(j)
+	c.sendHolds(j)
 }
 
 func (c *Core) forgetClaim(j *job) {
@@ -235,11 +235,11 @@
 	c.forgetClaim(j)
 	groups := j.groups
 	j.groups = nil
-	j.reserved = nil
-	j.lost = 0
+	j.reservation = nil
+	j.unlinkedGroups = 0
 	for _, g := range groups {
 		g.detached = true
-		c.gone(g, groupGone)
+		c.gone(g, groupEnded)
 	}
 }
 
@@ -254,7 +254,7 @@
 
 func (c *Core) dropClaimsIn(s *share) {
 	for _, g := range slices.Clone(s.worker.groups) {
-		if g.share == s && g.job.phase == phaseClaiming && !g.detached {
+		if g.reservedPart == s && g.job.phase == phaseClaiming && !g.detached {
 			c.dropClaim(g.job)
 			c.enqueue(g.job)
 		}
@@ -272,7 +272,7 @@
 // tryEvict starts a job where preemptible work outside of reservations makes
 // room with the least loss.
 func (c *Core) tryEvict(j *job, rule victimRule, graceTime time.Duration) bool {
-	best, ok := c.cheapest(j, c.request(j, fleet.Preemptible), rule)
+	best, ok := c.cheapest(j, c.placementRequest(j, fleet.Preemptible), rule)
 	if ok {
 		c.claim(j, best, graceTime)
 	}
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -21,42 +21,42 @@
 
 // Core decides which gang runs where. It is not safe for concurrent use.
 type Core struct {
-	cfg       Config
-	now       time.Duration
-	out       []Action
-	fleet     *fleet.Fleet
-	workers   map[string]*worker
-	ordered   []*worker
-	jobs      map[string]*job
-	config    *api.Config
-	authority Ownership
-	draining  bool
-	timers    timerQueue
-	queue     *queue
-	accounts  map[string]*account
-	early     []GroupReport
-	zones     map[string]*zoneReturn
-	moving    []*job
-	learned   map[string]*learnedProfile
-	counts    map[Reason]int
-	renewed   int64
-	reviewed  time.Duration
-	forgotAt  time.Duration
+	cfg             Config
+	now             time.Duration
+	actions         []Action
+	fleet           *fleet.Fleet
+	workers         map[string]*worker
+	workerList      []*worker
+	jobs            map[string]*job
+	config          *api.Config
+	ownership       Ownership
+	draining        bool
+	timers          timerQueue
+	queue           *queue
+	accounts        map[string]*account
+	earlyReports    []GroupReport
+	reopeningZones  map[string]*zoneReturn
+	pendingMoves    []*job
+	learnedProfiles map[string]*learnedProfile
+	reasonCounts    map[Reason]int
+	lastRenewTick   int64
+	lastReview      time.Duration
+	lastForget      time.Duration
 
-	// slots are the places of the guarantees; slotsOf holds them by profile.
-	slots       []*reservation
-	slotsOf     map[string][]*reservation
-	slotsDirty  bool
-	repackedAt  time.Duration
-	compactedAt time.Duration
-	displacedAt time.Duration
-	repackOwed  bool // a guarantee lacks a place and repackInterval had not passed
-	plannedGen  uint64
-	unbound     []*job // run outside of their profile's guarantee
-	missing     int    // guarantees without a place
-	lacking     int    // size of the guarantees without a place
-	waiting     []*reservation
-	beside      besideGuarantees
+	// guarantees are the places of the guarantees; slotsOf holds them by profile.
+	guarantees          []*reservation
+	guaranteesOf        map[string][]*reservation
+	guaranteesDirty     bool
+	lastRepack          time.Duration
+	lastCompaction      time.Duration
+	lastDisplacement    time.Duration
+	repackPending       bool // a guarantee lacks a place and repackInterval had not passed
+	placedGeneration    uint64
+	unboundJobs         []*job // run outside of their profile's guarantee
+	unplacedCount       int    // guarantees without a place
+	unplacedSize        int    // size of the guarantees without a place
+	waitingReservations []*reservation
+	idleFleet           besideGuarantees
 }
 
 // New returns a core without workers and jobs. It starts nothing before it has
@@ -66,16 +66,16 @@
 		cfg.LeaseMargin = DefaultLeaseMargin
 	}
 	return &Core{
-		cfg:      cfg,
-		fleet:    fleet.New(),
-		workers:  map[string]*worker{},
-		jobs:     map[string]*job{},
-		queue:    newQueue(),
-		accounts: map[string]*account{},
-		zones:    map[string]*zoneReturn{},
-		learned:  map[string]*learnedProfile{},
-		counts:   map[Reason]int{},
-		renewed:  -1,
+		cfg:             cfg,
+		fleet:           fleet.New(),
+		workers:         map[string]*worker{},
+		jobs:            map[string]*job{},
+		queue:           newQueue(),
+		accounts:        map[string]*account{},
+		reopeningZones:  map[string]*zoneReturn{},
+		learnedProfiles: map[string]*learnedProfile{},
+		reasonCounts:    map[Reason]int{},
+		lastRenewTick:   -1,
 	}
 }
 
@@ -83,11 +83,11 @@
 // in order. Time must not go back.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
-	c.out = nil
-	c.timers.run(c.now)
+	c.actions = nil
+	c.timers.runDue(c.now)
 	c.handle(ev)
 	c.schedule()
-	return c.out
+	return c.actions
 }
 
 func (c *Core) handle(ev Event) {
@@ -103,13 +103,13 @@
 	case WorkerStatus:
 		c.workerStatus(e)
 	case GroupReport:
-		c.report(e)
+		c.handleReport(e)
 	case SaveResult:
 		c.saved(e)
 	case ConfigUpdate:
 		c.configured(e.Config)
 	case Ownership:
-		c.authority = e
+		c.ownership = e
 	case Tick:
 		c.tick()
 	case Drain:
@@ -117,10 +117,10 @@
 	}
 }
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Core) notice(j *job, workerName string, why Reason, detail string) {
-	c.counts[why]++
+func (c *Core) emitNotice(j *job, workerName string, why Reason, detail string) {
+	c.reasonCounts[why]++
 	id := ""
 	if j != nil {
 		id = j.id()
@@ -132,11 +132,11 @@
 
 // mayStart reports whether new attempts may begin.
 func (c *Core) mayStart() bool {
-	a := c.authority
+	a := c.ownership
 	return a.Owner && !a.StoreDown && !c.draining && c.now >= a.StartAfter && c.config != nil
 }
 
-func (c *Core) wall() time.Time { return c.cfg.TermStart.Add(c.now) }
+func (c *Core) wallTime() time.Time { return c.cfg.TermStart.Add(c.now) }
 
 func (c *Core) tick() {
 	c.renewDue()
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -8,47 +8,47 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// maxDisplacedSets bounds the sets of reservations that are looked at for one
+// maxDisplacementSets bounds the sets of reservations that are looked at for one
 // guarantee without a place.
-const maxDisplacedSets = 64
+const maxDisplacementSets = 64
 
-// displaced is a set of reservations in use that may move, with the jobs in them.
-type displaced struct {
+// displacementSet is a set of reservations in use that may move, with the jobs in them.
+type displacementSet struct {
 	reservations []*reservation
 	users        []*job
 }
 
-// displace makes room for a guarantee without a place by moving up to two
+// placeByDisplacing makes room for a guarantee without a place by moving up to two
 // others that are in use, and unused ones, if all fit then and the work in
 // those in use may be stopped.
-func (c *Core) displace(r *reservation, j *job) bool {
-	if c.now < c.displacedAt+repackInterval {
+func (c *Core) placeByDisplacing(r *reservation, j *job) bool {
+	if c.now < c.lastDisplacement+repackInterval {
 		return false
 	}
-	c.displacedAt = c.now
-	unused := c.unusedSlots()
-	for _, set := range c.displacedSets() {
+	c.lastDisplacement = c.now
+	unused := c.unusedGuarantees()
+	for _, set := range c.displacementSets() {
 		moved := append(append([]*reservation{}, set.reservations...), unused...)
-		if places := c.swapPlaces(r, moved); places != nil {
-			return c.moveFor(r, j, set.users, moved, places)
+		if places := c.placeTogether(r, moved); places != nil {
+			return c.applyDisplacement(r, j, set.users, moved, places)
 		}
 	}
 	return false
 }
 
-// displacedSets returns the reservations in use that may move: first none, then
+// displacementSets returns the reservations in use that may move: first none, then
 // each alone, then two at a time.
-func (c *Core) displacedSets() []displaced {
-	sets := []displaced{{}}
-	for _, other := range c.slots {
+func (c *Core) displacementSets() []displacementSet {
+	sets := []displacementSet{{}}
+	for _, other := range c.guarantees {
 		if users, ok := other.users(); ok {
-			sets = append(sets, displaced{[]*reservation{other}, users})
+			sets = append(sets, displacementSet{[]*reservation{other}, users})
 		}
 	}
 	single := len(sets)
 	for i := 1; i < single; i++ {
-		for k := i + 1; k < single && len(sets) < maxDisplacedSets; k++ {
-			both := displaced{
+		for k := i + 1; k < single && len(sets) < maxDisplacementSets; k++ {
+			both := displacementSet{
 				reservations: []*reservation{sets[i].reservations[0], sets[k].reservations[0]},
 				users:        append(append([]*job{}, sets[i].users...), sets[k].users...),
 			}
@@ -58,32 +58,32 @@
 	return sets
 }
 
-// moveFor stops the users of moved reservations, gives r and the moved ones
+// applyDisplacement stops the users of moved reservations, gives r and the moved ones
 // their new places and claims r's for the job.
-func (c *Core) moveFor(r *reservation, j *job, users []*job, moved []*reservation, places [][]placement.Assignment) bool {
+func (c *Core) applyDisplacement(r *reservation, j *job, users []*job, moved []*reservation, places [][]placement.Assignment) bool {
 	for _, user := range users {
-		c.notice(user, "", ReasonMigrated, j.id())
-		c.preempt(user, grace(user), ReasonMigrated)
+		c.emitNotice(user, "", ReasonMigrated, j.id())
+		c.preempt(user, checkpointGrace(user), ReasonMigrated)
 	}
 	for _, m := range moved {
 		c.lift(m)
 	}
 	for i, m := range append([]*reservation{r}, moved...) {
-		c.clearFirm(j, m, places[i])
+		c.preemptNonPreemptible(j, m, places[i])
 		c.place(m, places[i])
 	}
-	cl, ok := c.claimIn(r, j, c.avoids(j))
+	cl, ok := c.claimIn(r, j, c.excludedWorkers(j))
 	if ok {
 		c.claim(j, cl, c.claimGrace(j))
 	}
 	return ok
 }
 
-// clearFirm stops work outside of guarantees that stands in a reservation's new
+// preemptNonPreemptible stops work outside of guarantees that stands in a reservation's new
 // place.
-func (c *Core) clearFirm(j *job, m *reservation, parts []placement.Assignment) {
+func (c *Core) preemptNonPreemptible(j *job, m *reservation, parts []placement.Assignment) {
 	for _, p := range parts {
-		c.dropFirmClaims(c.workers[p.Worker.Name])
+		c.dropNonPreemptibleClaims(c.workers[p.Worker.Name])
 	}
 	whole := &job{rec: j.rec, perTask: m.gang.PerTask}
 	cl, ok := c.plan(whole, parts, victimRule{firm: true})
@@ -91,16 +91,16 @@
 		return
 	}
 	for _, v := range cl.victims {
-		c.notice(v, "", ReasonReclaimed, j.id())
-		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaimed)
+		c.emitNotice(v, "", ReasonReclaimed, j.id())
+		c.preempt(v, min(c.claimGrace(j), checkpointGrace(v)), ReasonReclaimed)
 	}
 }
 
-// dropFirmClaims drops the claims of work outside of guarantees on a worker,
+// dropNonPreemptibleClaims drops the claims of work outside of guarantees on a worker,
 // which wait for room there that a guarantee takes now.
-func (c *Core) dropFirmClaims(w *worker) {
+func (c *Core) dropNonPreemptibleClaims(w *worker) {
 	for _, g := range slices.Clone(w.groups) {
-		if g.firm && g.job.phase == phaseClaiming && !g.detached {
+		if g.nonPreemptible && g.job.phase == phaseClaiming && !g.detached {
 			c.dropClaim(g.job)
 			c.enqueue(g.job)
 		}
@@ -112,10 +112,10 @@
 func (r *reservation) users() (users []*job, ok bool) {
 	for _, s := range r.shares {
 		for _, g := range s.worker.groups {
-			if g.share != s || g.ending {
+			if g.reservedPart != s || g.stopping {
 				continue
 			}
-			if !g.job.movable() || g.job.phase != phaseRunning {
+			if !g.job.restartable() || g.job.phase != phaseRunning {
 				return nil, false
 			}
 			users = append(users, g.job)
@@ -124,7 +124,7 @@
 	return users, len(users) > 0
 }
 
-func (c *Core) unusedSlots() []*reservation {
+func (c *Core) unusedGuarantees() []*reservation {
 	var out []*reservation
 	for _, r := range c.bySize() {
 		if r.placed() && r.unused() {
@@ -134,12 +134,12 @@
 	return out
 }
 
-// swapPlaces finds places for r and for the moved reservations together, in
+// placeTogether finds places for r and for the moved reservations together, in
 // that order, on what is open once the moved ones have left theirs. It returns
 // nil if there are none, and changes nothing.
-func (c *Core) swapPlaces(r *reservation, moved []*reservation) [][]placement.Assignment {
+func (c *Core) placeTogether(r *reservation, moved []*reservation) [][]placement.Assignment {
 	for _, m := range moved {
-		c.reserveParts(m.parts(), m.gang.PerTask, -1)
+		c.adjustReserved(m.parts(), m.gang.PerTask, -1)
 	}
 	var places [][]placement.Assignment
 	all := append([]*reservation{r}, moved...)
@@ -148,14 +148,14 @@
 		if parts == nil {
 			break
 		}
-		c.reserveParts(parts, m.gang.PerTask, 1)
+		c.adjustReserved(parts, m.gang.PerTask, 1)
 		places = append(places, parts)
 	}
 	for i, parts := range places {
-		c.reserveParts(parts, all[i].gang.PerTask, -1)
+		c.adjustReserved(parts, all[i].gang.PerTask, -1)
 	}
 	for _, m := range moved {
-		c.reserveParts(m.parts(), m.gang.PerTask, 1)
+		c.adjustReserved(m.parts(), m.gang.PerTask, 1)
 	}
 	if len(places) < len(all) {
 		return nil
@@ -163,7 +163,7 @@
 	return places
 }
 
-func (c *Core) reserveParts(parts []placement.Assignment, perTask api.Resources, sign int) {
+func (c *Core) adjustReserved(parts []placement.Assignment, perTask api.Resources, sign int) {
 	for _, p := range parts {
 		c.fleet.Update(p.Worker, func(w *fleet.Worker) {
 			w.Reserved = w.Reserved.Add(perTask.Times(sign * p.Tasks))
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -55,13 +55,13 @@
 // Dump returns the state of the core.
 func (c *Core) Dump() any {
 	d := Dump{
-		Now: c.now.String(), Epoch: c.authority.Epoch, Owner: c.authority.Owner,
-		Draining: c.draining, Queued: c.queue.size, UnplacedGuarantees: c.missing, Reasons: map[Reason]int{},
+		Now: c.now.String(), Epoch: c.ownership.Epoch, Owner: c.ownership.Owner,
+		Draining: c.draining, Queued: c.queue.size, UnplacedGuarantees: c.unplacedCount, Reasons: map[Reason]int{},
 	}
 	if c.config != nil {
 		d.ConfigVersion = c.config.Version
 	}
-	for _, w := range c.ordered {
+	for _, w := range c.workerList {
 		d.Workers = append(d.Workers, WorkerDump{
 			Name: w.Name, Zone: w.Zone, Rack: w.Rack.Name, InService: w.InService(), Quarantined: w.Quarantined, Probation: w.Probation,
 			Capacity: w.Capacity, Used: w.Used, Reserved: w.Reserved, Groups: len(w.groups),
@@ -71,13 +71,13 @@
 		j := c.jobs[id]
 		d.Jobs = append(d.Jobs, JobDump{id, j.rec.Job.Profile, string(j.phase), j.attempt, placements(j)})
 	}
-	for _, r := range c.slots {
+	for _, r := range c.guarantees {
 		d.Reservations = append(d.Reservations, r.dump())
 	}
-	for _, r := range c.waiting {
+	for _, r := range c.waitingReservations {
 		d.Reservations = append(d.Reservations, r.dump())
 	}
-	for why, n := range c.counts {
+	for why, n := range c.reasonCounts {
 		d.Reasons[why] = n
 	}
 	return d
--- a/internal/sched/feasibility/feasibility.go
+++ b/internal/sched/feasibility/feasibility.go
@@ -45,31 +45,31 @@
 // does not fit without one of these zones.
 func Check(config *api.Config, workers []Worker) []Finding {
 	var findings []Finding
-	for _, m := range missing(config, workers, "") {
+	for _, m := range unplaced(config, workers, "") {
 		m.Severity = Error
-		m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s in the racks in service", m.Profile, m.Missing, describe(m.Shape))
+		m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s in the racks in service", m.Profile, m.Missing, describeShape(m.Shape))
 		findings = append(findings, m)
 	}
 	if len(findings) > 0 {
 		return findings
 	}
-	for _, zone := range zonesIn(config, workers) {
-		for _, m := range missing(config, workers, zone) {
+	for _, zone := range zonesInService(config, workers) {
+		for _, m := range unplaced(config, workers, zone) {
 			m.Severity = Warning
 			m.Zone = zone
-			m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s while zone %q is out", m.Profile, m.Missing, describe(m.Shape), zone)
+			m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s while zone %q is out", m.Profile, m.Missing, describeShape(m.Shape), zone)
 			findings = append(findings, m)
 		}
 	}
 	return findings
 }
 
-func describe(s api.Shape) string {
+func describeShape(s api.Shape) string {
 	return fmt.Sprintf("%d tasks of %d accelerators, %d mCPU and %d MB in one %s",
 		s.Tasks, s.PerTask.Accelerators, s.PerTask.MilliCPU, s.PerTask.MemoryMB, s.Adjacency)
 }
 
-func zonesIn(config *api.Config, workers []Worker) []string {
+func zonesInService(config *api.Config, workers []Worker) []string {
 	var zones []string
 	for _, w := range workers {
 		if !config.ZoneOut(w.Zone) && !slices.Contains(zones, w.Zone) {
@@ -80,25 +80,25 @@
 	return zones
 }
 
-// missing packs all guarantees, the largest gangs first, and returns those
+// unplaced packs all guarantees, the largest gangs first, and returns those
 // left over. The zone without is taken as out.
-func missing(config *api.Config, workers []Worker, without string) []Finding {
-	return packAll(build(config, workers, without), config)
+func unplaced(config *api.Config, workers []Worker, without string) []Finding {
+	return packGuarantees(newFleet(config, workers, without), config)
 }
 
 // FleetWithGuarantees returns the fleet with all guarantees packed, as if all its zones
 // were in. What its workers have left is open to other work.
 func FleetWithGuarantees(config *api.Config, workers []Worker) *fleet.Fleet {
-	f := build(&api.Config{}, workers, "")
-	packAll(f, config)
+	f := newFleet(&api.Config{}, workers, "")
+	packGuarantees(f, config)
 	return f
 }
 
-func packAll(f *fleet.Fleet, config *api.Config) []Finding {
+func packGuarantees(f *fleet.Fleet, config *api.Config) []Finding {
 	var out []Finding
-	for _, p := range byNeed(config) {
+	for _, p := range guaranteedProfiles(config) {
 		left := p.Guarantee.Gangs
-		for left > 0 && pack(f, p.Guarantee.Shape) {
+		for left > 0 && packGang(f, p.Guarantee.Shape) {
 			left--
 		}
 		if left > 0 {
@@ -108,7 +108,7 @@
 	return out
 }
 
-func build(config *api.Config, workers []Worker, without string) *fleet.Fleet {
+func newFleet(config *api.Config, workers []Worker, without string) *fleet.Fleet {
 	f := fleet.New()
 	for _, w := range workers {
 		out := config.ZoneOut(w.Zone) || (without != "" && w.Zone == without)
@@ -122,7 +122,7 @@
 	return f
 }
 
-func pack(f *fleet.Fleet, shape api.Shape) bool {
+func packGang(f *fleet.Fleet, shape api.Shape) bool {
 	parts := placement.Find(f, placement.Request{Gang: shape, View: fleet.Preemptible})
 	for _, p := range parts {
 		f.Update(p.Worker, func(w *fleet.Worker) {
@@ -132,8 +132,8 @@
 	return parts != nil
 }
 
-// byNeed returns the profiles with a guarantee, those with the largest gangs first.
-func byNeed(config *api.Config) []api.Profile {
+// guaranteedProfiles returns the profiles with a guarantee, those with the largest gangs first.
+func guaranteedProfiles(config *api.Config) []api.Profile {
 	var out []api.Profile
 	for _, p := range config.Profiles {
 		if p.Guarantee != nil {
--- a/internal/sched/fits.go
+++ b/internal/sched/fits.go
@@ -22,14 +22,14 @@
 }
 
 func (c *Core) neverFits(j *job) (string, bool) {
-	if c.config == nil || c.now < fleetSettle || len(c.ordered) == 0 {
+	if c.config == nil || c.now < fleetSettle || len(c.workerList) == 0 {
 		return "", false
 	}
 	name := j.rec.Job.Profile
 	gang := j.gang()
-	if p, ok := c.config.Profiles[name]; ok && p.QuotaAccelerators > 0 && j.total().Accelerators > p.QuotaAccelerators {
+	if p, ok := c.config.Profiles[name]; ok && p.QuotaAccelerators > 0 && j.totalResources().Accelerators > p.QuotaAccelerators {
 		return fmt.Sprintf("the gang needs %d accelerators, the quota of profile %q is %d",
-			j.total().Accelerators, name, p.QuotaAccelerators), true
+			j.totalResources().Accelerators, name, p.QuotaAccelerators), true
 	}
 	if placement.Find(c.fleet, placement.Request{Gang: gang, View: fleet.FullCapacity}) != nil {
 		return c.blockedForever(j)
@@ -58,10 +58,10 @@
 		return "", false
 	}
 	workers := c.known()
-	if b := c.beside; b.fleet == nil || b.version != c.config.Version || b.workers != len(workers) {
-		c.beside = besideGuarantees{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
+	if b := c.idleFleet; b.fleet == nil || b.version != c.config.Version || b.workers != len(workers) {
+		c.idleFleet = besideGuarantees{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
 	}
-	if placement.Find(c.beside.fleet, placement.Request{Gang: j.gang(), View: fleet.Preemptible}) != nil {
+	if placement.Find(c.idleFleet.fleet, placement.Request{Gang: j.gang(), View: fleet.Preemptible}) != nil {
 		return "", false
 	}
 	return fmt.Sprintf("no %s has room for %d tasks of %d accelerators beside the guaranteed capacity, and profile %q is not preemptible",
@@ -80,8 +80,8 @@
 }
 
 func (c *Core) known() []feasibility.Worker {
-	workers := make([]feasibility.Worker, 0, len(c.ordered))
-	for _, w := range c.ordered {
+	workers := make([]feasibility.Worker, 0, len(c.workerList))
+	for _, w := range c.workerList {
 		if w.Capacity == (api.Resources{}) {
 			continue
 		}
--- a/internal/sched/fleet/fleet.go
+++ b/internal/sched/fleet/fleet.go
@@ -24,44 +24,44 @@
 	// Generation is the generation at which the rack last gained capacity.
 	Generation uint64
 	// Total sums the available capacity of the rack's workers, by view.
-	Total [viewCount]api.Resources
+	Total [capacityViewCount]api.Resources
 
-	recent  *list.Element
-	indexed bool
-	key     api.Resources
+	lastGain *list.Element
+	indexed  bool
+	indexKey api.Resources
 }
 
 // Fleet is all workers of a cell.
 type Fleet struct {
-	workers map[string]*Worker
-	racks   map[string]*Rack
-	zones   []string
-	zoneOf  map[string][]*Rack
-	totals  map[string]*[viewCount]api.Resources
-	ordered []*Worker
-	gen     uint64
-	recent  *list.List
-	byFree  *btree.BTreeG[*Worker]
-	byRack  *btree.BTreeG[*Rack]
-	service api.Resources
-	largest api.Resources
+	workers     map[string]*Worker
+	racks       map[string]*Rack
+	zones       []string
+	racksOf     map[string][]*Rack
+	zoneTotals  map[string]*[capacityViewCount]api.Resources
+	ordered     []*Worker
+	generation  uint64
+	byLastGain  *list.List
+	freeWorkers *btree.BTreeG[*Worker]
+	freeRacks   *btree.BTreeG[*Rack]
+	inService   api.Resources
+	largest     api.Resources
 }
 
 // New returns a fleet without workers.
 func New() *Fleet {
 	return &Fleet{
-		workers: map[string]*Worker{},
-		racks:   map[string]*Rack{},
-		zoneOf:  map[string][]*Rack{},
-		totals:  map[string]*[viewCount]api.Resources{},
-		recent:  list.New(),
-		byFree:  btree.NewG(btreeDegree, lessWorker),
-		byRack:  btree.NewG(btreeDegree, lessRack),
+		workers:     map[string]*Worker{},
+		racks:       map[string]*Rack{},
+		racksOf:     map[string][]*Rack{},
+		zoneTotals:  map[string]*[capacityViewCount]api.Resources{},
+		byLastGain:  list.New(),
+		freeWorkers: btree.NewG(btreeDegree, lessWorker),
+		freeRacks:   btree.NewG(btreeDegree, lessRack),
 	}
 }
 
 func lessWorker(a, b *Worker) bool {
-	x, y := a.avail[Free], b.avail[Free]
+	x, y := a.available[Free], b.available[Free]
 	if x.Accelerators != y.Accelerators {
 		return x.Accelerators < y.Accelerators
 	}
@@ -72,20 +72,20 @@
 }
 
 func lessRack(a, b *Rack) bool {
-	if a.key.Accelerators != b.key.Accelerators {
-		return a.key.Accelerators < b.key.Accelerators
+	if a.indexKey.Accelerators != b.indexKey.Accelerators {
+		return a.indexKey.Accelerators < b.indexKey.Accelerators
 	}
-	if a.key.MilliCPU != b.key.MilliCPU {
-		return a.key.MilliCPU < b.key.MilliCPU
+	if a.indexKey.MilliCPU != b.indexKey.MilliCPU {
+		return a.indexKey.MilliCPU < b.indexKey.MilliCPU
 	}
 	return a.Name < b.Name
 }
 
 // Generation is the generation of the last gain of capacity anywhere.
-func (f *Fleet) Generation() uint64 { return f.gen }
+func (f *Fleet) Generation() uint64 { return f.generation }
 
 // InServiceCapacity is the capacity of all workers in service.
-func (f *Fleet) InServiceCapacity() api.Resources { return f.service }
+func (f *Fleet) InServiceCapacity() api.Resources { return f.inService }
 
 // LargestCapacity is the largest capacity of any worker, by dimension.
 func (f *Fleet) LargestCapacity() api.Resources { return f.largest }
@@ -97,10 +97,10 @@
 func (f *Fleet) Zones() []string { return f.zones }
 
 // Racks returns the racks of a zone in order of their first announcement.
-func (f *Fleet) Racks(zone string) []*Rack { return f.zoneOf[zone] }
+func (f *Fleet) Racks(zone string) []*Rack { return f.racksOf[zone] }
 
 // ZoneTotal is what a view offers in a zone.
-func (f *Fleet) ZoneTotal(zone string, v CapacityView) api.Resources { return f.totals[zone][v] }
+func (f *Fleet) ZoneTotal(zone string, v CapacityView) api.Resources { return f.zoneTotals[zone][v] }
 
 // Worker returns the named worker, or nil.
 func (f *Fleet) Worker(name string) *Worker { return f.workers[name] }
@@ -117,29 +117,29 @@
 	if w.Rack != nil && w.Rack.Name == rackName(zone, rack) {
 		return w
 	}
-	f.detach(w)
+	f.removeFromRack(w)
 	w.Zone = zone
-	w.Rack = f.rack(zone, rack)
+	w.Rack = f.ensureRack(zone, rack)
 	w.Rack.Workers = append(w.Rack.Workers, w)
 	return w
 }
 
 func rackName(zone, rack string) string { return zone + "/" + rack }
 
-func (f *Fleet) rack(zone, rack string) *Rack {
+func (f *Fleet) ensureRack(zone, rack string) *Rack {
 	name := rackName(zone, rack)
 	r := f.racks[name]
 	if r != nil {
 		return r
 	}
 	r = &Rack{Label: rack, Name: name, Zone: zone}
-	r.recent = f.recent.PushBack(r)
+	r.lastGain = f.byLastGain.PushBack(r)
 	f.racks[name] = r
-	if f.zoneOf[zone] == nil {
-		f.totals[zone] = new([viewCount]api.Resources)
+	if f.racksOf[zone] == nil {
+		f.zoneTotals[zone] = new([capacityViewCount]api.Resources)
 		f.zones = insertSorted(f.zones, zone)
 	}
-	f.zoneOf[zone] = append(f.zoneOf[zone], r)
+	f.racksOf[zone] = append(f.racksOf[zone], r)
 	return r
 }
 
@@ -148,22 +148,22 @@
 	return slices.Insert(names, i, name)
 }
 
-func (f *Fleet) detach(w *Worker) {
+func (f *Fleet) removeFromRack(w *Worker) {
 	if w.Rack == nil {
 		return
 	}
 	old := w.Rack
-	f.unindex(w)
+	f.removeFromIndex(w)
 	f.reindexRack(old, func() {
-		f.addTotal(old, w.avail, [viewCount]api.Resources{})
+		f.addTotal(old, w.available, [capacityViewCount]api.Resources{})
 	})
-	w.avail = [viewCount]api.Resources{}
+	w.available = [capacityViewCount]api.Resources{}
 	old.Workers = slices.DeleteFunc(old.Workers, func(o *Worker) bool { return o == w })
 }
 
 // Remove takes a worker out of the fleet.
 func (f *Fleet) Remove(w *Worker) {
-	f.detach(w)
+	f.removeFromRack(w)
 	w.Rack = nil
 	delete(f.workers, w.Name)
 	f.ordered = slices.DeleteFunc(f.ordered, func(o *Worker) bool { return o == w })
@@ -176,44 +176,44 @@
 		change(w)
 		return
 	}
-	f.unindex(w)
-	before := w.avail
+	f.removeFromIndex(w)
+	before := w.available
 	if w.InService() {
-		f.service = f.service.Sub(w.Capacity)
+		f.inService = f.inService.Sub(w.Capacity)
 	}
 	change(w)
-	f.largest = most(f.largest, w.Capacity)
+	f.largest = maxResources(f.largest, w.Capacity)
 	if w.InService() {
-		f.service = f.service.Add(w.Capacity)
+		f.inService = f.inService.Add(w.Capacity)
 	}
-	for v := range viewCount {
-		w.avail[v] = w.computeAvailable(v)
+	for v := range capacityViewCount {
+		w.available[v] = w.computeAvailable(v)
 	}
 	f.reindexRack(w.Rack, func() {
-		f.addTotal(w.Rack, before, w.avail)
+		f.addTotal(w.Rack, before, w.available)
 	})
 	if w.Schedulable() {
-		f.byFree.ReplaceOrInsert(w)
+		f.freeWorkers.ReplaceOrInsert(w)
 		w.indexed = true
 	}
-	if gained(before, w.avail) {
-		f.gen++
-		w.Rack.Generation = f.gen
-		f.recent.MoveToFront(w.Rack.recent)
+	if hasGained(before, w.available) {
+		f.generation++
+		w.Rack.Generation = f.generation
+		f.byLastGain.MoveToFront(w.Rack.lastGain)
 	}
 }
 
 // addTotal replaces a worker's part in the totals of its rack and zone.
-func (f *Fleet) addTotal(r *Rack, before, after [viewCount]api.Resources) {
-	zone := f.totals[r.Zone]
-	for v := range viewCount {
+func (f *Fleet) addTotal(r *Rack, before, after [capacityViewCount]api.Resources) {
+	zone := f.zoneTotals[r.Zone]
+	for v := range capacityViewCount {
 		r.Total[v] = r.Total[v].Add(after[v]).Sub(before[v])
 		zone[v] = zone[v].Add(after[v]).Sub(before[v])
 	}
 }
 
-func gained(before, after [viewCount]api.Resources) bool {
-	for v := range viewCount {
+func hasGained(before, after [capacityViewCount]api.Resources) bool {
+	for v := range capacityViewCount {
 		if !after[v].Fits(before[v]) {
 			return true
 		}
@@ -221,37 +221,37 @@
 	return false
 }
 
-func (f *Fleet) unindex(w *Worker) {
+func (f *Fleet) removeFromIndex(w *Worker) {
 	if w.indexed {
-		f.byFree.Delete(w)
+		f.freeWorkers.Delete(w)
 		w.indexed = false
 	}
 }
 
 func (f *Fleet) reindexRack(r *Rack, change func()) {
 	if r.indexed {
-		f.byRack.Delete(r)
+		f.freeRacks.Delete(r)
 	}
 	change()
-	r.key = r.Total[Free]
-	f.byRack.ReplaceOrInsert(r)
+	r.indexKey = r.Total[Free]
+	f.freeRacks.ReplaceOrInsert(r)
 	r.indexed = true
 }
 
 // BestFit visits the open workers with at least the free accelerators and CPU
 // of need, from the tightest fit on, until visit returns false.
 func (f *Fleet) BestFit(need api.Resources, visit func(*Worker) bool) {
-	last, ok := f.byFree.Max()
+	last, ok := f.freeWorkers.Max()
 	if !ok {
 		return
 	}
 	more := true
-	for a := need.Accelerators; more && a <= last.avail[Free].Accelerators; a++ {
+	for a := need.Accelerators; more && a <= last.available[Free].Accelerators; a++ {
 		from := &Worker{}
-		from.avail[Free] = api.Resources{Accelerators: a, MilliCPU: need.MilliCPU}
+		from.available[Free] = api.Resources{Accelerators: a, MilliCPU: need.MilliCPU}
 		to := &Worker{}
-		to.avail[Free] = api.Resources{Accelerators: a + 1}
-		f.byFree.AscendRange(from, to, func(w *Worker) bool {
+		to.available[Free] = api.Resources{Accelerators: a + 1}
+		f.freeWorkers.AscendRange(from, to, func(w *Worker) bool {
 			more = visit(w)
 			return more
 		})
@@ -261,13 +261,13 @@
 // RacksByFree visits the racks with at least the free accelerators of need,
 // from the tightest on, until visit returns false.
 func (f *Fleet) RacksByFree(need api.Resources, visit func(*Rack) bool) {
-	from := &Rack{key: api.Resources{Accelerators: need.Accelerators}}
-	f.byRack.AscendGreaterOrEqual(from, visit)
+	from := &Rack{indexKey: api.Resources{Accelerators: need.Accelerators}}
+	f.freeRacks.AscendGreaterOrEqual(from, visit)
 }
 
 // RacksGainedSince visits the racks that gained capacity after the generation.
 func (f *Fleet) RacksGainedSince(gen uint64, visit func(*Rack) bool) {
-	for e := f.recent.Front(); e != nil; e = e.Next() {
+	for e := f.byLastGain.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*Rack)
 		if r.Generation <= gen || !visit(r) {
 			return
--- a/internal/sched/fleet/worker.go
+++ b/internal/sched/fleet/worker.go
@@ -19,7 +19,7 @@
 	Restartable
 	// FullCapacity is the capacity of the empty worker, whether it is in service or not.
 	FullCapacity
-	viewCount
+	capacityViewCount
 )
 
 // Worker is the capacity of one worker. Its fields are changed through Fleet.Update.
@@ -55,8 +55,8 @@
 	// worker is not yet open for work outside of guarantees.
 	AwaitingReopen bool
 
-	avail   [viewCount]api.Resources
-	indexed bool
+	available [capacityViewCount]api.Resources
+	indexed   bool
 }
 
 // InService reports whether the worker may run work at all.
@@ -73,7 +73,7 @@
 }
 
 // Available returns what a view offers on the worker.
-func (w *Worker) Available(v CapacityView) api.Resources { return w.avail[v] }
+func (w *Worker) Available(v CapacityView) api.Resources { return w.available[v] }
 
 // Unused is the capacity that no group uses.
 func (w *Worker) Unused() api.Resources { return w.Capacity.Sub(w.Used) }
@@ -83,19 +83,19 @@
 	case FullCapacity:
 		return w.Capacity
 	case Preemptible, Restartable:
-		return w.reclaimable(v)
+		return w.computeReclaimable(v)
 	}
 	if !w.Schedulable() {
 		return api.Resources{}
 	}
-	free := positive(w.Unused().Sub(w.Claimed))
+	free := clampNegative(w.Unused().Sub(w.Claimed))
 	if v == Free {
 		return free
 	}
-	return MinResources(free, positive(w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)))
+	return MinResources(free, clampNegative(w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)))
 }
 
-func (w *Worker) reclaimable(v CapacityView) api.Resources {
+func (w *Worker) computeReclaimable(v CapacityView) api.Resources {
 	if !w.InService() || w.Probation {
 		return api.Resources{}
 	}
@@ -103,10 +103,10 @@
 	if v == Restartable {
 		kept = w.NonRestartable
 	}
-	return positive(w.Capacity.Sub(w.Reserved).Sub(kept))
+	return clampNegative(w.Capacity.Sub(w.Reserved).Sub(kept))
 }
 
-func positive(r api.Resources) api.Resources {
+func clampNegative(r api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: max(r.Accelerators, 0),
 		MilliCPU:     max(r.MilliCPU, 0),
@@ -114,7 +114,7 @@
 	}
 }
 
-func most(a, b api.Resources) api.Resources {
+func maxResources(a, b api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: max(a.Accelerators, b.Accelerators),
 		MilliCPU:     max(a.MilliCPU, b.MilliCPU),
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -11,8 +11,8 @@
 // tryGuaranteed starts a job within its profile's guarantee, where the least
 // work is lost for it.
 func (c *Core) tryGuaranteed(j *job) bool {
-	best := c.bestClaim(j, c.avoids(j))
-	if best.res == nil && len(j.avoid) > 0 {
+	best := c.bestClaim(j, c.excludedWorkers(j))
+	if best.res == nil && len(j.avoidedWorkers) > 0 {
 		best = c.relocate(j)
 	}
 	if best.res == nil {
@@ -29,7 +29,7 @@
 
 func (c *Core) bestClaim(j *job, avoid func(*fleet.Worker) bool) claim {
 	var best claim
-	for _, r := range c.slotsOf[j.rec.Job.Profile] {
+	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		cl, ok := c.claimIn(r, j, avoid)
 		if ok && (best.res == nil || cl.loss < best.loss) {
 			best = cl
@@ -41,7 +41,7 @@
 // relocate finds a claim for a job that has failed on the workers of its
 // profile's guarantees: it moves one of them or else goes there again.
 func (c *Core) relocate(j *job) claim {
-	for _, r := range c.slotsOf[j.rec.Job.Profile] {
+	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		if !r.placed() || !r.unused() {
 			continue
 		}
@@ -49,7 +49,7 @@
 			return cl
 		}
 	}
-	return c.bestClaim(j, excludesProbes(j))
+	return c.bestClaim(j, excludesProbation(j))
 }
 
 func (c *Core) claimIn(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
@@ -73,19 +73,19 @@
 	}
 	// A guarantee goes before the places kept for gangs that wait.
 	c.dropAllWaiting()
-	q := c.request(j, fleet.Restartable)
+	q := c.placementRequest(j, fleet.Restartable)
 	q.Gang = r.gang
 	whole := &job{rec: j.rec, perTask: r.gang.PerTask}
 	best, ok := c.cheapest(whole, q, victimRule{firm: true})
 	if !ok {
-		return c.displace(r, j)
+		return c.placeByDisplacing(r, j)
 	}
 	c.place(r, best.parts)
 	for _, v := range best.victims {
-		c.notice(v, "", ReasonReclaimed, j.id())
-		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaimed)
+		c.emitNotice(v, "", ReasonReclaimed, j.id())
+		c.preempt(v, min(c.claimGrace(j), checkpointGrace(v)), ReasonReclaimed)
 	}
-	cl, ok := c.claimIn(r, j, c.avoids(j))
+	cl, ok := c.claimIn(r, j, c.excludedWorkers(j))
 	if ok {
 		c.claim(j, cl, c.claimGrace(j))
 	}
@@ -93,7 +93,7 @@
 }
 
 func (c *Core) missingSlot(j *job) *reservation {
-	for _, r := range c.slotsOf[j.rec.Job.Profile] {
+	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		fits := j.rec.Job.Gang.Tasks <= r.gang.Tasks && j.perTask.Fits(r.gang.PerTask)
 		if !r.placed() && fits {
 			return r
@@ -104,7 +104,7 @@
 
 // moveSlot moves an unused guarantee to other capacity that suits the job.
 func (c *Core) moveSlot(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
-	q := c.request(j, v)
+	q := c.placementRequest(j, v)
 	q.Gang = r.gang
 	parts := placement.Find(c.fleet, q)
 	if parts == nil {
@@ -112,7 +112,7 @@
 	}
 	c.lift(r)
 	c.place(r, parts)
-	return c.claimIn(r, j, c.avoids(j))
+	return c.claimIn(r, j, c.excludedWorkers(j))
 }
 
 func (r *reservation) rooms() []placement.Candidate {
@@ -127,7 +127,7 @@
 
 // slotOpen reports whether a guarantee of the profile has capacity for a task.
 func (c *Core) slotOpen(profile string, perTask api.Resources) bool {
-	for _, r := range c.slotsOf[profile] {
+	for _, r := range c.guaranteesOf[profile] {
 		for _, s := range r.shares {
 			if perTask.Fits(s.amount.Sub(s.used)) {
 				return true
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -34,7 +34,7 @@
 	if w.Quarantined {
 		return
 	}
-	if len(j.avoid) > 1 && !workerFault {
+	if len(j.avoidedWorkers) > 1 && !workerFault {
 		c.clearStrikes(j)
 		return
 	}
@@ -53,10 +53,10 @@
 // quarantine keeps work from a worker. The failures there do not count against
 // the jobs.
 func (c *Core) quarantine(w *worker) {
-	c.notice(nil, w.Name, ReasonQuarantine, "")
+	c.emitNotice(nil, w.Name, ReasonQuarantine, "")
 	for _, s := range w.strikes {
 		if j := c.jobs[s.jobID]; j != nil {
-			j.failedOn = without(j.failedOn, w.Name)
+			j.failedWorkers = without(j.failedWorkers, w.Name)
 		}
 	}
 	w.strikes = nil
@@ -64,7 +64,7 @@
 		f.Quarantined = true
 		f.Probation = false
 	})
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	c.dropClaimsOn(w)
 	wait := min(probeAfter<<min(w.probes, 6), probeAfterMax)
 	w.probes++
@@ -81,24 +81,24 @@
 	if !w.Probation || len(w.groups) > 0 {
 		return
 	}
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	c.update(w, func(f *fleet.Worker) { f.Probation = false })
 }
 
 // forgiveWorkers lets a job try the workers again on which it failed, once it
 // has no other place.
 func (c *Core) forgiveWorkers(j *job) {
-	if len(j.avoid) == 0 {
+	if len(j.avoidedWorkers) == 0 {
 		return
 	}
 	elsewhere := placement.Request{Gang: j.gang(), View: fleet.FullCapacity, Exclude: func(w *fleet.Worker) bool {
-		return slices.Contains(j.avoid, w.Name)
+		return slices.Contains(j.avoidedWorkers, w.Name)
 	}}
 	if placement.Find(c.fleet, elsewhere) != nil {
 		return
 	}
 	c.queue.remove(j)
-	j.avoid = nil
+	j.avoidedWorkers = nil
 	c.queue.add(j)
 }
 
@@ -108,14 +108,14 @@
 		return
 	}
 	w.probes = 0
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	c.update(w, func(f *fleet.Worker) { f.Probation = false })
 }
 
 // clearStrikes takes back what a job that fails everywhere has done to the
 // standing of workers.
 func (c *Core) clearStrikes(j *job) {
-	for _, name := range j.avoid {
+	for _, name := range j.avoidedWorkers {
 		w := c.workers[name]
 		var rest []strike
 		for _, s := range w.strikes {
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -33,36 +33,36 @@
 	// attempt is the highest attempt number seen.
 	attempt uint32
 	groups  []*group
-	// lost counts live groups whose worker's link is down.
-	lost int
+	// unlinkedGroups counts live groups whose worker's link is down.
+	unlinkedGroups int
 	// adopting is true until all members of a taken over attempt have reported.
 	adopting bool
 	// started says that a start of the current attempt may have happened.
 	started bool
 	// everStarted says so of any attempt.
 	everStarted bool
-	// aborted says that the attempt ended while its row was being written.
-	aborted bool
-	// verdict is the outcome after the attempt has ended; empty to try again.
-	verdict       api.Outcome
-	verdictDetail string
-
-	perTask    api.Resources // declared or learned
-	moves      Reason        // why the current attempt is being ended for another one
-	firm       bool
-	reserved   *reservation // the reservation that the attempt uses
-	waiting    *reservation // the reservation made for the waiting gang
-	queuedAt   time.Duration
-	startedAt  time.Duration
-	reviewedAt time.Duration
-	mayEvict   bool // a large preemptible gang that has waited may try to evict once
-	ranFor     time.Duration
-	holdFails  int
-	failures   int
-	failedOn   []string
-	avoid      []string
-	deadlineOn bool
-	moving     bool // waits to leave a zone that is out or a worker that leaves
+	// abortedWhileSaving says that the attempt ended while its row was being written.
+	abortedWhileSaving bool
+	// finalOutcome is the outcome after the attempt has ended; empty to try again.
+	finalOutcome api.Outcome
+	finalDetail  string
+
+	perTask            api.Resources // declared or learned
+	endReason          Reason        // why the current attempt is being ended for another one
+	nonPreemptible     bool
+	reservation        *reservation // the reservation that the attempt uses
+	waitingReservation *reservation // the reservation made for the waiting gang
+	queuedAt           time.Duration
+	startedAt          time.Duration
+	lastReview         time.Duration
+	mayPreempt         bool // a large preemptible gang that has waited may try to evict once
+	earlierRunTime     time.Duration
+	holdFailures       int
+	failures           int
+	failedWorkers      []string
+	avoidedWorkers     []string
+	deadlineTimerSet   bool
+	movePending        bool // waits to leave a zone that is out or a worker that leaves
 }
 
 type groupState string
@@ -75,7 +75,7 @@
 	groupRunning  groupState = "running"
 	groupUnknown  groupState = "unknown" // taken over, not reported yet
 	groupDone     groupState = "done"
-	groupGone     groupState = "gone"
+	groupEnded    groupState = "gone"
 )
 
 // group is the tasks of one attempt on one worker.
@@ -86,31 +86,31 @@
 	worker    *worker
 	firstTask int
 	tasks     int
-	amount    api.Resources
+	resources api.Resources
 	state     groupState
-	// ending is set once a Stop is sent; detached once the job has left the attempt.
-	ending   bool
+	// stopping is set once a Stop is sent; detached once the job has left the attempt.
+	stopping bool
 	detached bool
-	// unstarted is set when the agent says that it has started no task of the
+	// neverStarted is set when the agent says that it has started no task of the
 	// group and never will.
-	unstarted bool
-	firm      bool
-	fixed     bool
-	share     *share
-
-	leaseUntil time.Duration
-	progress   time.Duration
-	saved      time.Duration // progress at the last checkpoint
-	outgrown   int           // reports in a row above the declared size
-	result     json.RawMessage
+	neverStarted   bool
+	nonPreemptible bool
+	nonRestartable bool
+	reservedPart   *share
+
+	leaseUntil      time.Duration
+	progress        time.Duration
+	checkpointed    time.Duration // progress at the last checkpoint
+	oversizeReports int           // reports in a row above the declared size
+	result          json.RawMessage
 }
 
-func (g *group) live() bool { return g.state != groupDone && g.state != groupGone }
+func (g *group) live() bool { return g.state != groupDone && g.state != groupEnded }
 
-// unstarted reports whether the agents of all members have said that they have
+// neverStarted reports whether the agents of all members have said that they have
 // started nothing of the attempt.
-func (j *job) unstarted() bool {
-	return len(j.groups) > 0 && !slices.ContainsFunc(j.groups, func(g *group) bool { return !g.unstarted })
+func (j *job) neverStarted() bool {
+	return len(j.groups) > 0 && !slices.ContainsFunc(j.groups, func(g *group) bool { return !g.neverStarted })
 }
 
 func (j *job) id() string { return j.rec.Job.ID }
@@ -121,9 +121,9 @@
 	return shape
 }
 
-func (j *job) total() api.Resources { return j.perTask.Times(j.rec.Job.Gang.Tasks) }
+func (j *job) totalResources() api.Resources { return j.perTask.Times(j.rec.Job.Gang.Tasks) }
 
-func (j *job) all(state groupState) bool {
+func (j *job) allGroupsIn(state groupState) bool {
 	for _, g := range j.groups {
 		if g.state != state {
 			return false
@@ -132,25 +132,25 @@
 	return len(j.groups) > 0
 }
 
-func (j *job) anyLive() bool {
+func (j *job) hasLiveGroup() bool {
 	return slices.ContainsFunc(j.groups, (*group).live)
 }
 
-// movable reports whether the job may be stopped and run again elsewhere.
-func (j *job) movable() bool { return j.rec.Job.Idempotent }
+// restartable reports whether the job may be stopped and run again elsewhere.
+func (j *job) restartable() bool { return j.rec.Job.Idempotent }
 
 // preemptible reports whether the job runs on lent capacity.
-func (j *job) preemptible() bool { return !j.firm && j.reserved == nil && j.movable() }
+func (j *job) preemptible() bool { return !j.nonPreemptible && j.reservation == nil && j.restartable() }
 
-// loss is the work in accelerator time that stopping the job now would lose.
-func (j *job) loss(now time.Duration) time.Duration {
+// lostWork is the work in accelerator time that stopping the job now would lose.
+func (j *job) lostWork(now time.Duration) time.Duration {
 	if !j.started {
 		return 0
 	}
 	var sum time.Duration
 	weight := time.Duration(max(1, j.perTask.Accelerators))
 	for _, g := range j.groups {
-		part := now - j.startedAt - g.saved
+		part := now - j.startedAt - g.checkpointed
 		if j.rec.Job.Checkpointable {
 			part = min(part, CheckpointGrace)
 		}
@@ -165,7 +165,7 @@
 	return strconv.Itoa(first) + "+" + strconv.Itoa(tasks)
 }
 
-func parseRange(key string) (first, tasks int, ok bool) {
+func parseCheckpointRange(key string) (first, tasks int, ok bool) {
 	a, b, found := strings.Cut(key, "+")
 	first, errA := strconv.Atoi(a)
 	tasks, errB := strconv.Atoi(b)
@@ -176,7 +176,7 @@
 func (j *job) setCheckpoint(first, tasks int, key string) {
 	next := map[string]string{}
 	for k, v := range j.rec.Checkpoints {
-		f, n, ok := parseRange(k)
+		f, n, ok := parseCheckpointRange(k)
 		inside := ok && f >= first && f+n <= first+tasks
 		if !inside {
 			next[k] = v
@@ -194,7 +194,7 @@
 	}
 	var ranges []string
 	for k := range j.rec.Checkpoints {
-		f, n, ok := parseRange(k)
+		f, n, ok := parseCheckpointRange(k)
 		if ok && f < first+tasks && first < f+n {
 			ranges = append(ranges, k)
 		}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -43,19 +43,19 @@
 
 // watchDeadline answers a job that is still queued at its deadline.
 func (c *Core) watchDeadline(j *job) {
-	if j.deadlineOn || j.rec.Job.Deadline.IsZero() {
+	if j.deadlineTimerSet || j.rec.Job.Deadline.IsZero() {
 		return
 	}
-	j.deadlineOn = true
+	j.deadlineTimerSet = true
 	c.timers.add(j.rec.Job.Deadline.Sub(c.cfg.TermStart), func() { c.deadline(j) })
 }
 
 func (c *Core) deadline(j *job) {
-	j.deadlineOn = false
+	j.deadlineTimerSet = false
 	if j.phase != phaseQueued && j.phase != phaseBackoff && j.phase != phaseClaiming {
 		return
 	}
-	c.notice(j, "", ReasonDeadline, "")
+	c.emitNotice(j, "", ReasonDeadline, "")
 	if j.everStarted {
 		c.leaveQueue(j)
 		c.finish(j, api.OutcomeFailed, "the deadline passed before the job could run again")
@@ -80,7 +80,7 @@
 		return
 	}
 	j.rec.CancelAsked = true
-	c.notice(j, "", ReasonCancelled, "")
+	c.emitNotice(j, "", ReasonCancelled, "")
 	switch j.phase {
 	case phaseQueued, phaseBackoff, phaseClaiming:
 		c.leaveQueue(j)
@@ -91,7 +91,7 @@
 	case phaseSaving:
 		c.abortSaving(j, "cancelled")
 	case phaseRunning:
-		c.end(j, 0, ReasonCancelled)
+		c.endAttempt(j, 0, ReasonCancelled)
 	}
 }
 
@@ -101,12 +101,12 @@
 	j.rec.State = api.JobFinal
 	j.rec.Outcome = outcome
 	j.rec.Detail = detail
-	j.rec.Finished = c.wall()
+	j.rec.Finished = c.wallTime()
 	j.rec.Results = nil
 	if outcome == api.OutcomeDone {
 		j.rec.Results = results(j)
 	}
-	c.learnRun(j)
+	c.learnRunTime(j)
 	c.emit(Save{j.rec})
 }
 
@@ -136,7 +136,7 @@
 	case j.phase == phaseRequeue && e.State == api.JobQueued:
 		c.savedQueued(j, e.Failed)
 	case j.phase == phaseSaving && e.State == api.JobRunning && e.Attempt == j.attempt:
-		c.savedAttempt(j, e.Failed)
+		c.attemptSaved(j, e.Failed)
 	}
 }
 
@@ -176,10 +176,10 @@
 // requeue brings a job back after an attempt whose groups have all ended. The
 // row is written first when it holds something that a takeover must not lose.
 func (c *Core) requeue(j *job) {
-	durable := !j.movable() || len(j.rec.Checkpoints) > 0
+	durable := !j.restartable() || len(j.rec.Checkpoints) > 0
 	j.groups = nil
 	j.started = false
-	j.aborted = false
+	j.abortedWhileSaving = false
 	j.rec.State = api.JobQueued
 	j.rec.Placements = nil
 	if !durable {
@@ -193,8 +193,8 @@
 // backoff queues a job again after a while that grows with each failure.
 func (c *Core) backoff(j *job) {
 	j.phase = phaseBackoff
-	wait := min(holdRetryMin<<min(j.holdFails, 8), holdRetryMax)
-	j.holdFails++
+	wait := min(holdRetryMin<<min(j.holdFailures, 8), holdRetryMax)
+	j.holdFailures++
 	c.after(wait, func() {
 		if j.phase == phaseBackoff {
 			c.enqueue(j)
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -146,7 +146,7 @@
 			t.Fatalf("%s is forgotten", id)
 		}
 	}
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.workerList {
 		m.checkWorker(t, w)
 	}
 	m.checkAnswers(t)
@@ -159,16 +159,16 @@
 	var used, firm, claimed, certain api.Resources
 	for _, g := range w.groups {
 		if g.state == groupClaimed {
-			claimed = claimed.Add(g.amount)
+			claimed = claimed.Add(g.resources)
 		} else {
-			used = used.Add(g.amount)
+			used = used.Add(g.resources)
 		}
 		// A row that was taken over may name workers that its gang has left.
 		if g.state != groupUnknown && g.state != groupClaimed {
-			certain = certain.Add(g.amount)
+			certain = certain.Add(g.resources)
 		}
-		if g.firm && !g.ending {
-			firm = firm.Add(g.amount)
+		if g.nonPreemptible && !g.stopping {
+			firm = firm.Add(g.resources)
 		}
 	}
 	if used != w.Used || claimed != w.Claimed {
@@ -178,7 +178,7 @@
 		t.Fatalf("%s: %+v used of %+v", w.Name, certain, w.Capacity)
 	}
 	var reserved api.Resources
-	for _, r := range m.core.slots {
+	for _, r := range m.core.guarantees {
 		if s := r.shareOn(w); s != nil {
 			reserved = reserved.Add(s.amount)
 		}
@@ -258,14 +258,14 @@
 // guarantee if all work were stopped that may be.
 func (m *machine) feasible() bool {
 	var in []feasibility.Worker
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.workerList {
 		if !w.InService() || w.Probation || w.Paused {
 			continue
 		}
 		left := w.Capacity
 		for _, g := range w.groups {
-			if !g.job.movable() || g.ending {
-				left = left.Sub(g.amount)
+			if !g.job.restartable() || g.stopping {
+				left = left.Sub(g.resources)
 			}
 		}
 		in = append(in, feasibility.Worker{Name: w.Name, Zone: w.Zone, Rack: w.Rack.Label, Capacity: left})
@@ -429,7 +429,7 @@
 			t.Fatalf("%s is not answered: %+v\n%+v", id, *m.core.jobs[id], m.core.Dump())
 		}
 	}
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.workerList {
 		if len(w.groups) > 0 {
 			t.Fatalf("%s still has %d groups", w.Name, len(w.groups))
 		}
@@ -449,7 +449,7 @@
 	var out []string
 	for _, g := range w.groups {
 		out = append(out, fmt.Sprintf("%s/%d %s %s %+v firm %v fixed %v ending %v detached %v shared %v",
-			g.job.id(), g.attempt, g.job.phase, g.state, g.amount, g.firm, g.fixed, g.ending, g.detached, g.share != nil))
+			g.job.id(), g.attempt, g.job.phase, g.state, g.resources, g.nonPreemptible, g.nonRestartable, g.stopping, g.detached, g.reservedPart != nil))
 	}
 	return strings.Join(out, "\n")
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,9 +8,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// try begins an attempt of a queued job if it has a place. After a failure the
+// tryStart begins an attempt of a queued job if it has a place. After a failure the
 // job's class waits for a change.
-func (c *Core) try(j *job) bool {
+func (c *Core) tryStart(j *job) bool {
 	p, ok := c.config.Profiles[j.rec.Job.Profile]
 	if !ok {
 		return false
@@ -31,14 +31,14 @@
 	if p.QuotaAccelerators == 0 {
 		return true
 	}
-	return j.account.used.Accelerators+j.total().Accelerators <= p.QuotaAccelerators
+	return j.account.used.Accelerators+j.totalResources().Accelerators <= p.QuotaAccelerators
 }
 
 // tryFree uses free capacity: any for preemptible work, that outside of
 // reservations for other work.
 func (c *Core) tryFree(j *job) bool {
 	lent := c.lent(j)
-	q := c.request(j, fleet.Unreserved)
+	q := c.placementRequest(j, fleet.Unreserved)
 	if lent {
 		q.View = fleet.Free
 	}
@@ -50,21 +50,21 @@
 		j.class.since = c.fleet.Generation()
 		return false
 	}
-	c.begin(j, parts, !lent)
+	c.beginAttempt(j, parts, !lent)
 	return true
 }
 
-func (c *Core) request(j *job, v fleet.CapacityView) placement.Request {
-	return placement.Request{Gang: j.gang(), View: v, Exclude: c.avoids(j)}
+func (c *Core) placementRequest(j *job, v fleet.CapacityView) placement.Request {
+	return placement.Request{Gang: j.gang(), View: v, Exclude: c.excludedWorkers(j)}
 }
 
-// avoids returns the workers that a job must not use: those on which it has
+// excludedWorkers returns the workers that a job must not use: those on which it has
 // failed and, unless it may run twice, those that need a probe.
-func (c *Core) avoids(j *job) func(*fleet.Worker) bool {
-	probe := excludesProbes(j)
-	return func(w *fleet.Worker) bool { return w.Paused || probe(w) || slices.Contains(j.avoid, w.Name) }
+func (c *Core) excludedWorkers(j *job) func(*fleet.Worker) bool {
+	probe := excludesProbation(j)
+	return func(w *fleet.Worker) bool { return w.Paused || probe(w) || slices.Contains(j.avoidedWorkers, w.Name) }
 }
 
-func excludesProbes(j *job) func(*fleet.Worker) bool {
-	return func(w *fleet.Worker) bool { return w.Probation && !j.movable() }
+func excludesProbation(j *job) func(*fleet.Worker) bool {
+	return func(w *fleet.Worker) bool { return w.Probation && !j.restartable() }
 }
--- a/internal/sched/placement/placement.go
+++ b/internal/sched/placement/placement.go
@@ -40,54 +40,54 @@
 	}
 	switch q.Gang.Adjacency {
 	case api.AdjacentWorker:
-		return findWorker(f, q)
+		return findInWorker(f, q)
 	case api.AdjacentRack:
-		return findRack(f, q)
+		return findInRack(f, q)
 	}
-	return findZone(f, q)
+	return findInZone(f, q)
 }
 
-func (q *Request) room(w *fleet.Worker) api.Resources {
+func (q *Request) available(w *fleet.Worker) api.Resources {
 	if q.Exclude != nil && q.Exclude(w) {
 		return api.Resources{}
 	}
 	return w.Available(q.View)
 }
 
-// indexed reports whether the indexes by free capacity bound the view.
-func (q *Request) indexed() bool { return q.View == fleet.Free || q.View == fleet.Unreserved }
+// usesIndex reports whether the indexes by free capacity bound the view.
+func (q *Request) usesIndex() bool { return q.View == fleet.Free || q.View == fleet.Unreserved }
 
-func findWorker(f *fleet.Fleet, q Request) []Assignment {
+func findInWorker(f *fleet.Fleet, q Request) []Assignment {
 	need := q.Gang.PerTask.Times(q.Gang.Tasks)
 	var best *fleet.Worker
-	if q.GainedSince == 0 && q.indexed() {
+	if q.GainedSince == 0 && q.usesIndex() {
 		f.BestFit(need, func(w *fleet.Worker) bool {
-			if need.Fits(q.room(w)) {
+			if need.Fits(q.available(w)) {
 				best = w
 			}
 			return best == nil
 		})
-		return whole(best, q.Gang.Tasks)
+		return onOneWorker(best, q.Gang.Tasks)
 	}
 	eachRack(f, q, need, func(r *fleet.Rack) bool {
 		for _, w := range r.Workers {
-			if need.Fits(q.room(w)) && (best == nil || tighter(w, best, q.View)) {
+			if need.Fits(q.available(w)) && (best == nil || tighterWorker(w, best, q.View)) {
 				best = w
 			}
 		}
 		return true
 	})
-	return whole(best, q.Gang.Tasks)
+	return onOneWorker(best, q.Gang.Tasks)
 }
 
-func whole(w *fleet.Worker, tasks int) []Assignment {
+func onOneWorker(w *fleet.Worker, tasks int) []Assignment {
 	if w == nil {
 		return nil
 	}
 	return []Assignment{{Worker: w, Tasks: tasks}}
 }
 
-func tighter(a, b *fleet.Worker, v fleet.CapacityView) bool {
+func tighterWorker(a, b *fleet.Worker, v fleet.CapacityView) bool {
 	x, y := a.Available(v), b.Available(v)
 	return cmp.Or(
 		cmp.Compare(x.Accelerators, y.Accelerators),
@@ -108,7 +108,7 @@
 		f.RacksGainedSince(q.GainedSince, filtered)
 		return
 	}
-	if q.indexed() {
+	if q.usesIndex() {
 		f.RacksByFree(need, filtered)
 		return
 	}
@@ -121,60 +121,60 @@
 	}
 }
 
-func findRack(f *fleet.Fleet, q Request) []Assignment {
+func findInRack(f *fleet.Fleet, q Request) []Assignment {
 	need := q.Gang.PerTask.Times(q.Gang.Tasks)
 	var best []Assignment
 	var bestRack *fleet.Rack
 	eachRack(f, q, need, func(r *fleet.Rack) bool {
-		if bestRack != nil && !fullerRack(r, bestRack, q.View) {
+		if bestRack != nil && !tighterRack(r, bestRack, q.View) {
 			return true
 		}
-		parts := Pack(rooms(r.Workers, &q), q.Gang)
+		parts := Pack(candidates(r.Workers, &q), q.Gang)
 		if parts != nil {
 			best, bestRack = parts, r
 		}
 		// The index visits racks from the tightest fit on.
-		return best == nil || q.GainedSince > 0 || !q.indexed()
+		return best == nil || q.GainedSince > 0 || !q.usesIndex()
 	})
 	return best
 }
 
-func fullerRack(a, b *fleet.Rack, v fleet.CapacityView) bool {
+func tighterRack(a, b *fleet.Rack, v fleet.CapacityView) bool {
 	return cmp.Or(
 		cmp.Compare(a.Total[v].Accelerators, b.Total[v].Accelerators),
 		cmp.Compare(a.Total[v].MilliCPU, b.Total[v].MilliCPU),
 		cmp.Compare(a.Name, b.Name)) < 0
 }
 
-func rooms(workers []*fleet.Worker, q *Request) []Candidate {
+func candidates(workers []*fleet.Worker, q *Request) []Candidate {
 	out := make([]Candidate, 0, len(workers))
 	for _, w := range workers {
-		if avail := q.room(w); q.Gang.PerTask.Fits(avail) {
+		if avail := q.available(w); q.Gang.PerTask.Fits(avail) {
 			out = append(out, Candidate{w, avail})
 		}
 	}
 	return out
 }
 
-func findZone(f *fleet.Fleet, q Request) []Assignment {
+func findInZone(f *fleet.Fleet, q Request) []Assignment {
 	// One rack is the better place for a gang that may spread over a zone.
-	if parts := findRack(f, q); parts != nil {
+	if parts := findInRack(f, q); parts != nil {
 		return parts
 	}
 	need := q.Gang.PerTask.Times(q.Gang.Tasks)
-	for _, z := range zonesToTry(f, q) {
+	for _, z := range candidateZones(f, q) {
 		if !need.Fits(f.ZoneTotal(z, q.View)) {
 			continue
 		}
-		if parts := packZone(f, z, q); parts != nil {
+		if parts := packInZone(f, z, q); parts != nil {
 			return parts
 		}
 	}
 	return nil
 }
 
-// zonesToTry returns the zones from the one with the least room on.
-func zonesToTry(f *fleet.Fleet, q Request) []string {
+// candidateZones returns the zones from the one with the least room on.
+func candidateZones(f *fleet.Fleet, q Request) []string {
 	var zones []string
 	if q.GainedSince == 0 {
 		zones = slices.Clone(f.Zones())
@@ -194,8 +194,8 @@
 	return zones
 }
 
-// packZone spreads a gang over as few racks of the zone as it can.
-func packZone(f *fleet.Fleet, zone string, q Request) []Assignment {
+// packInZone spreads a gang over as few racks of the zone as it can.
+func packInZone(f *fleet.Fleet, zone string, q Request) []Assignment {
 	type rackRoom struct {
 		rooms []Candidate
 		tasks int
@@ -206,7 +206,7 @@
 		if !q.Gang.PerTask.Fits(r.Total[q.View]) {
 			continue
 		}
-		rs := rooms(r.Workers, &q)
+		rs := candidates(r.Workers, &q)
 		n := 0
 		for _, room := range rs {
 			n += TasksThatFit(room.Available, q.Gang.PerTask)
@@ -230,7 +230,7 @@
 			}
 		}
 		take := min(left, racks[pick].tasks)
-		parts = append(parts, fill(racks[pick].rooms, q.Gang.PerTask, take)...)
+		parts = append(parts, assign(racks[pick].rooms, q.Gang.PerTask, take)...)
 		racks = slices.Delete(racks, pick, pick+1)
 		left -= take
 	}
@@ -241,7 +241,7 @@
 // unless the gang must share one worker. It returns nil if the gang does not fit.
 func Pack(in []Candidate, gang api.Shape) []Assignment {
 	if gang.Adjacency == api.AdjacentWorker {
-		return packOne(in, gang)
+		return packOnOneWorker(in, gang)
 	}
 	total := 0
 	for _, r := range in {
@@ -250,10 +250,10 @@
 	if total < gang.Tasks {
 		return nil
 	}
-	return fill(in, gang.PerTask, gang.Tasks)
+	return assign(in, gang.PerTask, gang.Tasks)
 }
 
-func packOne(in []Candidate, gang api.Shape) []Assignment {
+func packOnOneWorker(in []Candidate, gang api.Shape) []Assignment {
 	var best *Candidate
 	for i := range in {
 		n := TasksThatFit(in[i].Available, gang.PerTask)
@@ -264,12 +264,12 @@
 	if best == nil {
 		return nil
 	}
-	return whole(best.Worker, gang.Tasks)
+	return onOneWorker(best.Worker, gang.Tasks)
 }
 
-// fill uses the largest rooms first and the tightest one for the rest. The
+// assign uses the largest rooms first and the tightest one for the rest. The
 // rooms hold at least the given number of tasks.
-func fill(in []Candidate, perTask api.Resources, tasks int) []Assignment {
+func assign(in []Candidate, perTask api.Resources, tasks int) []Assignment {
 	type slot struct {
 		worker *fleet.Worker
 		tasks  int
@@ -329,7 +329,7 @@
 			if !need.Fits(f.ZoneTotal(z, q.View)) {
 				continue
 			}
-			parts := packZone(f, z, q)
+			parts := packInZone(f, z, q)
 			if parts != nil && !visit(parts) {
 				return
 			}
@@ -338,11 +338,11 @@
 	}
 	eachRack(f, q, need, func(r *fleet.Rack) bool {
 		if q.Gang.Adjacency == api.AdjacentRack {
-			parts := Pack(rooms(r.Workers, &q), q.Gang)
+			parts := Pack(candidates(r.Workers, &q), q.Gang)
 			return parts == nil || visit(parts)
 		}
 		for _, w := range r.Workers {
-			if need.Fits(q.room(w)) && !visit(whole(w, q.Gang.Tasks)) {
+			if need.Fits(q.available(w)) && !visit(onOneWorker(w, q.Gang.Tasks)) {
 				return false
 			}
 		}
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -54,7 +54,7 @@
 
 func keyOf(j *job) classKey {
 	key := classKey{j.rec.Job.Profile, j.gang(), j.rec.Job.Idempotent, j.rec.Job.Checkpointable, ""}
-	if len(j.avoid) > 0 {
+	if len(j.avoidedWorkers) > 0 {
 		key.jobID = j.id()
 	}
 	return key
@@ -150,7 +150,7 @@
 func (c *Core) serve(ready *classHeap) {
 	cl := (*ready)[0]
 	j := cl.head()
-	if !c.try(j) {
+	if !c.tryStart(j) {
 		cl.failed = true
 		cl.sinceAccount = cl.account.gen
 		heap.Pop(ready)
@@ -176,7 +176,7 @@
 		cl.rank = rankUrgent
 	case c.slotOpen(cl.key.profile, cl.key.gang.PerTask):
 		cl.rank = rankGuaranteed
-	case cl.head().waiting != nil:
+	case cl.head().waitingReservation != nil:
 		cl.rank = rankReserved
 	default:
 		cl.rank = rankOther
@@ -220,17 +220,17 @@
 }
 
 func (a *account) add(g *group) {
-	a.used = a.used.Add(g.amount)
-	if g.share == nil {
-		a.surplus = a.surplus.Add(g.amount)
+	a.used = a.used.Add(g.resources)
+	if g.reservedPart == nil {
+		a.surplus = a.surplus.Add(g.resources)
 	}
 }
 
 func (a *account) sub(g *group) {
 	a.gen++
-	a.used = a.used.Sub(g.amount)
-	if g.share == nil {
-		a.surplus = a.surplus.Sub(g.amount)
+	a.used = a.used.Sub(g.resources)
+	if g.reservedPart == nil {
+		a.surplus = a.surplus.Sub(g.resources)
 	}
 }
 
@@ -262,7 +262,7 @@
 
 // refuseQueued answers a queued job that can not go on.
 func (c *Core) refuseQueued(j *job, why Reason, detail string) {
-	c.notice(j, "", why, detail)
+	c.emitNotice(j, "", why, detail)
 	c.leaveQueue(j)
 	if j.everStarted {
 		c.finish(j, api.OutcomeFailed, detail)
--- a/internal/sched/renew.go
+++ b/internal/sched/renew.go
@@ -9,15 +9,15 @@
 const startResend = time.Second
 
 func (c *Core) renewDue() {
-	last := c.renewed
-	c.renewed = int64(c.now / TickInterval)
-	if !c.authority.Owner {
+	last := c.lastRenewTick
+	c.lastRenewTick = int64(c.now / TickInterval)
+	if !c.ownership.Owner {
 		return
 	}
-	from := max(last+1, c.renewed-renewBuckets+1)
-	for tick := from; tick <= c.renewed; tick++ {
-		for i := int(tick % renewBuckets); i < len(c.ordered); i += int(renewBuckets) {
-			c.renewWorker(c.ordered[i])
+	from := max(last+1, c.lastRenewTick-renewBuckets+1)
+	for tick := from; tick <= c.lastRenewTick; tick++ {
+		for i := int(tick % renewBuckets); i < len(c.workerList); i += int(renewBuckets) {
+			c.renewWorker(c.workerList[i])
 		}
 	}
 }
@@ -47,7 +47,7 @@
 		return
 	}
 	if g.worker.ZoneOut {
-		c.broken(g, ReasonZoneOut)
+		c.groupLost(g, ReasonZoneOut)
 		return
 	}
 	c.startGroup(g)
@@ -56,12 +56,12 @@
 // renewable reports whether a group's lease may be extended: those of a gang
 // are for all members or for none.
 func renewable(g *group) bool {
-	if g.ending || g.detached {
+	if g.stopping || g.detached {
 		return false
 	}
 	j := g.job
 	if j.phase == phaseSaving {
-		return j.lost == 0 && !j.aborted
+		return j.unlinkedGroups == 0 && !j.abortedWhileSaving
 	}
-	return j.phase == phaseRunning && (j.lost == 0 || j.adopting)
+	return j.phase == phaseRunning && (j.unlinkedGroups == 0 || j.adopting)
 }
--- a/internal/sched/reports.go
+++ b/internal/sched/reports.go
@@ -7,36 +7,36 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// report takes in the state of a group from its worker's agent.
-func (c *Core) report(r GroupReport) {
+// handleReport takes in the state of a group from its worker's agent.
+func (c *Core) handleReport(r GroupReport) {
 	w := c.workers[r.Worker]
 	if w == nil || c.keepEarly(r) {
 		return
 	}
 	g := w.find(r.JobID, r.Attempt)
 	if g == nil {
-		c.strayReport(r)
+		c.handleStrayReport(r)
 		return
 	}
 	switch r.State {
 	case GroupHeld:
-		c.reportHeld(g)
+		c.handleHeld(g)
 	case GroupRefused:
-		c.reportRefused(g, r)
+		c.handleRefused(g, r)
 	case GroupRunning:
-		c.reportRunning(g, r)
+		c.handleRunning(g, r)
 	case GroupDone:
-		c.reportDone(g, r)
+		c.handleDone(g, r)
 	case GroupFailed:
-		c.reportFailed(g, r)
+		c.handleFailed(g, r)
 	case GroupCheckpointed, GroupStopped, GroupAbsent:
-		c.reportEnded(g, r)
+		c.handleEnded(g, r)
 	}
 }
 
-// strayReport answers the report of a group that is of no use any more, such
+// handleStrayReport answers the report of a group that is of no use any more, such
 // as one of an attempt that another owner began or whose lease had lapsed.
-func (c *Core) strayReport(r GroupReport) {
+func (c *Core) handleStrayReport(r GroupReport) {
 	if j := c.jobs[r.JobID]; j != nil {
 		j.attempt = max(j.attempt, r.Attempt)
 	}
@@ -45,86 +45,86 @@
 	case GroupHeld, GroupRunning:
 		c.stopStray(w, ref)
 	case GroupDone:
-		c.emitStrayStop(w, ref)
+		c.sendStrayStop(w, ref)
 	default:
 		c.strayEnded(w, ref)
 	}
 }
 
-// stray is a group of no attempt that the core knows. What it uses is not in
+// strayGroup is a group of no attempt that the core knows. What it uses is not in
 // the books, so its worker is not chosen while it lives.
-type stray struct {
+type strayGroup struct {
 	ref   GroupRef
 	until time.Duration
 }
 
 func (c *Core) stopStray(w *worker, ref GroupRef) {
-	if !slices.ContainsFunc(w.strays, func(s stray) bool { return s.ref == ref }) {
-		w.strays = append(w.strays, stray{ref, c.now + GroupLease + c.cfg.LeaseMargin})
-		c.after(stopResend, func() { c.resendStrays(w) })
+	if !slices.ContainsFunc(w.strays, func(s strayGroup) bool { return s.ref == ref }) {
+		w.strays = append(w.strays, strayGroup{ref, c.now + GroupLease + c.cfg.LeaseMargin})
+		c.after(stopResendInterval, func() { c.resendStrayStops(w) })
 	}
-	c.pause(w, workerPause)
-	c.emitStrayStop(w, ref)
+	c.pause(w, holdFailurePause)
+	c.sendStrayStop(w, ref)
 }
 
-func (c *Core) emitStrayStop(w *worker, ref GroupRef) {
+func (c *Core) sendStrayStop(w *worker, ref GroupRef) {
 	c.emit(Stop{Worker: w.Name, JobID: ref.JobID, Attempt: ref.Attempt, Reason: "not the job's attempt"})
 }
 
-func (c *Core) resendStrays(w *worker) {
-	w.strays = slices.DeleteFunc(w.strays, func(s stray) bool { return s.until <= c.now })
+func (c *Core) resendStrayStops(w *worker) {
+	w.strays = slices.DeleteFunc(w.strays, func(s strayGroup) bool { return s.until <= c.now })
 	if len(w.strays) == 0 {
 		return
 	}
-	c.pause(w, workerPause)
+	c.pause(w, holdFailurePause)
 	for _, s := range w.strays {
 		if w.Linked {
-			c.emitStrayStop(w, s.ref)
+			c.sendStrayStop(w, s.ref)
 		}
 	}
-	c.after(stopResend, func() { c.resendStrays(w) })
+	c.after(stopResendInterval, func() { c.resendStrayStops(w) })
 }
 
 func (c *Core) strayEnded(w *worker, ref GroupRef) {
 	before := len(w.strays)
-	w.strays = slices.DeleteFunc(w.strays, func(s stray) bool { return s.ref == ref })
+	w.strays = slices.DeleteFunc(w.strays, func(s strayGroup) bool { return s.ref == ref })
 	if before > 0 && len(w.strays) == 0 {
 		c.unpause(w)
 	}
 }
 
-func (c *Core) reportHeld(g *group) {
+func (c *Core) handleHeld(g *group) {
 	switch {
-	case g.ending:
+	case g.stopping:
 	case g.state == groupHolding:
 		c.groupHeld(g)
 	case g.state == groupUnknown:
 		g.state = groupHeld
 		c.renewHeld(g)
 		c.adopted(g.job)
-	case g.state == groupStarting && c.authority.Owner && !g.worker.ZoneOut:
+	case g.state == groupStarting && c.ownership.Owner && !g.worker.ZoneOut:
 		c.startGroup(g)
 	}
 }
 
-func (c *Core) reportRefused(g *group, r GroupReport) {
-	g.unstarted = true
+func (c *Core) handleRefused(g *group, r GroupReport) {
+	g.neverStarted = true
 	why := ReasonHoldRefused
-	if g.state == groupHolding && !g.ending {
-		c.notice(g.job, g.worker.Name, why, r.Detail)
-		c.pause(g.worker, workerPause)
+	if g.state == groupHolding && !g.stopping {
+		c.emitNotice(g.job, g.worker.Name, why, r.Detail)
+		c.pause(g.worker, holdFailurePause)
 	}
-	c.gone(g, groupGone)
-	c.broken(g, why)
+	c.gone(g, groupEnded)
+	c.groupLost(g, why)
 }
 
-func (c *Core) reportRunning(g *group, r GroupReport) {
+func (c *Core) handleRunning(g *group, r GroupReport) {
 	g.progress = max(g.progress, r.Progress)
 	if r.Checkpoint != "" && !g.detached {
 		g.job.setCheckpoint(g.firstTask, g.tasks, r.Checkpoint)
-		g.saved = g.progress
+		g.checkpointed = g.progress
 	}
-	if g.ending {
+	if g.stopping {
 		return
 	}
 	switch g.state {
@@ -134,10 +134,10 @@
 	case groupStarting, groupHeld:
 		g.state = groupRunning
 	}
-	c.learnUsage(g, r.Usage)
+	c.handleUsage(g, r.Usage)
 }
 
-func (c *Core) reportDone(g *group, r GroupReport) {
+func (c *Core) handleDone(g *group, r GroupReport) {
 	g.result = r.Result
 	unknown := g.state == groupUnknown
 	c.gone(g, groupDone)
@@ -148,56 +148,56 @@
 	if unknown {
 		c.adopted(g.job)
 	}
-	c.settle(g.job)
+	c.concludeAttempt(g.job)
 }
 
-func (c *Core) reportEnded(g *group, r GroupReport) {
+func (c *Core) handleEnded(g *group, r GroupReport) {
 	if r.Checkpoint != "" && !g.detached {
 		g.job.setCheckpoint(g.firstTask, g.tasks, r.Checkpoint)
 	}
-	c.gone(g, groupGone)
-	c.broken(g, ReasonWorkerLost)
+	c.gone(g, groupEnded)
+	c.groupLost(g, ReasonWorkerLost)
 }
 
-// maxFailures is on how many good workers a job may fail before it is answered failed.
-const maxFailures = 3
+// maxFailedWorkers is on how many good workers a job may fail before it is answered failed.
+const maxFailedWorkers = 3
 
-func (c *Core) reportFailed(g *group, r GroupReport) {
-	c.gone(g, groupGone)
+func (c *Core) handleFailed(g *group, r GroupReport) {
+	c.gone(g, groupEnded)
 	j := g.job
 	if g.detached || (j.phase != phaseRunning && j.phase != phaseEnding) {
-		c.broken(g, ReasonTaskFailed)
+		c.groupLost(g, ReasonTaskFailed)
 		return
 	}
-	c.notice(j, g.worker.Name, ReasonTaskFailed, r.Detail)
-	j.avoid = appendNew(j.avoid, g.worker.Name)
+	c.emitNotice(j, g.worker.Name, ReasonTaskFailed, r.Detail)
+	j.avoidedWorkers = appendUnique(j.avoidedWorkers, g.worker.Name)
 	c.strike(g.worker, j, r.WorkerFault)
 	if !r.WorkerFault {
 		j.failures++
 	}
 	if !r.WorkerFault && !g.worker.Quarantined {
-		j.failedOn = appendNew(j.failedOn, g.worker.Name)
+		j.failedWorkers = appendUnique(j.failedWorkers, g.worker.Name)
 	}
-	if !j.movable() || len(j.failedOn) >= maxFailures || j.failures >= maxRetries {
-		j.verdict = api.OutcomeFailed
-		j.verdictDetail = r.Detail
+	if !j.restartable() || len(j.failedWorkers) >= maxFailedWorkers || j.failures >= maxRetries {
+		j.finalOutcome = api.OutcomeFailed
+		j.finalDetail = r.Detail
 		c.clearStrikes(j)
 	}
 	if j.phase == phaseEnding {
-		c.settle(j)
+		c.concludeAttempt(j)
 		return
 	}
-	c.end(j, failureGrace(j), ReasonTaskFailed)
+	c.endAttempt(j, failureGrace(j), ReasonTaskFailed)
 }
 
 func failureGrace(j *job) time.Duration {
-	if j.verdict != "" {
+	if j.finalOutcome != "" {
 		return 0
 	}
-	return grace(j)
+	return checkpointGrace(j)
 }
 
-func appendNew(list []string, s string) []string {
+func appendUnique(list []string, s string) []string {
 	for _, o := range list {
 		if o == s {
 			return list
--- a/internal/sched/slots.go
+++ b/internal/sched/slots.go
@@ -78,8 +78,8 @@
 	for _, s := range shares {
 		c.dropClaimsIn(s)
 		for _, g := range s.worker.groups {
-			if g.share == s {
-				c.orphan(g)
+			if g.reservedPart == s {
+				c.detachFromReservation(g)
 			}
 		}
 		c.update(s.worker, func(f *fleet.Worker) { f.Reserved = f.Reserved.Sub(s.amount) })
@@ -98,43 +98,43 @@
 // planSlots keeps a place for each gang that is guaranteed.
 func (c *Core) planSlots() {
 	// Capacity that became free may hold a guarantee that has no place.
-	retry := c.missing > 0 && c.fleet.Generation() > c.plannedGen
-	repackDue := c.repackOwed && c.now >= c.repackedAt+repackInterval
-	if !c.slotsDirty && !retry && !repackDue {
+	retry := c.unplacedCount > 0 && c.fleet.Generation() > c.placedGeneration
+	repackDue := c.repackPending && c.now >= c.lastRepack+repackInterval
+	if !c.guaranteesDirty && !retry && !repackDue {
 		return
 	}
-	c.slotsDirty = false
-	for _, r := range c.slots {
+	c.guaranteesDirty = false
+	for _, r := range c.guarantees {
 		if r.placed() && !r.whole() {
 			c.lift(r)
 		}
 	}
 	c.placeSlots()
-	if c.missing > 0 && len(c.waiting) > 0 {
+	if c.unplacedCount > 0 && len(c.waitingReservations) > 0 {
 		c.dropAllWaiting()
 		c.placeSlots()
 	}
-	c.repackOwed = c.missing > 0
-	if c.repackOwed && c.now >= c.repackedAt+repackInterval {
-		c.repackOwed = false
-		c.repackedAt = c.now
+	c.repackPending = c.unplacedCount > 0
+	if c.repackPending && c.now >= c.lastRepack+repackInterval {
+		c.repackPending = false
+		c.lastRepack = c.now
 		c.repack()
 	}
-	c.plannedGen = c.fleet.Generation()
+	c.placedGeneration = c.fleet.Generation()
 }
 
 // placeSlots looks for a place for each guarantee without one, the largest first.
 func (c *Core) placeSlots() {
-	c.missing, c.lacking = 0, 0
-	c.unbound = slices.DeleteFunc(c.unbound, func(j *job) bool { return j.phase != phaseRunning || j.reserved != nil })
+	c.unplacedCount, c.unplacedSize = 0, 0
+	c.unboundJobs = slices.DeleteFunc(c.unboundJobs, func(j *job) bool { return j.phase != phaseRunning || j.reservation != nil })
 	for _, r := range c.bySize() {
-		if r.placed() || c.bind(r) {
+		if r.placed() || c.bindToRunningGang(r) {
 			continue
 		}
 		parts := placement.Find(c.fleet, placement.Request{Gang: r.gang, View: fleet.Preemptible})
 		if parts == nil {
-			c.missing++
-			c.lacking += r.size()
+			c.unplacedCount++
+			c.unplacedSize += r.size()
 			continue
 		}
 		c.place(r, parts)
@@ -145,8 +145,10 @@
 // leaves smaller ones missing: for those, work outside of guarantees is stopped
 // more easily.
 func (c *Core) repack() {
-	missing, lacking := c.missing, c.lacking
-	c.rearrange(func() bool { return c.missing < missing || c.missing == missing && c.lacking < lacking })
+	missing, lacking := c.unplacedCount, c.unplacedSize
+	c.rearrange(func() bool {
+		return c.unplacedCount < missing || c.unplacedCount == missing && c.unplacedSize < lacking
+	})
 }
 
 // size compares reservations of different shapes.
@@ -156,15 +158,15 @@
 
 // compact packs the unused guarantees anew if that opens a place for a gang.
 func (c *Core) compact(j *job) []placement.Assignment {
-	if c.now < c.compactedAt+compactInterval {
+	if c.now < c.lastCompaction+compactInterval {
 		return nil
 	}
-	c.compactedAt = c.now
+	c.lastCompaction = c.now
 	var parts []placement.Assignment
-	before := c.missing
+	before := c.unplacedCount
 	c.rearrange(func() bool {
 		parts = c.soonestPlace(j)
-		return parts != nil && c.missing <= before
+		return parts != nil && c.unplacedCount <= before
 	})
 	return parts
 }
@@ -175,9 +177,9 @@
 		r     *reservation
 		parts []placement.Assignment
 	}
-	missing, lacking := c.missing, c.lacking
+	missing, lacking := c.unplacedCount, c.unplacedSize
 	var old []kept
-	for _, r := range c.slots {
+	for _, r := range c.guarantees {
 		if r.placed() && r.unused() {
 			old = append(old, kept{r, r.parts()})
 			c.lift(r)
@@ -190,7 +192,7 @@
 	for _, k := range old {
 		c.lift(k.r)
 	}
-	for _, r := range c.slots {
+	for _, r := range c.guarantees {
 		if r.placed() && r.unused() {
 			c.lift(r)
 		}
@@ -198,7 +200,7 @@
 	for _, k := range old {
 		c.place(k.r, k.parts)
 	}
-	c.missing, c.lacking = missing, lacking
+	c.unplacedCount, c.unplacedSize = missing, lacking
 }
 
 func (r *reservation) parts() []placement.Assignment {
@@ -211,7 +213,7 @@
 }
 
 func (c *Core) bySize() []*reservation {
-	out := slices.Clone(c.slots)
+	out := slices.Clone(c.guarantees)
 	slices.SortStableFunc(out, func(a, b *reservation) int {
 		return feasibility.CompareShapes(a.gang, b.gang)
 	})
@@ -222,7 +224,7 @@
 func (c *Core) configureSlots() {
 	var next []*reservation
 	left := map[string][]*reservation{}
-	for _, r := range c.slots {
+	for _, r := range c.guarantees {
 		left[r.profile] = append(left[r.profile], r)
 	}
 	for _, name := range sortedKeys(c.config.Profiles) {
@@ -240,15 +242,15 @@
 			next = append(next, &reservation{profile: name, gang: g.Shape})
 		}
 	}
-	for _, r := range c.slots {
+	for _, r := range c.guarantees {
 		if !slices.Contains(next, r) {
 			c.lift(r)
 		}
 	}
-	c.slots = next
-	c.slotsOf = map[string][]*reservation{}
+	c.guarantees = next
+	c.guaranteesOf = map[string][]*reservation{}
 	for _, r := range next {
-		c.slotsOf[r.profile] = append(c.slotsOf[r.profile], r)
+		c.guaranteesOf[r.profile] = append(c.guaranteesOf[r.profile], r)
 	}
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 }
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -16,8 +16,8 @@
 	j.adopting = true
 	j.started = true
 	j.startedAt = c.now
-	j.firm = !c.lent(j)
-	until := max(c.now, c.authority.StartAfter) + GroupLease + c.cfg.LeaseMargin
+	j.nonPreemptible = !c.lent(j)
+	until := max(c.now, c.ownership.StartAfter) + GroupLease + c.cfg.LeaseMargin
 	for _, p := range j.rec.Placements {
 		w := c.workers[p.Worker]
 		if w == nil {
@@ -25,21 +25,21 @@
 		}
 		g := &group{
 			job: j, attempt: j.attempt, worker: w, firstTask: p.FirstTask, tasks: p.Tasks,
-			amount: j.perTask.Times(p.Tasks), state: groupUnknown, firm: j.firm, leaseUntil: until,
+			resources: j.perTask.Times(p.Tasks), state: groupUnknown, nonPreemptible: j.nonPreemptible, leaseUntil: until,
 		}
 		j.groups = append(j.groups, g)
 		c.take(g)
 		if !w.Linked {
-			j.lost++
+			j.unlinkedGroups++
 		}
 		c.watchAdoption(g, until)
 	}
-	if j.firm && len(c.slotsOf[j.rec.Job.Profile]) > 0 {
-		c.unbound = append(c.unbound, j)
-		c.slotsDirty = true
+	if j.nonPreemptible && len(c.guaranteesOf[j.rec.Job.Profile]) > 0 {
+		c.unboundJobs = append(c.unboundJobs, j)
+		c.guaranteesDirty = true
 	}
 	if j.rec.CancelAsked {
-		c.end(j, 0, ReasonCancelled)
+		c.endAttempt(j, 0, ReasonCancelled)
 	}
 }
 
@@ -50,10 +50,10 @@
 			return
 		}
 		if g.leaseUntil <= c.now {
-			c.lapsed(g)
+			c.leaseExpired(g)
 			return
 		}
-		c.broken(g, ReasonWorkerLost)
+		c.groupLost(g, ReasonWorkerLost)
 	})
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, g := range j.groups {
-		if g.state == groupUnknown || g.state == groupGone {
+		if g.state == groupUnknown || g.state == groupEnded {
 			return
 		}
 	}
@@ -80,16 +80,16 @@
 	if j.phase != phaseRunning {
 		return
 	}
-	if !c.authority.Owner || c.now < c.authority.StartAfter {
-		c.timers.add(max(c.authority.StartAfter, c.now+TickInterval), func() { c.startAdopted(j) })
+	if !c.ownership.Owner || c.now < c.ownership.StartAfter {
+		c.timers.add(max(c.ownership.StartAfter, c.now+TickInterval), func() { c.startAdopted(j) })
 		return
 	}
 	for _, g := range j.groups {
 		if g.state != groupHeld {
 			continue
 		}
-		if g.worker.ZoneOut || j.lost > 0 {
-			c.broken(g, ReasonZoneOut)
+		if g.worker.ZoneOut || j.unlinkedGroups > 0 {
+			c.groupLost(g, ReasonZoneOut)
 			return
 		}
 		c.startGroup(g)
@@ -99,7 +99,7 @@
 // renewHeld extends the hold of an adopted member at once: it may lapse before
 // this owner is permitted to start the attempt.
 func (c *Core) renewHeld(g *group) {
-	if c.authority.Owner && renewable(g) {
+	if c.ownership.Owner && renewable(g) {
 		c.emit(Renew{Worker: g.worker.Name, Groups: []GroupRef{{g.job.id(), g.attempt}}})
 	}
 }
@@ -110,32 +110,32 @@
 	if c.jobs[r.JobID] != nil || c.rowsComplete() {
 		return false
 	}
-	c.early = append(c.early, r)
+	c.earlyReports = append(c.earlyReports, r)
 	// What the group uses is not in the books yet.
-	c.pause(c.workers[r.Worker], max(0, c.authority.StartAfter-c.now)+earlyReportTime)
+	c.pause(c.workers[r.Worker], max(0, c.ownership.StartAfter-c.now)+earlyReportTime)
 	return true
 }
 
 func (c *Core) rowsComplete() bool {
-	return c.authority.Owner && c.now >= c.authority.StartAfter+earlyReportTime
+	return c.ownership.Owner && c.now >= c.ownership.StartAfter+earlyReportTime
 }
 
 // replayEarly takes in the reports that came before the job's row.
 func (c *Core) replayEarly(j *job) {
 	var own, rest []GroupReport
-	for _, r := range c.early {
+	for _, r := range c.earlyReports {
 		if r.JobID == j.id() {
 			own = append(own, r)
 			continue
 		}
 		rest = append(rest, r)
 	}
-	c.early = rest
+	c.earlyReports = rest
 	for _, r := range own {
 		if !hasReportOf(rest, r.Worker) {
 			c.unpause(c.workers[r.Worker])
 		}
-		c.report(r)
+		c.handleReport(r)
 	}
 }
 
@@ -145,20 +145,20 @@
 
 // dropEarly stops the groups whose jobs turned out to have no row.
 func (c *Core) dropEarly() {
-	if len(c.early) == 0 || !c.rowsComplete() {
+	if len(c.earlyReports) == 0 || !c.rowsComplete() {
 		return
 	}
-	reports := c.early
-	c.early = nil
+	reports := c.earlyReports
+	c.earlyReports = nil
 	for _, r := range reports {
-		c.report(r)
+		c.handleReport(r)
 	}
 }
 
 // lent reports whether a job may use capacity that is guaranteed to others,
 // and so may be stopped when that is claimed.
 func (c *Core) lent(j *job) bool {
-	if c.config == nil || !j.movable() {
+	if c.config == nil || !j.restartable() {
 		return false
 	}
 	return c.config.Profiles[j.rec.Job.Profile].Preemptible
--- a/internal/sched/timers.go
+++ b/internal/sched/timers.go
@@ -40,7 +40,7 @@
 	heap.Push(q, timer{at, q.seq, run})
 }
 
-func (q *timerQueue) run(now time.Duration) {
+func (q *timerQueue) runDue(now time.Duration) {
 	for len(q.items) > 0 && q.items[0].at <= now {
 		heap.Pop(q).(timer).run()
 	}
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -30,17 +30,17 @@
 
 // review looks at the jobs that wait, once per reviewInterval.
 func (c *Core) review() {
-	if !c.mayStart() || c.now < c.reviewed+reviewInterval {
+	if !c.mayStart() || c.now < c.lastReview+reviewInterval {
 		return
 	}
-	c.reviewed = c.now
+	c.lastReview = c.now
 	c.forgetWorkers()
 	for _, cl := range slices.Clone(c.queue.ordered) {
 		if j := cl.head(); cl.failed && j != nil {
 			c.reviewWaiting(j)
 		}
 	}
-	for _, r := range slices.Clone(c.waiting) {
+	for _, r := range slices.Clone(c.waitingReservations) {
 		c.migrateFor(r)
 	}
 }
@@ -59,7 +59,7 @@
 		// Other guarantees may be moved for it by now.
 		j.class.failed = false
 	}
-	if j.waiting != nil && !j.waiting.whole() {
+	if j.waitingReservation != nil && !j.waitingReservation.whole() {
 		c.dropWaiting(j)
 	}
 	if c.now-j.queuedAt < reserveAfter || !withinQuota(j, p) || !c.large(j) {
@@ -67,7 +67,7 @@
 	}
 	if c.lent(j) {
 		c.reviewLent(j)
-	} else if j.waiting == nil {
+	} else if j.waitingReservation == nil {
 		c.reserve(j)
 	}
 }
@@ -84,7 +84,7 @@
 // large reports whether a gang needs more than half of the largest worker, so
 // that smaller work could keep it waiting for ever.
 func (c *Core) large(j *job) bool {
-	need, largest := j.total(), c.fleet.LargestCapacity()
+	need, largest := j.totalResources(), c.fleet.LargestCapacity()
 	if need.Accelerators > 0 {
 		return need.Accelerators*2 > largest.Accelerators
 	}
@@ -94,29 +94,29 @@
 // reviewLent tries a preemptible gang again: work that may make room for it
 // may have run for long enough by now.
 func (c *Core) reviewLent(j *job) {
-	if c.now < j.reviewedAt+lentReview {
+	if c.now < j.lastReview+lentReview {
 		return
 	}
-	j.reviewedAt = c.now
-	j.mayEvict = true
+	j.lastReview = c.now
+	j.mayPreempt = true
 	j.class.failed = false
 }
 
 // tryLarge starts a large preemptible gang that has waited in the place of
 // smaller preemptible work. Gangs of like size do not evict each other.
 func (c *Core) tryLarge(j *job) bool {
-	if !j.mayEvict || !c.lent(j) {
+	if !j.mayPreempt || !c.lent(j) {
 		return false
 	}
-	j.mayEvict = false
-	rule := victimRule{minRun: minRunBeforeEviction, below: (j.total().Accelerators + 1) / 2}
+	j.mayPreempt = false
+	rule := victimRule{minRun: minRunBeforeEviction, below: (j.totalResources().Accelerators + 1) / 2}
 	return c.tryEvict(j, rule, CheckpointGrace)
 }
 
 // reserve sets the place aside that is expected to be free first. Preemptible
 // work may go on using it.
 func (c *Core) reserve(j *job) {
-	if len(c.waiting) >= maxWaitingReservations {
+	if len(c.waitingReservations) >= maxWaitingReservations {
 		return
 	}
 	parts := c.soonestPlace(j)
@@ -128,9 +128,9 @@
 	}
 	r := &reservation{job: j, gang: j.gang()}
 	c.place(r, parts)
-	j.waiting = r
-	c.waiting = append(c.waiting, r)
-	c.notice(j, parts[0].Worker.Name, ReasonReserved, "")
+	j.waitingReservation = r
+	c.waitingReservations = append(c.waitingReservations, r)
+	c.emitNotice(j, parts[0].Worker.Name, ReasonReserved, "")
 }
 
 // freeingWorker is a worker with the time until its work outside of
@@ -171,7 +171,7 @@
 }
 
 func (c *Core) soonestIn(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
-	avoid := c.avoids(j)
+	avoid := c.excludedWorkers(j)
 	var all []freeingWorker
 	for _, w := range domain {
 		if !w.Schedulable() || avoid(w) {
@@ -202,7 +202,7 @@
 func (c *Core) firmWait(w *worker) time.Duration {
 	var wait time.Duration
 	for _, g := range w.groups {
-		if g.firm && !g.ending {
+		if g.nonPreemptible && !g.stopping {
 			wait = max(wait, c.clearTime(g))
 		}
 	}
@@ -225,26 +225,26 @@
 
 // moveCost is the accelerator time that a migration loses.
 func moveCost(j *job) time.Duration {
-	return (CheckpointGrace + restartCost) * time.Duration(max(1, j.total().Accelerators))
+	return (CheckpointGrace + restartCost) * time.Duration(max(1, j.totalResources().Accelerators))
 }
 
 func (c *Core) migratable(g *group) bool {
 	j := g.job
-	return g.firm && !g.fixed && !g.detached && j.phase == phaseRunning && j.movable() && j.rec.Job.Checkpointable
+	return g.nonPreemptible && !g.nonRestartable && !g.detached && j.phase == phaseRunning && j.restartable() && j.rec.Job.Checkpointable
 }
 
 func (c *Core) remaining(j *job) time.Duration {
-	ran := j.ranFor
+	ran := j.earlierRunTime
 	if j.started {
 		ran += c.now - j.startedAt
 	}
 	// A job that has outrun its expectation counts as halfway.
-	return max(c.expectedRun(j)-ran, ran/2)
+	return max(c.expectedRunTime(j)-ran, ran/2)
 }
 
 // tryWaiting starts a job in the place that is reserved for it.
 func (c *Core) tryWaiting(j *job) bool {
-	r := j.waiting
+	r := j.waitingReservation
 	if r == nil {
 		return false
 	}
@@ -264,17 +264,17 @@
 
 // dropWaiting gives up the reservation of a waiting gang, if it has one.
 func (c *Core) dropWaiting(j *job) {
-	r := j.waiting
+	r := j.waitingReservation
 	if r == nil {
 		return
 	}
-	j.waiting = nil
-	c.waiting = slices.DeleteFunc(c.waiting, func(o *reservation) bool { return o == r })
+	j.waitingReservation = nil
+	c.waitingReservations = slices.DeleteFunc(c.waitingReservations, func(o *reservation) bool { return o == r })
 	c.lift(r)
 }
 
 func (c *Core) dropAllWaiting() {
-	for _, r := range slices.Clone(c.waiting) {
+	for _, r := range slices.Clone(c.waitingReservations) {
 		c.dropWaiting(r.job)
 	}
 }
@@ -284,7 +284,7 @@
 func (c *Core) migrateFor(r *reservation) {
 	for _, s := range r.shares {
 		for _, g := range s.worker.groups {
-			if g.ending {
+			if g.stopping {
 				return
 			}
 		}
@@ -292,8 +292,8 @@
 	for _, s := range r.shares {
 		for _, g := range slices.Clone(s.worker.groups) {
 			if c.repays(g, r) {
-				c.notice(g.job, s.worker.Name, ReasonMigrated, r.job.id())
-				c.end(g.job, grace(g.job), ReasonMigrated)
+				c.emitNotice(g.job, s.worker.Name, ReasonMigrated, r.job.id())
+				c.endAttempt(g.job, checkpointGrace(g.job), ReasonMigrated)
 				return
 			}
 		}
@@ -305,7 +305,7 @@
 	if !c.migratable(g) {
 		return false
 	}
-	gain := c.remaining(j) * time.Duration(max(1, r.job.total().Accelerators))
+	gain := c.remaining(j) * time.Duration(max(1, r.job.totalResources().Accelerators))
 	if gain <= moveCost(j) {
 		return false
 	}
--- a/internal/sched/workers.go
+++ b/internal/sched/workers.go
@@ -24,7 +24,7 @@
 	index    int
 	groups   []*group
 	claims   []*job
-	strays   []stray
+	strays   []strayGroup
 	strikes  []strike
 	probes   int
 	downTime time.Duration
@@ -36,20 +36,20 @@
 	w := c.workers[name]
 	fw := c.fleet.Add(name, zone, rack)
 	if w == nil {
-		w = &worker{Worker: fw, index: len(c.ordered)}
+		w = &worker{Worker: fw, index: len(c.workerList)}
 		c.workers[name] = w
-		c.ordered = append(c.ordered, w)
+		c.workerList = append(c.workerList, w)
 	}
 	return w
 }
 
 // forgetWorkers drops workers that have been replaced.
 func (c *Core) forgetWorkers() {
-	if c.now < c.forgotAt+forgetInterval {
+	if c.now < c.lastForget+forgetInterval {
 		return
 	}
-	c.forgotAt = c.now
-	c.ordered = slices.DeleteFunc(c.ordered, func(w *worker) bool {
+	c.lastForget = c.now
+	c.workerList = slices.DeleteFunc(c.workerList, func(w *worker) bool {
 		gone := !w.Linked && c.now-w.downTime >= forgetAfter && len(w.groups) == 0 && len(w.claims) == 0
 		if gone {
 			delete(c.workers, w.Name)
@@ -73,15 +73,15 @@
 		f.ZoneOut = out
 		f.AwaitingReopen = c.stepping(f)
 	})
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	if !wasDown {
 		return
 	}
 	for _, g := range w.groups {
 		if !g.detached {
-			g.job.lost--
+			g.job.unlinkedGroups--
 		}
-		if g.ending {
+		if g.stopping {
 			c.sendStop(g, 0, "stopped while the link was lost")
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	c.update(w, func(f *fleet.Worker) { f.Linked = false })
 	w.downTime = c.now
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	c.dropClaimsOn(w)
 	for _, g := range append([]*group(nil), w.groups...) {
 		c.groupUnlinked(g)
@@ -102,12 +102,12 @@
 }
 
 func (c *Core) groupUnlinked(g *group) {
-	c.watchLapse(g)
+	c.watchLease(g)
 	if g.detached {
 		return
 	}
 	j := g.job
-	j.lost++
+	j.unlinkedGroups++
 	switch j.phase {
 	case phaseHolding:
 		c.holdFailed(j, "link lost")
@@ -124,7 +124,7 @@
 	j, w, since := g.job, g.worker, g.worker.downTime
 	c.after(disconnectPatience, func() {
 		if g.live() && !g.detached && j.phase == phaseRunning && !w.Linked && w.downTime == since {
-			c.broken(g, ReasonWorkerLost)
+			c.groupLost(g, ReasonWorkerLost)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		f.Leaving = e.Leaving
 		f.Healthy = e.Healthy
 	})
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	if !w.InService() {
 		c.vacate(w)
 	}
@@ -175,21 +175,21 @@
 	w.groups = append(w.groups, g)
 	g.account = g.job.account
 	g.account.add(g)
-	if g.share != nil {
-		g.share.used = g.share.used.Add(g.amount)
+	if g.reservedPart != nil {
+		g.reservedPart.used = g.reservedPart.used.Add(g.resources)
 	}
-	g.fixed = g.fixed || (g.firm && !g.job.movable())
+	g.nonRestartable = g.nonRestartable || (g.nonPreemptible && !g.job.restartable())
 	c.update(w, func(f *fleet.Worker) {
 		if g.state == groupClaimed {
-			f.Claimed = f.Claimed.Add(g.amount)
+			f.Claimed = f.Claimed.Add(g.resources)
 		} else {
-			f.Used = f.Used.Add(g.amount)
+			f.Used = f.Used.Add(g.resources)
 		}
-		if g.firm {
-			f.NonPreemptible = f.NonPreemptible.Add(g.amount)
+		if g.nonPreemptible {
+			f.NonPreemptible = f.NonPreemptible.Add(g.resources)
 		}
-		if g.fixed {
-			f.NonRestartable = f.NonRestartable.Add(g.amount)
+		if g.nonRestartable {
+			f.NonRestartable = f.NonRestartable.Add(g.resources)
 		}
 	})
 }
@@ -208,26 +208,26 @@
 			break
 		}
 	}
-	if !g.detached && !w.Linked && g.job.lost > 0 {
-		g.job.lost--
+	if !g.detached && !w.Linked && g.job.unlinkedGroups > 0 {
+		g.job.unlinkedGroups--
 	}
 	g.account.sub(g)
 	c.update(w, func(f *fleet.Worker) {
 		if claimed {
-			f.Claimed = f.Claimed.Sub(g.amount)
+			f.Claimed = f.Claimed.Sub(g.resources)
 		} else {
-			f.Used = f.Used.Sub(g.amount)
+			f.Used = f.Used.Sub(g.resources)
 		}
-		if g.firm {
-			f.NonPreemptible = f.NonPreemptible.Sub(g.amount)
+		if g.nonPreemptible {
+			f.NonPreemptible = f.NonPreemptible.Sub(g.resources)
 		}
-		if g.fixed {
-			f.NonRestartable = f.NonRestartable.Sub(g.amount)
+		if g.nonRestartable {
+			f.NonRestartable = f.NonRestartable.Sub(g.resources)
 		}
 	})
-	if g.share != nil {
-		g.share.used = g.share.used.Sub(g.amount)
-		g.share = nil
+	if g.reservedPart != nil {
+		g.reservedPart.used = g.reservedPart.used.Sub(g.resources)
+		g.reservedPart = nil
 	}
 	c.claimsProgress(w)
 }
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -52,8 +52,8 @@
 		return
 	}
 	if !first {
-		c.notice(nil, "", ReasonZoneReturning, zone)
-		c.zones[zone] = &zoneReturn{}
+		c.emitNotice(nil, "", ReasonZoneReturning, zone)
+		c.reopeningZones[zone] = &zoneReturn{}
 	}
 	for _, w := range changed {
 		c.update(w, func(f *fleet.Worker) {
@@ -61,22 +61,22 @@
 			f.AwaitingReopen = !first
 		})
 	}
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	if !first {
-		c.zoneStep(zone, c.zones[zone])
+		c.zoneStep(zone, c.reopeningZones[zone])
 	}
 }
 
 func (c *Core) takeOut(zone string, workers []*worker) {
-	c.notice(nil, "", ReasonZoneOut, zone)
-	delete(c.zones, zone)
+	c.emitNotice(nil, "", ReasonZoneOut, zone)
+	delete(c.reopeningZones, zone)
 	for _, w := range workers {
 		c.update(w, func(f *fleet.Worker) {
 			f.ZoneOut = true
 			f.AwaitingReopen = false
 		})
 	}
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	for _, w := range workers {
 		c.vacate(w)
 	}
@@ -85,7 +85,7 @@
 // vacate ends everything on a worker that has not started and moves what runs.
 func (c *Core) vacate(w *worker) {
 	why := leaveReason(w)
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	c.dropClaimsOn(w)
 	for _, g := range slices.Clone(w.groups) {
 		if g.detached {
@@ -129,39 +129,39 @@
 // moveLater notes a job that has to leave its workers. A job that can not
 // resume from a checkpoint runs to its end: stopping it would lose its work.
 func (c *Core) moveLater(j *job) {
-	if !j.movable() || !j.rec.Job.Checkpointable || j.moving {
+	if !j.restartable() || !j.rec.Job.Checkpointable || j.movePending {
 		return
 	}
-	j.moving = true
-	c.moving = append(c.moving, j)
+	j.movePending = true
+	c.pendingMoves = append(c.pendingMoves, j)
 }
 
 // moveFromOutZones moves the next jobs, those within guarantees first.
 func (c *Core) moveFromOutZones() {
-	if len(c.moving) == 0 || !c.authority.Owner {
+	if len(c.pendingMoves) == 0 || !c.ownership.Owner {
 		return
 	}
-	slices.SortStableFunc(c.moving, func(a, b *job) int {
+	slices.SortStableFunc(c.pendingMoves, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(c.moveRank(a), c.moveRank(b)), cmp.Compare(a.id(), b.id()))
 	})
 	moved := 0
-	for len(c.moving) > 0 && moved < moveBatch {
-		j := c.moving[0]
-		c.moving = c.moving[1:]
-		j.moving = false
+	for len(c.pendingMoves) > 0 && moved < moveBatch {
+		j := c.pendingMoves[0]
+		c.pendingMoves = c.pendingMoves[1:]
+		j.movePending = false
 		w := j.leaves()
 		if j.phase != phaseRunning || j.adopting || w == nil {
 			continue
 		}
-		c.notice(j, "", leaveReason(w), "")
-		c.end(j, grace(j), leaveReason(w))
+		c.emitNotice(j, "", leaveReason(w), "")
+		c.endAttempt(j, checkpointGrace(j), leaveReason(w))
 		moved++
 	}
 }
 
 func (c *Core) moveRank(j *job) int {
 	switch {
-	case j.reserved != nil || len(c.slotsOf[j.rec.Job.Profile]) > 0:
+	case j.reservation != nil || len(c.guaranteesOf[j.rec.Job.Profile]) > 0:
 		return rankGuaranteed
 	case c.config.Profiles[j.rec.Job.Profile].Urgent:
 		return rankUrgent
@@ -171,7 +171,7 @@
 
 // zoneStep opens the next part of a returning zone's racks.
 func (c *Core) zoneStep(zone string, ret *zoneReturn) {
-	if c.zones[zone] != ret {
+	if c.reopeningZones[zone] != ret {
 		return
 	}
 	ret.step++
@@ -184,7 +184,7 @@
 		}
 	}
 	if ret.step >= zoneSteps {
-		delete(c.zones, zone)
+		delete(c.reopeningZones, zone)
 		return
 	}
 	c.after(zoneStepInterval, func() { c.zoneStep(zone, ret) })
@@ -193,7 +193,7 @@
 // openRacks is how many racks of a zone are open.
 func (c *Core) openRacks(zone string) int {
 	n := len(c.fleet.Racks(zone))
-	ret := c.zones[zone]
+	ret := c.reopeningZones[zone]
 	if ret == nil {
 		return n
 	}
@@ -202,7 +202,7 @@
 
 // stepping reports whether a worker's rack waits for a later step of its zone.
 func (c *Core) stepping(w *fleet.Worker) bool {
-	if c.zones[w.Zone] == nil || w.ZoneOut {
+	if c.reopeningZones[w.Zone] == nil || w.ZoneOut {
 		return false
 	}
 	return slices.Index(c.fleet.Racks(w.Zone), w.Rack) >= c.openRacks(w.Zone)
