--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -21,8 +21,8 @@
 
 // beginAttempt takes the capacity of a placement and asks all workers to hold it.
 func (c *Core) beginAttempt(j *job, parts []placement.Assignment, firm bool) {
-	c.dropWaiting(j)
-	c.createGroups(j, claim{parts: parts}, firm, groupHolding)
+	c.dropReservation(j)
+	c.createGroups(j, claim{assignments: parts}, firm, groupHolding)
 	c.sendHolds(j)
 }
 
@@ -34,16 +34,16 @@
 	j.nonPreemptible = firm
 	j.finalOutcome = ""
 	first := 0
-	for _, p := range cl.parts {
+	for _, p := range cl.assignments {
 		g := &group{
 			job: j, attempt: j.attempt, worker: c.workers[p.Worker.Name],
 			firstTask: first, tasks: p.Tasks, resources: j.perTask.Times(p.Tasks),
 			state: state, nonPreemptible: firm,
 		}
-		g.reservedPart = cl.res.shareOn(g.worker)
+		g.reservedPart = cl.reservation.partOn(g.worker)
 		first += p.Tasks
 		j.groups = append(j.groups, g)
-		c.take(g)
+		c.allocateGroup(g)
 	}
 }
 
@@ -75,7 +75,7 @@
 	for _, g := range j.groups {
 		if g.state == groupHolding {
 			c.emitNotice(j, g.worker.Name, ReasonHoldTimeout, "")
-			c.pause(g.worker, holdFailurePause)
+			c.pauseWorker(g.worker, holdFailurePause)
 		}
 	}
 	c.holdFailed(j, "hold timeout")
@@ -83,7 +83,7 @@
 
 func (c *Core) holdFailed(j *job, why string) {
 	c.abandonHolds(j, why)
-	c.backoff(j)
+	c.requeueAfterBackoff(j)
 }
 
 // abandonHolds gives up an attempt that is not durable. Its groups keep their
@@ -141,7 +141,7 @@
 		c.abortSaving(j, "the row could not be written")
 		j.rec.State = api.JobQueued
 		j.rec.Placements = nil
-		c.continueAfterAbort(j, c.backoff)
+		c.continueAfterAbort(j, c.requeueAfterBackoff)
 		return
 	}
 	if !j.abortedWhileSaving && !c.startable(j) {
@@ -156,7 +156,7 @@
 
 func (c *Core) continueAfterAbort(j *job, again func(*job)) {
 	if j.rec.CancelAsked {
-		c.finish(j, api.OutcomeCancelled, "cancelled before a start")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled before a start")
 		return
 	}
 	again(j)
@@ -231,14 +231,14 @@
 	j.reservation = nil
 	switch {
 	case j.allGroupsIn(groupDone):
-		c.finish(j, api.OutcomeDone, "")
+		c.finishJob(j, api.OutcomeDone, "")
 	case j.rec.CancelAsked:
-		c.finish(j, api.OutcomeCancelled, "cancelled while running")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled while running")
 	case j.finalOutcome != "":
-		c.finish(j, j.finalOutcome, j.finalDetail)
+		c.finishJob(j, j.finalOutcome, j.finalDetail)
 	case j.started && !j.restartable() && !j.neverStarted():
 		c.emitNotice(j, "", ReasonMayHaveRun, string(j.endReason))
-		c.finish(j, api.OutcomeUnknown, "the job may have run and is not idempotent: "+string(j.endReason))
+		c.finishJob(j, api.OutcomeUnknown, "the job may have run and is not idempotent: "+string(j.endReason))
 	default:
 		c.requeue(j)
 	}
@@ -252,7 +252,7 @@
 	}
 	g.stopping = true
 	if g.state == groupClaimed {
-		c.gone(g, groupEnded)
+		c.releaseGroup(g, groupEnded)
 		return
 	}
 	c.sendStop(g, grace, why)
@@ -284,7 +284,7 @@
 }
 
 func (c *Core) leaseExpired(g *group) {
-	c.gone(g, groupEnded)
+	c.releaseGroup(g, groupEnded)
 	c.groupLost(g, ReasonWorkerLost)
 }
 
--- a/internal/sched/bind.go
+++ b/internal/sched/bind.go
@@ -7,10 +7,10 @@
 
 func (c *Core) detachFromReservation(g *group) {
 	g.reservedPart = nil
-	g.account.surplus = g.account.surplus.Add(g.resources)
+	g.account.unguaranteed = g.account.unguaranteed.Add(g.resources)
 	g.nonPreemptible = true
 	g.nonRestartable = true
-	c.update(g.worker, func(f *fleet.Worker) {
+	c.updateWorker(g.worker, func(f *fleet.Worker) {
 		f.NonPreemptible = f.NonPreemptible.Add(g.resources)
 		f.NonRestartable = f.NonRestartable.Add(g.resources)
 	})
@@ -51,14 +51,14 @@
 	for _, g := range j.groups {
 		parts = append(parts, placement.Assignment{Worker: g.worker.Worker, Tasks: g.tasks})
 	}
-	c.place(r, parts)
+	c.placeReservation(r, parts)
 	j.nonPreemptible = false
 	j.reservation = r
 	for _, g := range j.groups {
-		g.reservedPart = r.shareOn(g.worker)
+		g.reservedPart = r.partOn(g.worker)
 		g.reservedPart.used = g.reservedPart.used.Add(g.resources)
-		g.account.surplus = g.account.surplus.Sub(g.resources)
-		c.update(g.worker, func(f *fleet.Worker) {
+		g.account.unguaranteed = g.account.unguaranteed.Sub(g.resources)
+		c.updateWorker(g.worker, func(f *fleet.Worker) {
 			f.NonPreemptible = f.NonPreemptible.Sub(g.resources)
 			if g.nonRestartable {
 				f.NonRestartable = f.NonRestartable.Sub(g.resources)
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -15,27 +15,27 @@
 	urgentGrace = 1500 * time.Millisecond
 	// claimTimeout is how long a gang waits for its victims to end.
 	claimTimeout = 30 * time.Second
-	// maxEvictionPlans bounds how many places are compared for an eviction.
-	maxEvictionPlans = 64
+	// maxPreemptionPlans bounds how many places are compared for an eviction.
+	maxPreemptionPlans = 64
 )
 
 // claim is a place for a gang and the preemptible work that has to end for it.
 type claim struct {
-	res     *reservation // nil outside of guarantees
-	parts   []placement.Assignment
-	victims []*job
-	loss    time.Duration
-	rule    victimRule
+	reservation *reservation // nil outside of guarantees
+	assignments []placement.Assignment
+	victims     []*job
+	lostWork    time.Duration
+	rule        victimRule
 }
 
-// plan finds the victims that open the parts for a job with the least work
+// planClaim finds the victims that open the parts for a job with the least work
 // lost.
-func (c *Core) plan(j *job, parts []placement.Assignment, rule victimRule) (claim, bool) {
-	cl := claim{parts: parts, rule: rule}
+func (c *Core) planClaim(j *job, parts []placement.Assignment, rule victimRule) (claim, bool) {
+	cl := claim{assignments: parts, rule: rule}
 	var candidates []*job
 	for _, p := range parts {
 		w := c.workers[p.Worker.Name]
-		if j.perTask.Times(p.Tasks).Fits(c.opening(w, &cl)) {
+		if j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(w, &cl)) {
 			continue
 		}
 		for _, g := range w.groups {
@@ -48,31 +48,31 @@
 		return cmp.Or(cmp.Compare(a.lostWork(c.now), b.lostWork(c.now)), cmp.Compare(a.id(), b.id()))
 	})
 	for _, v := range candidates {
-		if c.opens(j, &cl) {
+		if c.claimFits(j, &cl) {
 			break
 		}
-		if c.helps(j, v, &cl) {
+		if c.victimHelps(j, v, &cl) {
 			cl.victims = append(cl.victims, v)
 		}
 	}
-	if !c.opens(j, &cl) {
+	if !c.claimFits(j, &cl) {
 		return claim{}, false
 	}
-	c.spare(j, &cl)
+	c.dropNeedlessVictims(j, &cl)
 	for _, v := range cl.victims {
-		cl.loss += v.lostWork(c.now)
+		cl.lostWork += v.lostWork(c.now)
 	}
 	return cl, true
 }
 
 // victimRule says which work may be stopped for a claim.
 type victimRule struct {
-	// minRun spares work that has run for less.
-	minRun time.Duration
-	// below spares gangs of that many accelerators and more, if it is set.
-	below int
-	// firm takes also work outside of guarantees that is not preemptible.
-	firm bool
+	// minRunTime spares work that has run for less.
+	minRunTime time.Duration
+	// acceleratorLimit spares gangs of that many accelerators and more, if it is set.
+	acceleratorLimit int
+	// includeNonPreemptible takes also work outside of guarantees that is not preemptible.
+	includeNonPreemptible bool
 }
 
 func (rule victimRule) allows(g *group, now time.Duration) bool {
@@ -80,10 +80,10 @@
 	if g.stopping || g.detached || g.nonRestartable {
 		return false
 	}
-	if rule.below > 0 && j.totalResources().Accelerators >= rule.below {
+	if rule.acceleratorLimit > 0 && j.totalResources().Accelerators >= rule.acceleratorLimit {
 		return false
 	}
-	if !j.preemptible() && !(rule.firm && j.nonPreemptible) {
+	if !j.preemptible() && !(rule.includeNonPreemptible && j.nonPreemptible) {
 		return false
 	}
 	switch j.phase {
@@ -92,15 +92,15 @@
 	case phaseSaving:
 		return !j.abortedWhileSaving
 	case phaseRunning:
-		return now-j.startedAt >= rule.minRun
+		return now-j.startedAt >= rule.minRunTime
 	}
 	return false
 }
 
-// opening is the capacity of a worker that is free, or will be once the groups
+// capacityForClaim is the capacity of a worker that is free, or will be once the groups
 // that are ending and the victims have ended. For a claim that may stop work
 // which is not preemptible, other reservations are left out.
-func (c *Core) opening(w *worker, cl *claim) api.Resources {
+func (c *Core) capacityForClaim(w *worker, cl *claim) api.Resources {
 	open := w.Unused().Sub(w.Claimed)
 	unreserved := w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)
 	for _, g := range w.groups {
@@ -113,26 +113,26 @@
 			unreserved = unreserved.Add(g.resources)
 		}
 	}
-	if cl.rule.firm {
+	if cl.rule.includeNonPreemptible {
 		return fleet.MinResources(open, unreserved)
 	}
 	return open
 }
 
-func (c *Core) opens(j *job, cl *claim) bool {
-	for _, p := range cl.parts {
-		if !j.perTask.Times(p.Tasks).Fits(c.opening(c.workers[p.Worker.Name], cl)) {
+func (c *Core) claimFits(j *job, cl *claim) bool {
+	for _, p := range cl.assignments {
+		if !j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(c.workers[p.Worker.Name], cl)) {
 			return false
 		}
 	}
 	return true
 }
 
-// helps reports whether a victim frees capacity on a worker that still lacks it.
-func (c *Core) helps(j, victim *job, cl *claim) bool {
-	for _, p := range cl.parts {
+// victimHelps reports whether a victim frees capacity on a worker that still lacks it.
+func (c *Core) victimHelps(j, victim *job, cl *claim) bool {
+	for _, p := range cl.assignments {
 		w := c.workers[p.Worker.Name]
-		if j.perTask.Times(p.Tasks).Fits(c.opening(w, cl)) {
+		if j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(w, cl)) {
 			continue
 		}
 		for _, g := range victim.groups {
@@ -144,26 +144,26 @@
 	return false
 }
 
-// spare drops victims that are not needed, those with the largest loss first.
-func (c *Core) spare(j *job, cl *claim) {
+// dropNeedlessVictims drops victims that are not needed, those with the largest loss first.
+func (c *Core) dropNeedlessVictims(j *job, cl *claim) {
 	for i := len(cl.victims) - 1; i >= 0; i-- {
-		fewer := claim{parts: cl.parts, rule: cl.rule, victims: slices.Delete(slices.Clone(cl.victims), i, i+1)}
-		if c.opens(j, &fewer) {
+		fewer := claim{assignments: cl.assignments, rule: cl.rule, victims: slices.Delete(slices.Clone(cl.victims), i, i+1)}
+		if c.claimFits(j, &fewer) {
 			cl.victims = fewer.victims
 		}
 	}
 }
 
-// claim sets the place aside for the job and stops the victims. The job goes on
+// startClaim sets the place aside for the job and stops the victims. The job goes on
 // when all of the place is free.
-func (c *Core) claim(j *job, cl claim, graceTime time.Duration) {
-	c.dropWaiting(j)
+func (c *Core) startClaim(j *job, cl claim, graceTime time.Duration) {
+	c.dropReservation(j)
 	why := ReasonPreempted
-	if cl.res != nil {
+	if cl.reservation != nil {
 		why = ReasonReclaimed
 	}
-	j.reservation = cl.res
-	c.createGroups(j, cl, !c.lent(j) && cl.res == nil, groupClaimed)
+	j.reservation = cl.reservation
+	c.createGroups(j, cl, !c.mayBorrow(j) && cl.reservation == nil, groupClaimed)
 	j.phase = phaseClaiming
 	for _, g := range j.groups {
 		g.worker.claims = append(g.worker.claims, j)
@@ -176,10 +176,10 @@
 	c.after(claimTimeout, func() {
 		if j.phase == phaseClaiming && j.attempt == attempt {
 			c.dropClaim(j)
-			c.backoff(j)
+			c.requeueAfterBackoff(j)
 		}
 	})
-	c.claimReady(j)
+	c.advanceClaim(j)
 }
 
 // preempt ends an attempt, whatever it has come to, for another one later.
@@ -198,24 +198,24 @@
 	}
 }
 
-// claimsProgress lets the claims on a worker go on after capacity became free.
-func (c *Core) claimsProgress(w *worker) {
+// advanceClaims lets the claims on a worker go on after capacity became free.
+func (c *Core) advanceClaims(w *worker) {
 	for _, j := range slices.Clone(w.claims) {
 		if j.phase == phaseClaiming {
-			c.claimReady(j)
+			c.advanceClaim(j)
 		}
 	}
 }
 
-func (c *Core) claimReady(j *job) {
+func (c *Core) advanceClaim(j *job) {
 	for _, g := range j.groups {
 		if !g.resources.Fits(g.worker.Unused()) {
 			return
 		}
 	}
-	c.forgetClaim(j)
+	c.removeClaim(j)
 	for _, g := range j.groups {
-		c.update(g.worker, func(f *fleet.Worker) {
+		c.updateWorker(g.worker, func(f *fleet.Worker) {
 			f.Claimed = f.Claimed.Sub(g.resources)
 			f.Used = f.Used.Add(g.resources)
 		})
@@ -223,7 +223,7 @@
 	c.sendHolds(j)
 }
 
-func (c *Core) forgetClaim(j *job) {
+func (c *Core) removeClaim(j *job) {
 	for _, g := range j.groups {
 		w := g.worker
 		w.claims = slices.DeleteFunc(w.claims, func(o *job) bool { return o == j })
@@ -232,18 +232,18 @@
 
 // dropClaim gives the place of a job up before anything was held.
 func (c *Core) dropClaim(j *job) {
-	c.forgetClaim(j)
+	c.removeClaim(j)
 	groups := j.groups
 	j.groups = nil
 	j.reservation = nil
 	j.unlinkedGroups = 0
 	for _, g := range groups {
 		g.detached = true
-		c.gone(g, groupEnded)
+		c.releaseGroup(g, groupEnded)
 	}
 }
 
-func (c *Core) dropClaimsOn(w *worker) {
+func (c *Core) dropWorkerClaims(w *worker) {
 	for _, j := range slices.Clone(w.claims) {
 		if j.phase == phaseClaiming {
 			c.dropClaim(j)
@@ -252,7 +252,7 @@
 	}
 }
 
-func (c *Core) dropClaimsIn(s *share) {
+func (c *Core) dropReservationClaims(s *reservationPart) {
 	for _, g := range slices.Clone(s.worker.groups) {
 		if g.reservedPart == s && g.job.phase == phaseClaiming && !g.detached {
 			c.dropClaim(g.job)
@@ -269,26 +269,26 @@
 	return CheckpointGrace
 }
 
-// tryEvict starts a job where preemptible work outside of reservations makes
+// tryPreempt starts a job where preemptible work outside of reservations makes
 // room with the least loss.
-func (c *Core) tryEvict(j *job, rule victimRule, graceTime time.Duration) bool {
-	best, ok := c.cheapest(j, c.placementRequest(j, fleet.Preemptible), rule)
+func (c *Core) tryPreempt(j *job, rule victimRule, graceTime time.Duration) bool {
+	best, ok := c.cheapestClaim(j, c.placementRequest(j, fleet.Preemptible), rule)
 	if ok {
-		c.claim(j, best, graceTime)
+		c.startClaim(j, best, graceTime)
 	}
 	return ok
 }
 
-// cheapest compares the places for a gang by the work that would be lost there.
-func (c *Core) cheapest(j *job, q placement.Request, rule victimRule) (best claim, found bool) {
+// cheapestClaim compares the places for a gang by the work that would be lost there.
+func (c *Core) cheapestClaim(j *job, q placement.Request, rule victimRule) (best claim, found bool) {
 	plans := 0
 	placement.ForEachDomain(c.fleet, q, func(parts []placement.Assignment) bool {
-		cl, ok := c.plan(j, parts, rule)
-		if ok && (!found || cl.loss < best.loss) {
+		cl, ok := c.planClaim(j, parts, rule)
+		if ok && (!found || cl.lostWork < best.lostWork) {
 			best, found = cl, true
 		}
 		plans++
-		return plans < maxEvictionPlans && !(found && best.loss == 0)
+		return plans < maxPreemptionPlans && !(found && best.lostWork == 0)
 	})
 	return best, found
 }
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -35,7 +35,7 @@
 	queue           *queue
 	accounts        map[string]*account
 	earlyReports    []GroupReport
-	reopeningZones  map[string]*zoneReturn
+	reopeningZones  map[string]*zoneReopening
 	pendingMoves    []*job
 	learnedProfiles map[string]*learnedProfile
 	reasonCounts    map[Reason]int
@@ -56,7 +56,7 @@
 	unplacedCount       int    // guarantees without a place
 	unplacedSize        int    // size of the guarantees without a place
 	waitingReservations []*reservation
-	idleFleet           besideGuarantees
+	idleFleet           guaranteedFleet
 }
 
 // New returns a core without workers and jobs. It starts nothing before it has
@@ -72,7 +72,7 @@
 		jobs:            map[string]*job{},
 		queue:           newQueue(),
 		accounts:        map[string]*account{},
-		reopeningZones:  map[string]*zoneReturn{},
+		reopeningZones:  map[string]*zoneReopening{},
 		learnedProfiles: map[string]*learnedProfile{},
 		reasonCounts:    map[Reason]int{},
 		lastRenewTick:   -1,
@@ -97,17 +97,17 @@
 	case Cancel:
 		c.cancel(e.JobID)
 	case WorkerUp:
-		c.workerUp(e)
+		c.handleWorkerUp(e)
 	case WorkerDown:
-		c.workerDown(e.Worker)
+		c.handleWorkerDown(e.Worker)
 	case WorkerStatus:
-		c.workerStatus(e)
+		c.handleWorkerStatus(e)
 	case GroupReport:
 		c.handleReport(e)
 	case SaveResult:
-		c.saved(e)
+		c.handleSaveResult(e)
 	case ConfigUpdate:
-		c.configured(e.Config)
+		c.handleConfigUpdate(e.Config)
 	case Ownership:
 		c.ownership = e
 	case Tick:
@@ -139,8 +139,8 @@
 func (c *Core) wallTime() time.Time { return c.cfg.TermStart.Add(c.now) }
 
 func (c *Core) tick() {
-	c.renewDue()
-	c.dropEarly()
-	c.moveFromOutZones()
-	c.review()
+	c.renewDueLeases()
+	c.flushEarlyReports()
+	c.movePendingJobs()
+	c.reviewQueue()
 }
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -66,15 +66,15 @@
 		c.preempt(user, checkpointGrace(user), ReasonMigrated)
 	}
 	for _, m := range moved {
-		c.lift(m)
+		c.unplaceReservation(m)
 	}
 	for i, m := range append([]*reservation{r}, moved...) {
 		c.preemptNonPreemptible(j, m, places[i])
-		c.place(m, places[i])
+		c.placeReservation(m, places[i])
 	}
-	cl, ok := c.claimIn(r, j, c.excludedWorkers(j))
+	cl, ok := c.claimInReservation(r, j, c.excludedWorkers(j))
 	if ok {
-		c.claim(j, cl, c.claimGrace(j))
+		c.startClaim(j, cl, c.claimGrace(j))
 	}
 	return ok
 }
@@ -86,7 +86,7 @@
 		c.dropNonPreemptibleClaims(c.workers[p.Worker.Name])
 	}
 	whole := &job{rec: j.rec, perTask: m.gang.PerTask}
-	cl, ok := c.plan(whole, parts, victimRule{firm: true})
+	cl, ok := c.planClaim(whole, parts, victimRule{includeNonPreemptible: true})
 	if !ok {
 		return
 	}
@@ -126,7 +126,7 @@
 
 func (c *Core) unusedGuarantees() []*reservation {
 	var out []*reservation
-	for _, r := range c.bySize() {
+	for _, r := range c.guaranteesByDifficulty() {
 		if r.placed() && r.unused() {
 			out = append(out, r)
 		}
@@ -139,7 +139,7 @@
 // nil if there are none, and changes nothing.
 func (c *Core) placeTogether(r *reservation, moved []*reservation) [][]placement.Assignment {
 	for _, m := range moved {
-		c.adjustReserved(m.parts(), m.gang.PerTask, -1)
+		c.adjustReserved(m.assignments(), m.gang.PerTask, -1)
 	}
 	var places [][]placement.Assignment
 	all := append([]*reservation{r}, moved...)
@@ -155,7 +155,7 @@
 		c.adjustReserved(parts, all[i].gang.PerTask, -1)
 	}
 	for _, m := range moved {
-		c.adjustReserved(m.parts(), m.gang.PerTask, 1)
+		c.adjustReserved(m.assignments(), m.gang.PerTask, 1)
 	}
 	if len(places) < len(all) {
 		return nil
--- a/internal/sched/fits.go
+++ b/internal/sched/fits.go
@@ -10,9 +10,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// fleetSettle is how long after the start of a term workers may still announce
+// fleetDiscoveryTime is how long after the start of a term workers may still announce
 // themselves before a job is said never to fit.
-const fleetSettle = 15 * time.Second
+const fleetDiscoveryTime = 15 * time.Second
 
 // NeverFits reports why no worker, rack or zone that is known could ever hold
 // the job's gang, even when all are in service and empty.
@@ -22,7 +22,7 @@
 }
 
 func (c *Core) neverFits(j *job) (string, bool) {
-	if c.config == nil || c.now < fleetSettle || len(c.workerList) == 0 {
+	if c.config == nil || c.now < fleetDiscoveryTime || len(c.workerList) == 0 {
 		return "", false
 	}
 	name := j.rec.Job.Profile
@@ -32,7 +32,7 @@
 			j.totalResources().Accelerators, name, p.QuotaAccelerators), true
 	}
 	if placement.Find(c.fleet, placement.Request{Gang: gang, View: fleet.FullCapacity}) != nil {
-		return c.blockedForever(j)
+		return c.blockedByGuarantees(j)
 	}
 	one := api.Shape{Tasks: 1, PerTask: gang.PerTask, Adjacency: api.AdjacentWorker}
 	if placement.Find(c.fleet, placement.Request{Gang: one, View: fleet.FullCapacity}) == nil {
@@ -43,23 +43,23 @@
 		gang.Adjacency, gang.Tasks, gang.PerTask.Accelerators, gang.PerTask.MilliCPU, gang.PerTask.MemoryMB), true
 }
 
-// besideGuarantees is the fleet with all guarantees packed, at one version of
+// guaranteedFleet is the fleet with all guarantees packed, at one version of
 // the configuration and one number of workers.
-type besideGuarantees struct {
+type guaranteedFleet struct {
 	version uint64
 	workers int
 	fleet   *fleet.Fleet
 }
 
-// blockedForever reports whether a gang that must not be preempted has no room
+// blockedByGuarantees reports whether a gang that must not be preempted has no room
 // beside the guarantees, even on an empty fleet.
-func (c *Core) blockedForever(j *job) (string, bool) {
-	if c.lent(j) || !c.large(j) || c.withinGuarantee(j) {
+func (c *Core) blockedByGuarantees(j *job) (string, bool) {
+	if c.mayBorrow(j) || !c.isLarge(j) || c.fitsGuarantee(j) {
 		return "", false
 	}
-	workers := c.known()
+	workers := c.knownWorkers()
 	if b := c.idleFleet; b.fleet == nil || b.version != c.config.Version || b.workers != len(workers) {
-		c.idleFleet = besideGuarantees{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
+		c.idleFleet = guaranteedFleet{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
 	}
 	if placement.Find(c.idleFleet.fleet, placement.Request{Gang: j.gang(), View: fleet.Preemptible}) != nil {
 		return "", false
@@ -68,7 +68,7 @@
 		j.gang().Adjacency, j.rec.Job.Gang.Tasks, j.perTask.Accelerators, j.rec.Job.Profile), true
 }
 
-func (c *Core) withinGuarantee(j *job) bool {
+func (c *Core) fitsGuarantee(j *job) bool {
 	g := c.config.Profiles[j.rec.Job.Profile].Guarantee
 	return g != nil && j.rec.Job.Gang.Tasks <= g.Shape.Tasks && j.perTask.Fits(g.Shape.PerTask)
 }
@@ -76,10 +76,10 @@
 // CheckFeasibility checks the guarantees of a configuration against the workers that
 // have announced themselves; those that are gone for now count as well.
 func (c *Core) CheckFeasibility(config *api.Config) []feasibility.Finding {
-	return feasibility.Check(config, c.known())
+	return feasibility.Check(config, c.knownWorkers())
 }
 
-func (c *Core) known() []feasibility.Worker {
+func (c *Core) knownWorkers() []feasibility.Worker {
 	workers := make([]feasibility.Worker, 0, len(c.workerList))
 	for _, w := range c.workerList {
 		if w.Capacity == (api.Resources{}) {
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -11,88 +11,88 @@
 // tryGuaranteed starts a job within its profile's guarantee, where the least
 // work is lost for it.
 func (c *Core) tryGuaranteed(j *job) bool {
-	best := c.bestClaim(j, c.excludedWorkers(j))
-	if best.res == nil && len(j.avoidedWorkers) > 0 {
-		best = c.relocate(j)
+	best := c.cheapestGuaranteedClaim(j, c.excludedWorkers(j))
+	if best.reservation == nil && len(j.avoidedWorkers) > 0 {
+		best = c.claimElsewhere(j)
 	}
-	if best.res == nil {
-		return c.reclaimFirm(j)
+	if best.reservation == nil {
+		return c.reclaimGuarantee(j)
 	}
-	if len(best.victims) > 0 && best.res.unused() {
-		if cl, ok := c.moveSlot(best.res, j, fleet.Unreserved); ok {
+	if len(best.victims) > 0 && best.reservation.unused() {
+		if cl, ok := c.moveGuarantee(best.reservation, j, fleet.Unreserved); ok {
 			best = cl
 		}
 	}
-	c.claim(j, best, c.claimGrace(j))
+	c.startClaim(j, best, c.claimGrace(j))
 	return true
 }
 
-func (c *Core) bestClaim(j *job, avoid func(*fleet.Worker) bool) claim {
+func (c *Core) cheapestGuaranteedClaim(j *job, avoid func(*fleet.Worker) bool) claim {
 	var best claim
 	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
-		cl, ok := c.claimIn(r, j, avoid)
-		if ok && (best.res == nil || cl.loss < best.loss) {
+		cl, ok := c.claimInReservation(r, j, avoid)
+		if ok && (best.reservation == nil || cl.lostWork < best.lostWork) {
 			best = cl
 		}
 	}
 	return best
 }
 
-// relocate finds a claim for a job that has failed on the workers of its
+// claimElsewhere finds a claim for a job that has failed on the workers of its
 // profile's guarantees: it moves one of them or else goes there again.
-func (c *Core) relocate(j *job) claim {
+func (c *Core) claimElsewhere(j *job) claim {
 	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		if !r.placed() || !r.unused() {
 			continue
 		}
-		if cl, ok := c.moveSlot(r, j, fleet.Preemptible); ok {
+		if cl, ok := c.moveGuarantee(r, j, fleet.Preemptible); ok {
 			return cl
 		}
 	}
-	return c.bestClaim(j, excludesProbation(j))
+	return c.cheapestGuaranteedClaim(j, excludesProbation(j))
 }
 
-func (c *Core) claimIn(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
-	rooms := r.rooms()
+func (c *Core) claimInReservation(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
+	rooms := r.candidates()
 	rooms = slices.DeleteFunc(rooms, func(room placement.Candidate) bool { return avoid(room.Worker) })
 	parts := placement.Pack(rooms, j.gang())
 	if parts == nil {
 		return claim{}, false
 	}
-	cl, ok := c.plan(j, parts, victimRule{})
-	cl.res = r
+	cl, ok := c.planClaim(j, parts, victimRule{})
+	cl.reservation = r
 	return cl, ok
 }
 
-// reclaimFirm makes room for a guarantee that has lost its place, as with a
+// reclaimGuarantee makes room for a guarantee that has lost its place, as with a
 // zone out, by work outside of all guarantees.
-func (c *Core) reclaimFirm(j *job) bool {
-	r := c.missingSlot(j)
+func (c *Core) reclaimGuarantee(j *job) bool {
+	r := c.unplacedGuarantee(j)
 	if r == nil {
 		return false
 	}
 	// A guarantee goes before the places kept for gangs that wait.
-	c.dropAllWaiting()
+	c.dropAllReservations()
 	q := c.placementRequest(j, fleet.Restartable)
 	q.Gang = r.gang
 	whole := &job{rec: j.rec, perTask: r.gang.PerTask}
-	best, ok := c.cheapest(whole, q, victimRule{firm: true})
+	best, ok := c.cheapestClaim(whole, q, victimRule{includeNonPreemptible: true})
 	if !ok {
 		return c.placeByDisplacing(r, j)
 	}
-	c.place(r, best.parts)
+	c.placeReservation(r, best.assignments)
 	for _, v := range best.victims {
 		c.emitNotice(v, "", ReasonReclaimed, j.id())
 		c.preempt(v, min(c.claimGrace(j), checkpointGrace(v)), ReasonReclaimed)
 	}
-	cl, ok := c.claimIn(r, j, c.excludedWorkers(j))
+	cl, ok := c.claimInReservation(r, j, c.excludedWorkers(j))
 	if ok {
-		c.claim(j, cl, c.claimGrace(j))
+		c.startClaim(j, cl, c.claimGrace(j))
 	}
 	return ok
 }
 
-func (c *Core) missingSlot(j *job) *reservation {
+func (c *Core) unplacedGuarantee(j *job) *reservation {
 	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		fits := j.rec.Job.Gang.Tasks <= r.gang.Tasks && j.perTask.Fits(r.gang.PerTask)
 		if !r.placed() && fits {
@@ -102,20 +102,20 @@
 	return nil
 }
 
-// moveSlot moves an unused guarantee to other capacity that suits the job.
-func (c *Core) moveSlot(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
+// moveGuarantee moves an unused guarantee to other capacity that suits the job.
+func (c *Core) moveGuarantee(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
 	q := c.placementRequest(j, v)
 	q.Gang = r.gang
 	parts := placement.Find(c.fleet, q)
 	if parts == nil {
 		return claim{}, false
 	}
-	c.lift(r)
-	c.place(r, parts)
-	return c.claimIn(r, j, c.excludedWorkers(j))
+	c.unplaceReservation(r)
+	c.placeReservation(r, parts)
+	return c.claimInReservation(r, j, c.excludedWorkers(j))
 }
 
-func (r *reservation) rooms() []placement.Candidate {
+func (r *reservation) candidates() []placement.Candidate {
 	out := make([]placement.Candidate, 0, len(r.shares))
 	for _, s := range r.shares {
 		if s.worker.InService() && !s.worker.Paused {
@@ -125,8 +125,8 @@
 	return out
 }
 
-// slotOpen reports whether a guarantee of the profile has capacity for a task.
-func (c *Core) slotOpen(profile string, perTask api.Resources) bool {
+// hasOpenGuarantee reports whether a guarantee of the profile has capacity for a task.
+func (c *Core) hasOpenGuarantee(profile string, perTask api.Resources) bool {
 	for _, r := range c.guaranteesOf[profile] {
 		for _, s := range r.shares {
 			if perTask.Fits(s.amount.Sub(s.used)) {
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -9,71 +9,71 @@
 )
 
 const (
-	// strikeWindow is how long a failure counts against a worker.
-	strikeWindow = 30 * time.Minute
-	// quarantineJobs is how many jobs must fail on a worker for its quarantine.
-	quarantineJobs = 3
-	// maxRetries bounds the failures of a job anywhere.
-	maxRetries    = 8
-	probeAfter    = time.Minute
-	probeAfterMax = time.Hour
-	// probationTime ends a probation in which no work came.
-	probationTime = 10 * time.Minute
+	// workerFailureWindow is how long a failure counts against a worker.
+	workerFailureWindow = 30 * time.Minute
+	// quarantineThreshold is how many jobs must fail on a worker for its quarantine.
+	quarantineThreshold = 3
+	// maxJobFailures bounds the failures of a job anywhere.
+	maxJobFailures = 8
+	quarantineMin  = time.Minute
+	quarantineMax  = time.Hour
+	// probationTimeout ends a probation in which no work came.
+	probationTimeout = 10 * time.Minute
 )
 
-// strike is the failure of one job on a worker.
-type strike struct {
+// workerFailure is the failure of one job on a worker.
+type workerFailure struct {
 	jobID string
 	at    time.Duration
 }
 
-// strike counts a failure against a worker; several jobs put it in quarantine.
+// recordWorkerFailure counts a failure against a worker; several jobs put it in quarantine.
 // A job that has failed on another worker, too, counts against none of them
 // unless the agent says that the worker is at fault.
-func (c *Core) strike(w *worker, j *job, workerFault bool) {
+func (c *Core) recordWorkerFailure(w *worker, j *job, workerFault bool) {
 	if w.Quarantined {
 		return
 	}
 	if len(j.avoidedWorkers) > 1 && !workerFault {
-		c.clearStrikes(j)
+		c.clearWorkerFailures(j)
 		return
 	}
-	var recent []strike
-	for _, s := range w.strikes {
-		if s.jobID != j.id() && s.at > c.now-strikeWindow {
+	var recent []workerFailure
+	for _, s := range w.failures {
+		if s.jobID != j.id() && s.at > c.now-workerFailureWindow {
 			recent = append(recent, s)
 		}
 	}
-	w.strikes = append(recent, strike{j.id(), c.now})
-	if len(w.strikes) >= quarantineJobs || (w.Probation && workerFault) {
-		c.quarantine(w)
+	w.failures = append(recent, workerFailure{j.id(), c.now})
+	if len(w.failures) >= quarantineThreshold || (w.Probation && workerFault) {
+		c.quarantineWorker(w)
 	}
 }
 
-// quarantine keeps work from a worker. The failures there do not count against
+// quarantineWorker keeps work from a worker. The failures there do not count against
 // the jobs.
-func (c *Core) quarantine(w *worker) {
+func (c *Core) quarantineWorker(w *worker) {
 	c.emitNotice(nil, w.Name, ReasonQuarantine, "")
-	for _, s := range w.strikes {
+	for _, s := range w.failures {
 		if j := c.jobs[s.jobID]; j != nil {
 			j.failedWorkers = without(j.failedWorkers, w.Name)
 		}
 	}
-	w.strikes = nil
-	c.update(w, func(f *fleet.Worker) {
+	w.failures = nil
+	c.updateWorker(w, func(f *fleet.Worker) {
 		f.Quarantined = true
 		f.Probation = false
 	})
 	c.guaranteesDirty = true
-	c.dropClaimsOn(w)
-	wait := min(probeAfter<<min(w.probes, 6), probeAfterMax)
-	w.probes++
+	c.dropWorkerClaims(w)
+	wait := min(quarantineMin<<min(w.quarantines, 6), quarantineMax)
+	w.quarantines++
 	c.after(wait, func() {
-		c.update(w, func(f *fleet.Worker) {
+		c.updateWorker(w, func(f *fleet.Worker) {
 			f.Quarantined = false
 			f.Probation = true
 		})
-		c.after(probationTime, func() { c.endProbation(w) })
+		c.after(probationTimeout, func() { c.endProbation(w) })
 	})
 }
 
@@ -82,12 +82,12 @@
 		return
 	}
 	c.guaranteesDirty = true
-	c.update(w, func(f *fleet.Worker) { f.Probation = false })
+	c.updateWorker(w, func(f *fleet.Worker) { f.Probation = false })
 }
 
-// forgiveWorkers lets a job try the workers again on which it failed, once it
+// allowAvoidedWorkers lets a job try the workers again on which it failed, once it
 // has no other place.
-func (c *Core) forgiveWorkers(j *job) {
+func (c *Core) allowAvoidedWorkers(j *job) {
 	if len(j.avoidedWorkers) == 0 {
 		return
 	}
@@ -99,31 +99,31 @@
 	}
 	c.queue.remove(j)
 	j.avoidedWorkers = nil
-	c.queue.add(j)
+	c.queue.insert(j)
 }
 
 func (c *Core) workerSucceeded(w *worker) {
-	w.strikes = nil
+	w.failures = nil
 	if !w.Probation {
 		return
 	}
-	w.probes = 0
+	w.quarantines = 0
 	c.guaranteesDirty = true
-	c.update(w, func(f *fleet.Worker) { f.Probation = false })
+	c.updateWorker(w, func(f *fleet.Worker) { f.Probation = false })
 }
 
-// clearStrikes takes back what a job that fails everywhere has done to the
+// clearWorkerFailures takes back what a job that fails everywhere has done to the
 // standing of workers.
-func (c *Core) clearStrikes(j *job) {
+func (c *Core) clearWorkerFailures(j *job) {
 	for _, name := range j.avoidedWorkers {
 		w := c.workers[name]
-		var rest []strike
-		for _, s := range w.strikes {
+		var rest []workerFailure
+		for _, s := range w.failures {
 			if s.jobID != j.id() {
 				rest = append(rest, s)
 			}
 		}
-		w.strikes = rest
+		w.failures = rest
 	}
 }
 
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -96,7 +96,7 @@
 	neverStarted   bool
 	nonPreemptible bool
 	nonRestartable bool
-	reservedPart   *share
+	reservedPart   *reservationPart
 
 	leaseUntil      time.Duration
 	progress        time.Duration
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -23,13 +23,13 @@
 	j.everStarted = rec.Attempt > 0
 	c.jobs[id] = j
 	j.account = c.accountOf(j)
-	defer c.replayEarly(j)
+	defer c.replayEarlyReports(j)
 	if rec.State == api.JobRunning {
 		c.adopt(j)
 		return
 	}
 	if rec.CancelAsked {
-		c.finish(j, api.OutcomeCancelled, "cancelled before a start")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled before a start")
 		return
 	}
 	c.enqueue(j)
@@ -37,7 +37,7 @@
 
 func (c *Core) enqueue(j *job) {
 	j.phase = phaseQueued
-	c.queue.add(j)
+	c.queue.insert(j)
 	c.watchDeadline(j)
 }
 
@@ -47,10 +47,10 @@
 		return
 	}
 	j.deadlineTimerSet = true
-	c.timers.add(j.rec.Job.Deadline.Sub(c.cfg.TermStart), func() { c.deadline(j) })
+	c.timers.add(j.rec.Job.Deadline.Sub(c.cfg.TermStart), func() { c.deadlinePassed(j) })
 }
 
-func (c *Core) deadline(j *job) {
+func (c *Core) deadlinePassed(j *job) {
 	j.deadlineTimerSet = false
 	if j.phase != phaseQueued && j.phase != phaseBackoff && j.phase != phaseClaiming {
 		return
@@ -58,11 +58,11 @@
 	c.emitNotice(j, "", ReasonDeadline, "")
 	if j.everStarted {
 		c.leaveQueue(j)
-		c.finish(j, api.OutcomeFailed, "the deadline passed before the job could run again")
+		c.finishJob(j, api.OutcomeFailed, "the deadline passed before the job could run again")
 		return
 	}
 	c.leaveQueue(j)
-	c.finish(j, api.OutcomeNotRun, "the deadline passed before a start")
+	c.finishJob(j, api.OutcomeNotRun, "the deadline passed before a start")
 }
 
 // leaveQueue takes a job that holds nothing yet out of all waiting structures.
@@ -71,7 +71,7 @@
 		c.dropClaim(j)
 	}
 	c.queue.remove(j)
-	c.dropWaiting(j)
+	c.dropReservation(j)
 }
 
 func (c *Core) cancel(id string) {
@@ -84,10 +84,10 @@
 	switch j.phase {
 	case phaseQueued, phaseBackoff, phaseClaiming:
 		c.leaveQueue(j)
-		c.finish(j, api.OutcomeCancelled, "cancelled while queued")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled while queued")
 	case phaseHolding:
 		c.abandonHolds(j, "cancelled")
-		c.finish(j, api.OutcomeCancelled, "cancelled before a start")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled before a start")
 	case phaseSaving:
 		c.abortSaving(j, "cancelled")
 	case phaseRunning:
@@ -95,8 +95,8 @@
 	}
 }
 
-// finish writes the one answer of a job.
-func (c *Core) finish(j *job, outcome api.Outcome, detail string) {
+// finishJob writes the one answer of a job.
+func (c *Core) finishJob(j *job, outcome api.Outcome, detail string) {
 	j.phase = phaseFinal
 	j.rec.State = api.JobFinal
 	j.rec.Outcome = outcome
@@ -120,29 +120,29 @@
 
 // Retries of a row that could not be written, and of an attempt that got no holds.
 const (
-	saveRetry    = time.Second
-	holdRetryMin = 200 * time.Millisecond
-	holdRetryMax = 10 * time.Second
+	saveRetryInterval = time.Second
+	holdRetryMin      = 200 * time.Millisecond
+	holdRetryMax      = 10 * time.Second
 )
 
-func (c *Core) saved(e SaveResult) {
+func (c *Core) handleSaveResult(e SaveResult) {
 	j := c.jobs[e.JobID]
 	if j == nil {
 		return
 	}
 	switch {
 	case j.phase == phaseFinal && e.State == api.JobFinal:
-		c.savedFinal(j, e.Failed)
+		c.finalSaved(j, e.Failed)
 	case j.phase == phaseRequeue && e.State == api.JobQueued:
-		c.savedQueued(j, e.Failed)
+		c.queuedSaved(j, e.Failed)
 	case j.phase == phaseSaving && e.State == api.JobRunning && e.Attempt == j.attempt:
 		c.attemptSaved(j, e.Failed)
 	}
 }
 
-func (c *Core) savedFinal(j *job, failed bool) {
+func (c *Core) finalSaved(j *job, failed bool) {
 	if failed {
-		c.saveAgain(j)
+		c.retrySave(j)
 		return
 	}
 	for _, g := range j.groups {
@@ -152,22 +152,22 @@
 	delete(c.jobs, j.id())
 }
 
-func (c *Core) saveAgain(j *job) {
+func (c *Core) retrySave(j *job) {
 	want := j.phase
-	c.after(saveRetry, func() {
+	c.after(saveRetryInterval, func() {
 		if j.phase == want {
 			c.emit(Save{j.rec})
 		}
 	})
 }
 
-func (c *Core) savedQueued(j *job, failed bool) {
+func (c *Core) queuedSaved(j *job, failed bool) {
 	if failed {
-		c.saveAgain(j)
+		c.retrySave(j)
 		return
 	}
 	if j.rec.CancelAsked {
-		c.finish(j, api.OutcomeCancelled, fmt.Sprintf("cancelled after %d attempts", j.rec.Attempt))
+		c.finishJob(j, api.OutcomeCancelled, fmt.Sprintf("cancelled after %d attempts", j.rec.Attempt))
 		return
 	}
 	c.enqueue(j)
@@ -190,8 +190,8 @@
 	c.emit(Save{j.rec})
 }
 
-// backoff queues a job again after a while that grows with each failure.
-func (c *Core) backoff(j *job) {
+// requeueAfterBackoff queues a job again after a while that grows with each failure.
+func (c *Core) requeueAfterBackoff(j *job) {
 	j.phase = phaseBackoff
 	wait := min(holdRetryMin<<min(j.holdFailures, 8), holdRetryMax)
 	j.holdFailures++
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -17,7 +17,7 @@
 	machineZones   = 3
 	machineWorkers = 3 // per zone, in one rack
 	// settleTime is long enough for all leases, probes and retries.
-	settleTime = unplaceableTime + time.Hour
+	settleTime = unplaceableTimeout + time.Hour
 	// claimBound is within which a guaranteed gang must run on a fleet
 	// without faults: grace, lease, hold and save with retries.
 	claimBound = CheckpointGrace + GroupLease + 10*time.Second
@@ -179,7 +179,7 @@
 	}
 	var reserved api.Resources
 	for _, r := range m.core.guarantees {
-		if s := r.shareOn(w); s != nil {
+		if s := r.partOn(w); s != nil {
 			reserved = reserved.Add(s.amount)
 		}
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -18,13 +18,13 @@
 	if !withinQuota(j, p) {
 		return false
 	}
-	if c.tryGuaranteed(j) || c.tryWaiting(j) || c.tryFree(j) {
+	if c.tryGuaranteed(j) || c.tryReserved(j) || c.tryFree(j) {
 		return true
 	}
 	if p.Urgent {
-		return c.tryEvict(j, victimRule{}, urgentGrace)
+		return c.tryPreempt(j, victimRule{}, urgentGrace)
 	}
-	return c.tryLarge(j)
+	return c.tryPreemptForLarge(j)
 }
 
 func withinQuota(j *job, p api.Profile) bool {
@@ -37,17 +37,17 @@
 // tryFree uses free capacity: any for preemptible work, that outside of
 // reservations for other work.
 func (c *Core) tryFree(j *job) bool {
-	lent := c.lent(j)
+	lent := c.mayBorrow(j)
 	q := c.placementRequest(j, fleet.Unreserved)
 	if lent {
 		q.View = fleet.Free
 	}
-	if j.class.failed {
-		q.GainedSince = j.class.since
+	if j.class.noPlacement {
+		q.GainedSince = j.class.fleetGeneration
 	}
 	parts := placement.Find(c.fleet, q)
 	if parts == nil {
-		j.class.since = c.fleet.Generation()
+		j.class.fleetGeneration = c.fleet.Generation()
 		return false
 	}
 	c.beginAttempt(j, parts, !lent)
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -28,31 +28,31 @@
 	key     classKey
 	account *account
 	jobs    *btree.BTreeG[*job]
-	// failed says that the first job found no place; since and sinceAccount
+	// noPlacement says that the first job found no place; since and sinceAccount
 	// are the generations of the fleet and of the account's use at that time.
-	failed       bool
-	since        uint64
-	sinceAccount uint64
-	rank         int
-	share        float64
+	noPlacement       bool
+	fleetGeneration   uint64
+	accountGeneration uint64
+	rank              int
+	weightedShare     float64
 }
 
 type queue struct {
-	classes map[classKey]*class
-	ordered []*class
-	size    int
+	classes   map[classKey]*class
+	classList []*class
+	size      int
 }
 
 func newQueue() *queue { return &queue{classes: map[classKey]*class{}} }
 
-func lessJob(a, b *job) bool {
+func submittedBefore(a, b *job) bool {
 	if order := a.rec.Job.Submitted.Compare(b.rec.Job.Submitted); order != 0 {
 		return order < 0
 	}
 	return a.id() < b.id()
 }
 
-func keyOf(j *job) classKey {
+func classKeyOf(j *job) classKey {
 	key := classKey{j.rec.Job.Profile, j.gang(), j.rec.Job.Idempotent, j.rec.Job.Checkpointable, ""}
 	if len(j.avoidedWorkers) > 0 {
 		key.jobID = j.id()
@@ -60,13 +60,13 @@
 	return key
 }
 
-func (q *queue) add(j *job) {
-	key := keyOf(j)
+func (q *queue) insert(j *job) {
+	key := classKeyOf(j)
 	cl := q.classes[key]
 	if cl == nil {
-		cl = &class{key: key, account: j.account, jobs: btree.NewG(queueDegree, lessJob)}
+		cl = &class{key: key, account: j.account, jobs: btree.NewG(queueDegree, submittedBefore)}
 		q.classes[key] = cl
-		q.ordered = append(q.ordered, cl)
+		q.classList = append(q.classList, cl)
 	}
 	cl.jobs.ReplaceOrInsert(j)
 	j.class = cl
@@ -85,8 +85,8 @@
 		return
 	}
 	delete(q.classes, cl.key)
-	i := slices.Index(q.ordered, cl)
-	q.ordered = slices.Delete(q.ordered, i, i+1)
+	i := slices.Index(q.classList, cl)
+	q.classList = slices.Delete(q.classList, i, i+1)
 }
 
 func (cl *class) head() *job {
@@ -101,10 +101,10 @@
 func (h classHeap) Len() int { return len(h) }
 func (h classHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	if order := cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.share, b.share)); order != 0 {
+	if order := cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.weightedShare, b.weightedShare)); order != 0 {
 		return order < 0
 	}
-	return lessJob(a.head(), b.head())
+	return submittedBefore(a.head(), b.head())
 }
 func (h classHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *classHeap) Push(x any)   { *h = append(*h, x.(*class)) }
@@ -129,30 +129,30 @@
 	if !c.mayStart() {
 		return
 	}
-	c.planSlots()
+	c.updateGuarantees()
 	if c.queue.size == 0 {
 		return
 	}
 	var ready classHeap
-	for _, cl := range c.queue.ordered {
-		if c.worthTrying(cl) {
+	for _, cl := range c.queue.classList {
+		if c.shouldTry(cl) {
 			c.rankClass(cl)
 			ready = append(ready, cl)
 		}
 	}
 	heap.Init(&ready)
 	for len(ready) > 0 {
-		c.serve(&ready)
+		c.startNext(&ready)
 	}
 }
 
-// serve tries the first job of the first class.
-func (c *Core) serve(ready *classHeap) {
+// startNext tries the first job of the first class.
+func (c *Core) startNext(ready *classHeap) {
 	cl := (*ready)[0]
 	j := cl.head()
 	if !c.tryStart(j) {
-		cl.failed = true
-		cl.sinceAccount = cl.account.gen
+		cl.noPlacement = true
+		cl.accountGeneration = cl.account.generation
 		heap.Pop(ready)
 		return
 	}
@@ -164,17 +164,17 @@
 	heap.Fix(ready, 0)
 }
 
-func (c *Core) worthTrying(cl *class) bool {
-	return !cl.failed || c.fleet.Generation() > cl.since || cl.account.gen > cl.sinceAccount
+func (c *Core) shouldTry(cl *class) bool {
+	return !cl.noPlacement || c.fleet.Generation() > cl.fleetGeneration || cl.account.generation > cl.accountGeneration
 }
 
 func (c *Core) rankClass(cl *class) {
 	p := c.config.Profiles[cl.key.profile]
-	cl.share = cl.account.share(c.fleet.InServiceCapacity(), p.Weight)
+	cl.weightedShare = cl.account.weightedShare(c.fleet.InServiceCapacity(), p.Weight)
 	switch {
 	case p.Urgent:
 		cl.rank = rankUrgent
-	case c.slotOpen(cl.key.profile, cl.key.gang.PerTask):
+	case c.hasOpenGuarantee(cl.key.profile, cl.key.gang.PerTask):
 		cl.rank = rankGuaranteed
 	case cl.head().waitingReservation != nil:
 		cl.rank = rankReserved
@@ -187,10 +187,10 @@
 type account struct {
 	name string
 	used api.Resources
-	// surplus is the part of used outside of guarantees.
-	surplus api.Resources
-	// gen rises when the account's use falls.
-	gen uint64
+	// unguaranteed is the part of used outside of guarantees.
+	unguaranteed api.Resources
+	// generation rises when the account's use falls.
+	generation uint64
 }
 
 func (c *Core) accountOf(j *job) *account {
@@ -208,35 +208,35 @@
 	return a
 }
 
-// reviewAccounts brings the queue up to date with a new configuration.
-func (c *Core) reviewAccounts() {
+// refreshAccounts brings the queue up to date with a new configuration.
+func (c *Core) refreshAccounts() {
 	for _, j := range c.jobs {
 		j.account = c.accountOf(j)
 	}
-	for _, cl := range c.queue.ordered {
-		cl.failed = false
+	for _, cl := range c.queue.classList {
+		cl.noPlacement = false
 		cl.account = cl.head().account
 	}
 }
 
-func (a *account) add(g *group) {
+func (a *account) addGroup(g *group) {
 	a.used = a.used.Add(g.resources)
 	if g.reservedPart == nil {
-		a.surplus = a.surplus.Add(g.resources)
+		a.unguaranteed = a.unguaranteed.Add(g.resources)
 	}
 }
 
-func (a *account) sub(g *group) {
-	a.gen++
+func (a *account) removeGroup(g *group) {
+	a.generation++
 	a.used = a.used.Sub(g.resources)
 	if g.reservedPart == nil {
-		a.surplus = a.surplus.Sub(g.resources)
+		a.unguaranteed = a.unguaranteed.Sub(g.resources)
 	}
 }
 
-// share is the account's dominant share of the fleet outside of its
+// weightedShare is the account's dominant weightedShare of the fleet outside of its
 // guarantees, divided by the weight.
-func (a *account) share(fleet api.Resources, weight int) float64 {
+func (a *account) weightedShare(fleet api.Resources, weight int) float64 {
 	part := func(used, all int) float64 {
 		if all == 0 {
 			return 0
@@ -244,29 +244,29 @@
 		return float64(used) / float64(all)
 	}
 	dominant := max(
-		part(a.surplus.Accelerators, fleet.Accelerators),
-		part(a.surplus.MilliCPU, fleet.MilliCPU),
-		part(a.surplus.MemoryMB, fleet.MemoryMB))
+		part(a.unguaranteed.Accelerators, fleet.Accelerators),
+		part(a.unguaranteed.MilliCPU, fleet.MilliCPU),
+		part(a.unguaranteed.MemoryMB, fleet.MemoryMB))
 	return dominant / float64(max(1, weight))
 }
 
 // missingProfileWait is how long a job waits for a configuration that has its profile.
 const missingProfileWait = 30 * time.Second
 
-func (c *Core) missingProfile(j *job) {
+func (c *Core) handleMissingProfile(j *job) {
 	if c.now-j.queuedAt < missingProfileWait {
 		return
 	}
-	c.refuseQueued(j, ReasonUnknownProfile, "profile \""+j.rec.Job.Profile+"\" does not exist")
+	c.rejectQueued(j, ReasonUnknownProfile, "profile \""+j.rec.Job.Profile+"\" does not exist")
 }
 
-// refuseQueued answers a queued job that can not go on.
-func (c *Core) refuseQueued(j *job, why Reason, detail string) {
+// rejectQueued answers a queued job that can not go on.
+func (c *Core) rejectQueued(j *job, why Reason, detail string) {
 	c.emitNotice(j, "", why, detail)
 	c.leaveQueue(j)
 	if j.everStarted {
-		c.finish(j, api.OutcomeFailed, detail)
+		c.finishJob(j, api.OutcomeFailed, detail)
 		return
 	}
-	c.finish(j, api.OutcomeNotRun, detail)
+	c.finishJob(j, api.OutcomeNotRun, detail)
 }
--- a/internal/sched/renew.go
+++ b/internal/sched/renew.go
@@ -5,10 +5,10 @@
 // renewBuckets spreads the renewals of all workers over RenewInterval.
 const renewBuckets = int64(RenewInterval / TickInterval)
 
-// startResend is how long a start may stay without a report.
-const startResend = time.Second
+// startResendInterval is how long a start may stay without a report.
+const startResendInterval = time.Second
 
-func (c *Core) renewDue() {
+func (c *Core) renewDueLeases() {
 	last := c.lastRenewTick
 	c.lastRenewTick = int64(c.now / TickInterval)
 	if !c.ownership.Owner {
@@ -32,7 +32,7 @@
 			continue
 		}
 		g.leaseUntil = c.now + GroupLease + c.cfg.LeaseMargin
-		c.startAgain(g)
+		c.resendStart(g)
 		refs = append(refs, GroupRef{g.job.id(), g.attempt})
 	}
 	if len(refs) > 0 {
@@ -40,10 +40,10 @@
 	}
 }
 
-// startAgain repeats a start that has not been confirmed.
-func (c *Core) startAgain(g *group) {
+// resendStart repeats a start that has not been confirmed.
+func (c *Core) resendStart(g *group) {
 	j := g.job
-	if g.state != groupStarting || c.now < j.startedAt+startResend {
+	if g.state != groupStarting || c.now < j.startedAt+startResendInterval {
 		return
 	}
 	if g.worker.ZoneOut {
--- a/internal/sched/reports.go
+++ b/internal/sched/reports.go
@@ -10,10 +10,10 @@
 // handleReport takes in the state of a group from its worker's agent.
 func (c *Core) handleReport(r GroupReport) {
 	w := c.workers[r.Worker]
-	if w == nil || c.keepEarly(r) {
+	if w == nil || c.keepEarlyReport(r) {
 		return
 	}
-	g := w.find(r.JobID, r.Attempt)
+	g := w.findGroup(r.JobID, r.Attempt)
 	if g == nil {
 		c.handleStrayReport(r)
 		return
@@ -59,11 +59,11 @@
 }
 
 func (c *Core) stopStray(w *worker, ref GroupRef) {
-	if !slices.ContainsFunc(w.strays, func(s strayGroup) bool { return s.ref == ref }) {
-		w.strays = append(w.strays, strayGroup{ref, c.now + GroupLease + c.cfg.LeaseMargin})
+	if !slices.ContainsFunc(w.strayGroups, func(s strayGroup) bool { return s.ref == ref }) {
+		w.strayGroups = append(w.strayGroups, strayGroup{ref, c.now + GroupLease + c.cfg.LeaseMargin})
 		c.after(stopResendInterval, func() { c.resendStrayStops(w) })
 	}
-	c.pause(w, holdFailurePause)
+	c.pauseWorker(w, holdFailurePause)
 	c.sendStrayStop(w, ref)
 }
 
@@ -72,12 +72,12 @@
 }
 
 func (c *Core) resendStrayStops(w *worker) {
-	w.strays = slices.DeleteFunc(w.strays, func(s strayGroup) bool { return s.until <= c.now })
-	if len(w.strays) == 0 {
+	w.strayGroups = slices.DeleteFunc(w.strayGroups, func(s strayGroup) bool { return s.until <= c.now })
+	if len(w.strayGroups) == 0 {
 		return
 	}
-	c.pause(w, holdFailurePause)
-	for _, s := range w.strays {
+	c.pauseWorker(w, holdFailurePause)
+	for _, s := range w.strayGroups {
 		if w.Linked {
 			c.sendStrayStop(w, s.ref)
 		}
@@ -86,10 +86,10 @@
 }
 
 func (c *Core) strayEnded(w *worker, ref GroupRef) {
-	before := len(w.strays)
-	w.strays = slices.DeleteFunc(w.strays, func(s strayGroup) bool { return s.ref == ref })
-	if before > 0 && len(w.strays) == 0 {
-		c.unpause(w)
+	before := len(w.strayGroups)
+	w.strayGroups = slices.DeleteFunc(w.strayGroups, func(s strayGroup) bool { return s.ref == ref })
+	if before > 0 && len(w.strayGroups) == 0 {
+		c.unpauseWorker(w)
 	}
 }
 
@@ -101,7 +101,7 @@
 	case g.state == groupUnknown:
 		g.state = groupHeld
 		c.renewHeld(g)
-		c.adopted(g.job)
+		c.continueAdopted(g.job)
 	case g.state == groupStarting && c.ownership.Owner && !g.worker.ZoneOut:
 		c.startGroup(g)
 	}
@@ -112,9 +112,9 @@
 	why := ReasonHoldRefused
 	if g.state == groupHolding && !g.stopping {
 		c.emitNotice(g.job, g.worker.Name, why, r.Detail)
-		c.pause(g.worker, holdFailurePause)
+		c.pauseWorker(g.worker, holdFailurePause)
 	}
-	c.gone(g, groupEnded)
+	c.releaseGroup(g, groupEnded)
 	c.groupLost(g, why)
 }
 
@@ -130,7 +130,7 @@
 	switch g.state {
 	case groupUnknown:
 		g.state = groupRunning
-		c.adopted(g.job)
+		c.continueAdopted(g.job)
 	case groupStarting, groupHeld:
 		g.state = groupRunning
 	}
@@ -140,13 +140,13 @@
 func (c *Core) handleDone(g *group, r GroupReport) {
 	g.result = r.Result
 	unknown := g.state == groupUnknown
-	c.gone(g, groupDone)
+	c.releaseGroup(g, groupDone)
 	if g.detached {
 		return
 	}
 	c.workerSucceeded(g.worker)
 	if unknown {
-		c.adopted(g.job)
+		c.continueAdopted(g.job)
 	}
 	c.concludeAttempt(g.job)
 }
@@ -155,7 +155,7 @@
 	if r.Checkpoint != "" && !g.detached {
 		g.job.setCheckpoint(g.firstTask, g.tasks, r.Checkpoint)
 	}
-	c.gone(g, groupEnded)
+	c.releaseGroup(g, groupEnded)
 	c.groupLost(g, ReasonWorkerLost)
 }
 
@@ -163,7 +163,7 @@
 const maxFailedWorkers = 3
 
 func (c *Core) handleFailed(g *group, r GroupReport) {
-	c.gone(g, groupEnded)
+	c.releaseGroup(g, groupEnded)
 	j := g.job
 	if g.detached || (j.phase != phaseRunning && j.phase != phaseEnding) {
 		c.groupLost(g, ReasonTaskFailed)
@@ -171,17 +171,17 @@
 	}
 	c.emitNotice(j, g.worker.Name, ReasonTaskFailed, r.Detail)
 	j.avoidedWorkers = appendUnique(j.avoidedWorkers, g.worker.Name)
-	c.strike(g.worker, j, r.WorkerFault)
+	c.recordWorkerFailure(g.worker, j, r.WorkerFault)
 	if !r.WorkerFault {
 		j.failures++
 	}
 	if !r.WorkerFault && !g.worker.Quarantined {
 		j.failedWorkers = appendUnique(j.failedWorkers, g.worker.Name)
 	}
-	if !j.restartable() || len(j.failedWorkers) >= maxFailedWorkers || j.failures >= maxRetries {
+	if !j.restartable() || len(j.failedWorkers) >= maxFailedWorkers || j.failures >= maxJobFailures {
 		j.finalOutcome = api.OutcomeFailed
 		j.finalDetail = r.Detail
-		c.clearStrikes(j)
+		c.clearWorkerFailures(j)
 	}
 	if j.phase == phaseEnding {
 		c.concludeAttempt(j)
--- a/internal/sched/slots.go
+++ b/internal/sched/slots.go
@@ -16,15 +16,15 @@
 	profile string
 	job     *job
 	gang    api.Shape
-	shares  []*share
+	shares  []*reservationPart
 }
 
-// share is the part of a reservation on one worker.
-type share struct {
-	res    *reservation
-	worker *worker
-	amount api.Resources
-	used   api.Resources
+// reservationPart is the part of a reservation on one worker.
+type reservationPart struct {
+	reservation *reservation
+	worker      *worker
+	amount      api.Resources
+	used        api.Resources
 }
 
 func (r *reservation) placed() bool { return len(r.shares) > 0 }
@@ -38,8 +38,8 @@
 	return true
 }
 
-// shareOn returns the reservation's part on a worker, nil if there is none.
-func (r *reservation) shareOn(w *worker) *share {
+// partOn returns the reservation's part on a worker, nil if there is none.
+func (r *reservation) partOn(w *worker) *reservationPart {
 	if r == nil {
 		return nil
 	}
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// whole reports whether all workers of the reservation are in service.
-func (r *reservation) whole() bool {
+// inService reports whether all workers of the reservation are in service.
+func (r *reservation) inService() bool {
 	for _, s := range r.shares {
 		if !s.worker.InService() {
 			return false
@@ -61,42 +61,42 @@
 	return true
 }
 
-func (c *Core) place(r *reservation, parts []placement.Assignment) {
+func (c *Core) placeReservation(r *reservation, parts []placement.Assignment) {
 	for _, p := range parts {
 		w := c.workers[p.Worker.Name]
-		s := &share{res: r, worker: w, amount: r.gang.PerTask.Times(p.Tasks)}
+		s := &reservationPart{reservation: r, worker: w, amount: r.gang.PerTask.Times(p.Tasks)}
 		r.shares = append(r.shares, s)
-		c.update(w, func(f *fleet.Worker) { f.Reserved = f.Reserved.Add(s.amount) })
+		c.updateWorker(w, func(f *fleet.Worker) { f.Reserved = f.Reserved.Add(s.amount) })
 	}
 }
 
-// lift gives a reservation's place up. Work that runs in it goes on as work
+// unplaceReservation gives a reservation's place up. Work that runs in it goes on as work
 // that must not be preempted.
-func (c *Core) lift(r *reservation) {
+func (c *Core) unplaceReservation(r *reservation) {
 	shares := r.shares
 	r.shares = nil
 	for _, s := range shares {
-		c.dropClaimsIn(s)
+		c.dropReservationClaims(s)
 		for _, g := range s.worker.groups {
 			if g.reservedPart == s {
 				c.detachFromReservation(g)
 			}
 		}
-		c.update(s.worker, func(f *fleet.Worker) { f.Reserved = f.Reserved.Sub(s.amount) })
+		c.updateWorker(s.worker, func(f *fleet.Worker) { f.Reserved = f.Reserved.Sub(s.amount) })
 	}
 }
 
 // repackInterval bounds how often all guarantees are packed anew for a missing one.
 const repackInterval = 5 * time.Second
 
-// acceleratorMilliCPU is what one accelerator counts as when sizes are compared.
-const acceleratorMilliCPU = 8000
+// acceleratorWeightMilliCPU is what one accelerator counts as when sizes are compared.
+const acceleratorWeightMilliCPU = 8000
 
 // compactInterval bounds how often that is done for a waiting gang.
 const compactInterval = 30 * time.Second
 
-// planSlots keeps a place for each gang that is guaranteed.
-func (c *Core) planSlots() {
+// updateGuarantees keeps a place for each gang that is guaranteed.
+func (c *Core) updateGuarantees() {
 	// Capacity that became free may hold a guarantee that has no place.
 	retry := c.unplacedCount > 0 && c.fleet.Generation() > c.placedGeneration
 	repackDue := c.repackPending && c.now >= c.lastRepack+repackInterval
@@ -105,14 +105,14 @@
 	}
 	c.guaranteesDirty = false
 	for _, r := range c.guarantees {
-		if r.placed() && !r.whole() {
-			c.lift(r)
+		if r.placed() && !r.inService() {
+			c.unplaceReservation(r)
 		}
 	}
-	c.placeSlots()
+	c.placeGuarantees()
 	if c.unplacedCount > 0 && len(c.waitingReservations) > 0 {
-		c.dropAllWaiting()
-		c.placeSlots()
+		c.dropAllReservations()
+		c.placeGuarantees()
 	}
 	c.repackPending = c.unplacedCount > 0
 	if c.repackPending && c.now >= c.lastRepack+repackInterval {
@@ -123,21 +123,21 @@
 	c.placedGeneration = c.fleet.Generation()
 }
 
-// placeSlots looks for a place for each guarantee without one, the largest first.
-func (c *Core) placeSlots() {
+// placeGuarantees looks for a place for each guarantee without one, the largest first.
+func (c *Core) placeGuarantees() {
 	c.unplacedCount, c.unplacedSize = 0, 0
 	c.unboundJobs = slices.DeleteFunc(c.unboundJobs, func(j *job) bool { return j.phase != phaseRunning || j.reservation != nil })
-	for _, r := range c.bySize() {
+	for _, r := range c.guaranteesByDifficulty() {
 		if r.placed() || c.bindToRunningGang(r) {
 			continue
 		}
 		parts := placement.Find(c.fleet, placement.Request{Gang: r.gang, View: fleet.Preemptible})
 		if parts == nil {
 			c.unplacedCount++
-			c.unplacedSize += r.size()
+			c.unplacedSize += r.weightedSize()
 			continue
 		}
-		c.place(r, parts)
+		c.placeReservation(r, parts)
 	}
 }
 
@@ -151,9 +151,9 @@
 	})
 }
 
-// size compares reservations of different shapes.
-func (r *reservation) size() int {
-	return r.gang.Tasks * (acceleratorMilliCPU*r.gang.PerTask.Accelerators + r.gang.PerTask.MilliCPU)
+// weightedSize compares reservations of different shapes.
+func (r *reservation) weightedSize() int {
+	return r.gang.Tasks * (acceleratorWeightMilliCPU*r.gang.PerTask.Accelerators + r.gang.PerTask.MilliCPU)
 }
 
 // compact packs the unused guarantees anew if that opens a place for a gang.
@@ -165,7 +165,7 @@
 	var parts []placement.Assignment
 	before := c.unplacedCount
 	c.rearrange(func() bool {
-		parts = c.soonestPlace(j)
+		parts = c.soonestPlacement(j)
 		return parts != nil && c.unplacedCount <= before
 	})
 	return parts
@@ -181,29 +181,29 @@
 	var old []kept
 	for _, r := range c.guarantees {
 		if r.placed() && r.unused() {
-			old = append(old, kept{r, r.parts()})
-			c.lift(r)
+			old = append(old, kept{r, r.assignments()})
+			c.unplaceReservation(r)
 		}
 	}
-	c.placeSlots()
+	c.placeGuarantees()
 	if helps() {
 		return
 	}
 	for _, k := range old {
-		c.lift(k.r)
+		c.unplaceReservation(k.r)
 	}
 	for _, r := range c.guarantees {
 		if r.placed() && r.unused() {
-			c.lift(r)
+			c.unplaceReservation(r)
 		}
 	}
 	for _, k := range old {
-		c.place(k.r, k.parts)
+		c.placeReservation(k.r, k.parts)
 	}
 	c.unplacedCount, c.unplacedSize = missing, lacking
 }
 
-func (r *reservation) parts() []placement.Assignment {
+func (r *reservation) assignments() []placement.Assignment {
 	out := make([]placement.Assignment, 0, len(r.shares))
 	for _, s := range r.shares {
 		tasks := placement.TasksThatFit(s.amount, r.gang.PerTask)
@@ -212,7 +212,7 @@
 	return out
 }
 
-func (c *Core) bySize() []*reservation {
+func (c *Core) guaranteesByDifficulty() []*reservation {
 	out := slices.Clone(c.guarantees)
 	slices.SortStableFunc(out, func(a, b *reservation) int {
 		return feasibility.CompareShapes(a.gang, b.gang)
@@ -220,8 +220,8 @@
 	return out
 }
 
-// configureSlots makes the guarantees match the configuration.
-func (c *Core) configureSlots() {
+// configureGuarantees makes the guarantees match the configuration.
+func (c *Core) configureGuarantees() {
 	var next []*reservation
 	left := map[string][]*reservation{}
 	for _, r := range c.guarantees {
@@ -244,7 +244,7 @@
 	}
 	for _, r := range c.guarantees {
 		if !slices.Contains(next, r) {
-			c.lift(r)
+			c.unplaceReservation(r)
 		}
 	}
 	c.guarantees = next
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// earlyReportTime is how long after the start of its permissions an owner
+// earlyReportPeriod is how long after the start of its permissions an owner
 // keeps reports of jobs that it has not been given yet.
-const earlyReportTime = 2 * time.Second
+const earlyReportPeriod = 2 * time.Second
 
 // adopt rebuilds an attempt that runs, or may run, under the permissions of
 // the previous owner. The agents' reports tell what is left of it.
@@ -16,19 +16,19 @@
 	j.adopting = true
 	j.started = true
 	j.startedAt = c.now
-	j.nonPreemptible = !c.lent(j)
+	j.nonPreemptible = !c.mayBorrow(j)
 	until := max(c.now, c.ownership.StartAfter) + GroupLease + c.cfg.LeaseMargin
 	for _, p := range j.rec.Placements {
 		w := c.workers[p.Worker]
 		if w == nil {
-			w = c.worker(p.Worker, p.Zone, "")
+			w = c.ensureWorker(p.Worker, p.Zone, "")
 		}
 		g := &group{
 			job: j, attempt: j.attempt, worker: w, firstTask: p.FirstTask, tasks: p.Tasks,
 			resources: j.perTask.Times(p.Tasks), state: groupUnknown, nonPreemptible: j.nonPreemptible, leaseUntil: until,
 		}
 		j.groups = append(j.groups, g)
-		c.take(g)
+		c.allocateGroup(g)
 		if !w.Linked {
 			j.unlinkedGroups++
 		}
@@ -57,9 +57,9 @@
 	})
 }
 
-// adopted goes on with an attempt once all its members have reported. Members
+// continueAdopted goes on with an attempt once all its members have reported. Members
 // that are held only may start: the attempt's row is durable.
-func (c *Core) adopted(j *job) {
+func (c *Core) continueAdopted(j *job) {
 	if !j.adopting || j.phase != phaseRunning {
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 	j.adopting = false
 	c.startAdopted(j)
-	c.moveIfOut(j)
+	c.moveIfWorkerLeaves(j)
 }
 
 // startAdopted starts the members of an adopted attempt that are held only, as
@@ -104,24 +104,24 @@
 	}
 }
 
-// keepEarly keeps the report of a job that may still be read from the table.
+// keepEarlyReport keeps the report of a job that may still be read from the table.
 // It returns false once all rows have been given to the core.
-func (c *Core) keepEarly(r GroupReport) bool {
+func (c *Core) keepEarlyReport(r GroupReport) bool {
 	if c.jobs[r.JobID] != nil || c.rowsComplete() {
 		return false
 	}
 	c.earlyReports = append(c.earlyReports, r)
 	// What the group uses is not in the books yet.
-	c.pause(c.workers[r.Worker], max(0, c.ownership.StartAfter-c.now)+earlyReportTime)
+	c.pauseWorker(c.workers[r.Worker], max(0, c.ownership.StartAfter-c.now)+earlyReportPeriod)
 	return true
 }
 
 func (c *Core) rowsComplete() bool {
-	return c.ownership.Owner && c.now >= c.ownership.StartAfter+earlyReportTime
+	return c.ownership.Owner && c.now >= c.ownership.StartAfter+earlyReportPeriod
 }
 
-// replayEarly takes in the reports that came before the job's row.
-func (c *Core) replayEarly(j *job) {
+// replayEarlyReports takes in the reports that came before the job's row.
+func (c *Core) replayEarlyReports(j *job) {
 	var own, rest []GroupReport
 	for _, r := range c.earlyReports {
 		if r.JobID == j.id() {
@@ -132,19 +132,19 @@
 	}
 	c.earlyReports = rest
 	for _, r := range own {
-		if !hasReportOf(rest, r.Worker) {
-			c.unpause(c.workers[r.Worker])
+		if !hasReportFrom(rest, r.Worker) {
+			c.unpauseWorker(c.workers[r.Worker])
 		}
 		c.handleReport(r)
 	}
 }
 
-func hasReportOf(reports []GroupReport, workerName string) bool {
+func hasReportFrom(reports []GroupReport, workerName string) bool {
 	return slices.ContainsFunc(reports, func(r GroupReport) bool { return r.Worker == workerName })
 }
 
-// dropEarly stops the groups whose jobs turned out to have no row.
-func (c *Core) dropEarly() {
+// flushEarlyReports stops the groups whose jobs turned out to have no row.
+func (c *Core) flushEarlyReports() {
 	if len(c.earlyReports) == 0 || !c.rowsComplete() {
 		return
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// lent reports whether a job may use capacity that is guaranteed to others,
+// mayBorrow reports whether a job may use capacity that is guaranteed to others,
 // and so may be stopped when that is claimed.
-func (c *Core) lent(j *job) bool {
+func (c *Core) mayBorrow(j *job) bool {
 	if c.config == nil || !j.restartable() {
 		return false
 	}
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -12,78 +12,78 @@
 
 const (
 	reviewInterval = time.Second
-	// reserveAfter is how long a gang waits before capacity is reserved for it.
-	reserveAfter = 30 * time.Second
+	// reservationDelay is how long a gang waits before capacity is reserved for it.
+	reservationDelay = 30 * time.Second
 	// maxWaitingReservations bounds the gangs with a reservation at a time.
 	maxWaitingReservations = 8
-	// minRunBeforeEviction protects preemptible work from preemptible gangs.
-	minRunBeforeEviction = 10 * time.Minute
-	// lentReview is the time between two attempts to evict for a preemptible gang.
-	lentReview = 30 * time.Second
-	// unplaceableTime is how long a job waits for workers that the fleet lacks.
-	unplaceableTime = 6 * time.Hour
+	// minRunBeforePreemption protects preemptible work from preemptible gangs.
+	minRunBeforePreemption = 10 * time.Minute
+	// preemptionRetryInterval is the time between two attempts to evict for a preemptible gang.
+	preemptionRetryInterval = 30 * time.Second
+	// unplaceableTimeout is how long a job waits for workers that the fleet lacks.
+	unplaceableTimeout = 6 * time.Hour
 	// restartCost is the time that a moved gang loses besides its checkpoint.
 	restartCost = 30 * time.Second
 	// defaultRun is expected of a job that declares no run time.
 	defaultRun = time.Hour
 )
 
-// review looks at the jobs that wait, once per reviewInterval.
-func (c *Core) review() {
+// reviewQueue looks at the jobs that wait, once per reviewInterval.
+func (c *Core) reviewQueue() {
 	if !c.mayStart() || c.now < c.lastReview+reviewInterval {
 		return
 	}
 	c.lastReview = c.now
 	c.forgetWorkers()
-	for _, cl := range slices.Clone(c.queue.ordered) {
-		if j := cl.head(); cl.failed && j != nil {
-			c.reviewWaiting(j)
+	for _, cl := range slices.Clone(c.queue.classList) {
+		if j := cl.head(); cl.noPlacement && j != nil {
+			c.reviewWaitingJob(j)
 		}
 	}
 	for _, r := range slices.Clone(c.waitingReservations) {
-		c.migrateFor(r)
+		c.migrateForReservation(r)
 	}
 }
 
-func (c *Core) reviewWaiting(j *job) {
+func (c *Core) reviewWaitingJob(j *job) {
 	p, ok := c.config.Profiles[j.rec.Job.Profile]
 	if !ok {
-		c.missingProfile(j)
+		c.handleMissingProfile(j)
 		return
 	}
-	if c.now-j.queuedAt >= unplaceableTime && c.refuseUnplaceable(j) {
+	if c.now-j.queuedAt >= unplaceableTimeout && c.rejectUnplaceable(j) {
 		return
 	}
-	c.forgiveWorkers(j)
-	if c.missingSlot(j) != nil {
+	c.allowAvoidedWorkers(j)
+	if c.unplacedGuarantee(j) != nil {
 		// Other guarantees may be moved for it by now.
-		j.class.failed = false
+		j.class.noPlacement = false
 	}
-	if j.waitingReservation != nil && !j.waitingReservation.whole() {
-		c.dropWaiting(j)
+	if j.waitingReservation != nil && !j.waitingReservation.inService() {
+		c.dropReservation(j)
 	}
-	if c.now-j.queuedAt < reserveAfter || !withinQuota(j, p) || !c.large(j) {
+	if c.now-j.queuedAt < reservationDelay || !withinQuota(j, p) || !c.isLarge(j) {
 		return
 	}
-	if c.lent(j) {
-		c.reviewLent(j)
+	if c.mayBorrow(j) {
+		c.retryPreemption(j)
 	} else if j.waitingReservation == nil {
 		c.reserve(j)
 	}
 }
 
-// refuseUnplaceable answers a job that the fleet as it has become can not hold.
-func (c *Core) refuseUnplaceable(j *job) bool {
+// rejectUnplaceable answers a job that the fleet as it has become can not hold.
+func (c *Core) rejectUnplaceable(j *job) bool {
 	why, never := c.neverFits(j)
 	if never {
-		c.refuseQueued(j, ReasonNeverFits, why)
+		c.rejectQueued(j, ReasonNeverFits, why)
 	}
 	return never
 }
 
-// large reports whether a gang needs more than half of the largest worker, so
+// isLarge reports whether a gang needs more than half of the largest worker, so
 // that smaller work could keep it waiting for ever.
-func (c *Core) large(j *job) bool {
+func (c *Core) isLarge(j *job) bool {
 	need, largest := j.totalResources(), c.fleet.LargestCapacity()
 	if need.Accelerators > 0 {
 		return need.Accelerators*2 > largest.Accelerators
@@ -91,26 +91,26 @@
 	return need.MilliCPU*2 > largest.MilliCPU
 }
 
-// reviewLent tries a preemptible gang again: work that may make room for it
+// retryPreemption tries a preemptible gang again: work that may make room for it
 // may have run for long enough by now.
-func (c *Core) reviewLent(j *job) {
-	if c.now < j.lastReview+lentReview {
+func (c *Core) retryPreemption(j *job) {
+	if c.now < j.lastReview+preemptionRetryInterval {
 		return
 	}
 	j.lastReview = c.now
 	j.mayPreempt = true
-	j.class.failed = false
+	j.class.noPlacement = false
 }
 
-// tryLarge starts a large preemptible gang that has waited in the place of
+// tryPreemptForLarge starts a large preemptible gang that has waited in the place of
 // smaller preemptible work. Gangs of like size do not evict each other.
-func (c *Core) tryLarge(j *job) bool {
-	if !j.mayPreempt || !c.lent(j) {
+func (c *Core) tryPreemptForLarge(j *job) bool {
+	if !j.mayPreempt || !c.mayBorrow(j) {
 		return false
 	}
 	j.mayPreempt = false
-	rule := victimRule{minRun: minRunBeforeEviction, below: (j.totalResources().Accelerators + 1) / 2}
-	return c.tryEvict(j, rule, CheckpointGrace)
+	rule := victimRule{minRunTime: minRunBeforePreemption, acceleratorLimit: (j.totalResources().Accelerators + 1) / 2}
+	return c.tryPreempt(j, rule, CheckpointGrace)
 }
 
 // reserve sets the place aside that is expected to be free first. Preemptible
@@ -119,7 +119,7 @@
 	if len(c.waitingReservations) >= maxWaitingReservations {
 		return
 	}
-	parts := c.soonestPlace(j)
+	parts := c.soonestPlacement(j)
 	if parts == nil {
 		parts = c.compact(j)
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	r := &reservation{job: j, gang: j.gang()}
-	c.place(r, parts)
+	c.placeReservation(r, parts)
 	j.waitingReservation = r
 	c.waitingReservations = append(c.waitingReservations, r)
 	c.emitNotice(j, parts[0].Worker.Name, ReasonReserved, "")
@@ -136,15 +136,15 @@
 // freeingWorker is a worker with the time until its work outside of
 // reservations that must not be preempted is expected to end.
 type freeingWorker struct {
-	room placement.Candidate
-	wait time.Duration
+	candidate  placement.Candidate
+	timeToFree time.Duration
 }
 
-func (c *Core) soonestPlace(j *job) []placement.Assignment {
+func (c *Core) soonestPlacement(j *job) []placement.Assignment {
 	var best []placement.Assignment
 	var bestWait time.Duration
-	for _, domain := range c.domains(j.gang().Adjacency) {
-		parts, wait := c.soonestIn(j, domain)
+	for _, domain := range c.adjacencyDomains(j.gang().Adjacency) {
+		parts, wait := c.soonestInDomain(j, domain)
 		if parts != nil && (best == nil || wait < bestWait) {
 			best, bestWait = parts, wait
 		}
@@ -152,8 +152,8 @@
 	return best
 }
 
-// domains returns the sets of workers that are adjacent enough.
-func (c *Core) domains(adjacency api.Adjacency) [][]*fleet.Worker {
+// adjacencyDomains returns the sets of workers that are adjacent enough.
+func (c *Core) adjacencyDomains(adjacency api.Adjacency) [][]*fleet.Worker {
 	var out [][]*fleet.Worker
 	for _, z := range c.fleet.Zones() {
 		var zone []*fleet.Worker
@@ -170,7 +170,7 @@
 	return out
 }
 
-func (c *Core) soonestIn(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
+func (c *Core) soonestInDomain(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
 	avoid := c.excludedWorkers(j)
 	var all []freeingWorker
 	for _, w := range domain {
@@ -179,40 +179,40 @@
 		}
 		avail := w.Capacity.Sub(w.Reserved)
 		if placement.TasksThatFit(avail, j.perTask) > 0 {
-			all = append(all, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.firmWait(c.workers[w.Name])})
+			all = append(all, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.nonPreemptibleWait(c.workers[w.Name])})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b freeingWorker) int { return cmp.Compare(a.wait, b.wait) })
+	slices.SortStableFunc(all, func(a, b freeingWorker) int { return cmp.Compare(a.timeToFree, b.timeToFree) })
 	var rooms []placement.Candidate
 	gang := j.gang()
 	for _, f := range all {
-		rooms = append(rooms, f.room)
+		rooms = append(rooms, f.candidate)
 		if gang.Adjacency == api.AdjacentWorker {
 			rooms = rooms[len(rooms)-1:]
 		}
 		if parts := placement.Pack(rooms, gang); parts != nil {
-			return parts, f.wait
+			return parts, f.timeToFree
 		}
 	}
 	return nil, 0
 }
 
-// firmWait is the time until all work that must not be preempted is expected
+// nonPreemptibleWait is the time until all work that must not be preempted is expected
 // to have ended or to have been moved.
-func (c *Core) firmWait(w *worker) time.Duration {
+func (c *Core) nonPreemptibleWait(w *worker) time.Duration {
 	var wait time.Duration
 	for _, g := range w.groups {
 		if g.nonPreemptible && !g.stopping {
-			wait = max(wait, c.clearTime(g))
+			wait = max(wait, c.timeToVacate(g))
 		}
 	}
 	return wait
 }
 
-func (c *Core) clearTime(g *group) time.Duration {
+func (c *Core) timeToVacate(g *group) time.Duration {
 	j := g.job
-	left := c.remaining(j)
-	move := moveCost(j)
+	left := c.remainingRunTime(j)
+	move := migrationCost(j)
 	if move >= left || !c.migratable(g) {
 		return left
 	}
@@ -223,8 +223,8 @@
 	return move
 }
 
-// moveCost is the accelerator time that a migration loses.
-func moveCost(j *job) time.Duration {
+// migrationCost is the accelerator time that a migration loses.
+func migrationCost(j *job) time.Duration {
 	return (CheckpointGrace + restartCost) * time.Duration(max(1, j.totalResources().Accelerators))
 }
 
@@ -233,7 +233,7 @@
 	return g.nonPreemptible && !g.nonRestartable && !g.detached && j.phase == phaseRunning && j.restartable() && j.rec.Job.Checkpointable
 }
 
-func (c *Core) remaining(j *job) time.Duration {
+func (c *Core) remainingRunTime(j *job) time.Duration {
 	ran := j.earlierRunTime
 	if j.started {
 		ran += c.now - j.startedAt
@@ -242,8 +242,8 @@
 	return max(c.expectedRunTime(j)-ran, ran/2)
 }
 
-// tryWaiting starts a job in the place that is reserved for it.
-func (c *Core) tryWaiting(j *job) bool {
+// tryReserved starts a job in the place that is reserved for it.
+func (c *Core) tryReserved(j *job) bool {
 	r := j.waitingReservation
 	if r == nil {
 		return false
@@ -254,34 +254,34 @@
 			return false
 		}
 	}
-	cl, ok := c.plan(j, r.parts(), victimRule{})
+	cl, ok := c.planClaim(j, r.assignments(), victimRule{})
 	if !ok {
 		return false
 	}
-	c.claim(j, cl, CheckpointGrace)
+	c.startClaim(j, cl, CheckpointGrace)
 	return true
 }
 
-// dropWaiting gives up the reservation of a waiting gang, if it has one.
-func (c *Core) dropWaiting(j *job) {
+// dropReservation gives up the reservation of a waiting gang, if it has one.
+func (c *Core) dropReservation(j *job) {
 	r := j.waitingReservation
 	if r == nil {
 		return
 	}
 	j.waitingReservation = nil
 	c.waitingReservations = slices.DeleteFunc(c.waitingReservations, func(o *reservation) bool { return o == r })
-	c.lift(r)
+	c.unplaceReservation(r)
 }
 
-func (c *Core) dropAllWaiting() {
+func (c *Core) dropAllReservations() {
 	for _, r := range slices.Clone(c.waitingReservations) {
-		c.dropWaiting(r.job)
+		c.dropReservation(r.job)
 	}
 }
 
-// migrateFor moves one job that stands in the way of a waiting gang, if it has
+// migrateForReservation moves one job that stands in the way of a waiting gang, if it has
 // room elsewhere and the gang's gain repays the move.
-func (c *Core) migrateFor(r *reservation) {
+func (c *Core) migrateForReservation(r *reservation) {
 	for _, s := range r.shares {
 		for _, g := range s.worker.groups {
 			if g.stopping {
@@ -291,7 +291,7 @@
 	}
 	for _, s := range r.shares {
 		for _, g := range slices.Clone(s.worker.groups) {
-			if c.repays(g, r) {
+			if c.migrationPaysOff(g, r) {
 				c.emitNotice(g.job, s.worker.Name, ReasonMigrated, r.job.id())
 				c.endAttempt(g.job, checkpointGrace(g.job), ReasonMigrated)
 				return
@@ -300,17 +300,17 @@
 	}
 }
 
-func (c *Core) repays(g *group, r *reservation) bool {
+func (c *Core) migrationPaysOff(g *group, r *reservation) bool {
 	j := g.job
 	if !c.migratable(g) {
 		return false
 	}
-	gain := c.remaining(j) * time.Duration(max(1, r.job.totalResources().Accelerators))
-	if gain <= moveCost(j) {
+	gain := c.remainingRunTime(j) * time.Duration(max(1, r.job.totalResources().Accelerators))
+	if gain <= migrationCost(j) {
 		return false
 	}
 	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool {
-		return r.shareOn(c.workers[w.Name]) != nil
+		return r.partOn(c.workers[w.Name]) != nil
 	}}
 	return placement.Find(c.fleet, elsewhere) != nil
 }
--- a/internal/sched/workers.go
+++ b/internal/sched/workers.go
@@ -7,32 +7,32 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// disconnectPatience is how long the link with a worker may be lost before the
+// disconnectTimeout is how long the link with a worker may be lost before the
 // gangs with a member there are stopped. It leaves the other members the time
 // for a checkpoint within their leases.
-const disconnectPatience = 4 * time.Second
+const disconnectTimeout = 4 * time.Second
 
 const (
-	// forgetAfter is how long a worker that is gone counts as part of the fleet.
-	forgetAfter    = 24 * time.Hour
-	forgetInterval = time.Hour
+	// lostWorkerTTL is how long a worker that is gone counts as part of the fleet.
+	lostWorkerTTL         = 24 * time.Hour
+	forgetWorkersInterval = time.Hour
 )
 
 // worker is a worker of the fleet with the groups that use it.
 type worker struct {
 	*fleet.Worker
-	index    int
-	groups   []*group
-	claims   []*job
-	strays   []strayGroup
-	strikes  []strike
-	probes   int
-	downTime time.Duration
+	index       int
+	groups      []*group
+	claims      []*job
+	strayGroups []strayGroup
+	failures    []workerFailure
+	quarantines int
+	unlinkedAt  time.Duration
 	// pausedUntil is when the worker may be chosen again after a refusal.
 	pausedUntil time.Duration
 }
 
-func (c *Core) worker(name, zone, rack string) *worker {
+func (c *Core) ensureWorker(name, zone, rack string) *worker {
 	w := c.workers[name]
 	fw := c.fleet.Add(name, zone, rack)
 	if w == nil {
@@ -45,12 +45,12 @@
 
 // forgetWorkers drops workers that have been replaced.
 func (c *Core) forgetWorkers() {
-	if c.now < c.lastForget+forgetInterval {
+	if c.now < c.lastForget+forgetWorkersInterval {
 		return
 	}
 	c.lastForget = c.now
 	c.workerList = slices.DeleteFunc(c.workerList, func(w *worker) bool {
-		gone := !w.Linked && c.now-w.downTime >= forgetAfter && len(w.groups) == 0 && len(w.claims) == 0
+		gone := !w.Linked && c.now-w.unlinkedAt >= lostWorkerTTL && len(w.groups) == 0 && len(w.claims) == 0
 		if gone {
 			delete(c.workers, w.Name)
 			c.fleet.Remove(w.Worker)
@@ -59,19 +59,19 @@
 	})
 }
 
-func (c *Core) update(w *worker, change func(*fleet.Worker)) { c.fleet.Update(w.Worker, change) }
+func (c *Core) updateWorker(w *worker, change func(*fleet.Worker)) { c.fleet.Update(w.Worker, change) }
 
-func (c *Core) workerUp(e WorkerUp) {
-	w := c.worker(e.Worker, e.Zone, e.Rack)
+func (c *Core) handleWorkerUp(e WorkerUp) {
+	w := c.ensureWorker(e.Worker, e.Zone, e.Rack)
 	wasDown := !w.Linked
 	out := c.config != nil && c.config.ZoneOut(e.Zone)
-	c.update(w, func(f *fleet.Worker) {
+	c.updateWorker(w, func(f *fleet.Worker) {
 		f.Capacity = e.Capacity
 		f.Linked = true
 		f.Healthy = true
 		f.Leaving = false
 		f.ZoneOut = out
-		f.AwaitingReopen = c.stepping(f)
+		f.AwaitingReopen = c.awaitsReopen(f)
 	})
 	c.guaranteesDirty = true
 	if !wasDown {
@@ -87,15 +87,15 @@
 	}
 }
 
-func (c *Core) workerDown(name string) {
+func (c *Core) handleWorkerDown(name string) {
 	w := c.workers[name]
 	if w == nil || !w.Linked {
 		return
 	}
-	c.update(w, func(f *fleet.Worker) { f.Linked = false })
-	w.downTime = c.now
+	c.updateWorker(w, func(f *fleet.Worker) { f.Linked = false })
+	w.unlinkedAt = c.now
 	c.guaranteesDirty = true
-	c.dropClaimsOn(w)
+	c.dropWorkerClaims(w)
 	for _, g := range append([]*group(nil), w.groups...) {
 		c.groupUnlinked(g)
 	}
@@ -121,42 +121,42 @@
 // awaitLink ends an attempt in time for checkpoints of the other members, if
 // the link with one member's worker does not come back.
 func (c *Core) awaitLink(g *group) {
-	j, w, since := g.job, g.worker, g.worker.downTime
-	c.after(disconnectPatience, func() {
-		if g.live() && !g.detached && j.phase == phaseRunning && !w.Linked && w.downTime == since {
+	j, w, since := g.job, g.worker, g.worker.unlinkedAt
+	c.after(disconnectTimeout, func() {
+		if g.live() && !g.detached && j.phase == phaseRunning && !w.Linked && w.unlinkedAt == since {
 			c.groupLost(g, ReasonWorkerLost)
 		}
 	})
 }
 
-func (c *Core) workerStatus(e WorkerStatus) {
+func (c *Core) handleWorkerStatus(e WorkerStatus) {
 	w := c.workers[e.Worker]
 	if w == nil || (w.Leaving == e.Leaving && w.Healthy == e.Healthy) {
 		return
 	}
-	c.update(w, func(f *fleet.Worker) {
+	c.updateWorker(w, func(f *fleet.Worker) {
 		f.Leaving = e.Leaving
 		f.Healthy = e.Healthy
 	})
 	c.guaranteesDirty = true
 	if !w.InService() {
-		c.vacate(w)
+		c.vacateWorker(w)
 	}
 }
 
-// pause keeps a worker from being chosen for a while.
-func (c *Core) pause(w *worker, d time.Duration) {
+// pauseWorker keeps a worker from being chosen for a while.
+func (c *Core) pauseWorker(w *worker, d time.Duration) {
 	w.pausedUntil = max(w.pausedUntil, c.now+d)
 	if w.Paused {
 		return
 	}
-	c.update(w, func(f *fleet.Worker) { f.Paused = true })
+	c.updateWorker(w, func(f *fleet.Worker) { f.Paused = true })
 	c.watchPause(w)
 }
 
-func (c *Core) unpause(w *worker) {
+func (c *Core) unpauseWorker(w *worker) {
 	w.pausedUntil = 0
-	c.update(w, func(f *fleet.Worker) { f.Paused = false })
+	c.updateWorker(w, func(f *fleet.Worker) { f.Paused = false })
 }
 
 func (c *Core) watchPause(w *worker) {
@@ -165,21 +165,21 @@
 			c.watchPause(w)
 			return
 		}
-		c.update(w, func(f *fleet.Worker) { f.Paused = false })
+		c.updateWorker(w, func(f *fleet.Worker) { f.Paused = false })
 	})
 }
 
-// take books the capacity of a group.
-func (c *Core) take(g *group) {
+// allocateGroup books the capacity of a group.
+func (c *Core) allocateGroup(g *group) {
 	w := g.worker
 	w.groups = append(w.groups, g)
 	g.account = g.job.account
-	g.account.add(g)
+	g.account.addGroup(g)
 	if g.reservedPart != nil {
 		g.reservedPart.used = g.reservedPart.used.Add(g.resources)
 	}
 	g.nonRestartable = g.nonRestartable || (g.nonPreemptible && !g.job.restartable())
-	c.update(w, func(f *fleet.Worker) {
+	c.updateWorker(w, func(f *fleet.Worker) {
 		if g.state == groupClaimed {
 			f.Claimed = f.Claimed.Add(g.resources)
 		} else {
@@ -194,8 +194,8 @@
 	})
 }
 
-// gone frees the capacity of a group that has ended for certain.
-func (c *Core) gone(g *group, state groupState) {
+// releaseGroup frees the capacity of a group that has ended for certain.
+func (c *Core) releaseGroup(g *group, state groupState) {
 	if !g.live() {
 		return
 	}
@@ -211,8 +211,8 @@
 	if !g.detached && !w.Linked && g.job.unlinkedGroups > 0 {
 		g.job.unlinkedGroups--
 	}
-	g.account.sub(g)
-	c.update(w, func(f *fleet.Worker) {
+	g.account.removeGroup(g)
+	c.updateWorker(w, func(f *fleet.Worker) {
 		if claimed {
 			f.Claimed = f.Claimed.Sub(g.resources)
 		} else {
@@ -229,10 +229,10 @@
 		g.reservedPart.used = g.reservedPart.used.Sub(g.resources)
 		g.reservedPart = nil
 	}
-	c.claimsProgress(w)
+	c.advanceClaims(w)
 }
 
-func (w *worker) find(jobID string, attempt uint32) *group {
+func (w *worker) findGroup(jobID string, attempt uint32) *group {
 	for _, g := range w.groups {
 		if g.attempt == attempt && g.job.id() == jobID {
 			return g
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// zoneSteps is in how many steps the racks of a returning zone are opened.
-	zoneSteps = 4
-	// zoneStepInterval is the time between two steps.
-	zoneStepInterval = 5 * time.Second
-	// moveBatch is how many gangs are moved out of zones per tick.
-	moveBatch = 16
+	// zoneReopenSteps is in how many steps the racks of a returning zone are opened.
+	zoneReopenSteps = 4
+	// zoneReopenInterval is the time between two steps.
+	zoneReopenInterval = 5 * time.Second
+	// movesPerTick is how many gangs are moved out of zones per tick.
+	movesPerTick = 16
 )
 
-// zoneReturn is the state of a zone that comes back by steps.
-type zoneReturn struct{ step int }
+// zoneReopening is the state of a zone that comes back by steps.
+type zoneReopening struct{ step int }
 
-func (c *Core) configured(config *api.Config) {
+func (c *Core) handleConfigUpdate(config *api.Config) {
 	if config == nil || (c.config != nil && config.Version < c.config.Version) {
 		return
 	}
@@ -30,8 +30,8 @@
 	for _, zone := range c.fleet.Zones() {
 		c.configureZone(zone, first)
 	}
-	c.reviewAccounts()
-	c.configureSlots()
+	c.refreshAccounts()
+	c.configureGuarantees()
 }
 
 func (c *Core) configureZone(zone string, first bool) {
@@ -48,45 +48,45 @@
 		return
 	}
 	if out {
-		c.takeOut(zone, changed)
+		c.takeZoneOut(zone, changed)
 		return
 	}
 	if !first {
 		c.emitNotice(nil, "", ReasonZoneReturning, zone)
-		c.reopeningZones[zone] = &zoneReturn{}
+		c.reopeningZones[zone] = &zoneReopening{}
 	}
 	for _, w := range changed {
-		c.update(w, func(f *fleet.Worker) {
+		c.updateWorker(w, func(f *fleet.Worker) {
 			f.ZoneOut = false
 			f.AwaitingReopen = !first
 		})
 	}
 	c.guaranteesDirty = true
 	if !first {
-		c.zoneStep(zone, c.reopeningZones[zone])
+		c.reopenNextRacks(zone, c.reopeningZones[zone])
 	}
 }
 
-func (c *Core) takeOut(zone string, workers []*worker) {
+func (c *Core) takeZoneOut(zone string, workers []*worker) {
 	c.emitNotice(nil, "", ReasonZoneOut, zone)
 	delete(c.reopeningZones, zone)
 	for _, w := range workers {
-		c.update(w, func(f *fleet.Worker) {
+		c.updateWorker(w, func(f *fleet.Worker) {
 			f.ZoneOut = true
 			f.AwaitingReopen = false
 		})
 	}
 	c.guaranteesDirty = true
 	for _, w := range workers {
-		c.vacate(w)
+		c.vacateWorker(w)
 	}
 }
 
-// vacate ends everything on a worker that has not started and moves what runs.
-func (c *Core) vacate(w *worker) {
+// vacateWorker ends everything on a worker that has not started and moves what runs.
+func (c *Core) vacateWorker(w *worker) {
 	why := leaveReason(w)
 	c.guaranteesDirty = true
-	c.dropClaimsOn(w)
+	c.dropWorkerClaims(w)
 	for _, g := range slices.Clone(w.groups) {
 		if g.detached {
 			continue
@@ -97,7 +97,7 @@
 		case phaseSaving:
 			c.abortSaving(g.job, string(why))
 		case phaseRunning:
-			c.moveLater(g.job)
+			c.addPendingMove(g.job)
 		}
 	}
 }
@@ -109,15 +109,15 @@
 	return ReasonWorkerLeaving
 }
 
-// moveIfOut moves a job that was taken over in a zone that is out.
-func (c *Core) moveIfOut(j *job) {
-	if j.leaves() != nil {
-		c.moveLater(j)
+// moveIfWorkerLeaves moves a job that was taken over in a zone that is out.
+func (c *Core) moveIfWorkerLeaves(j *job) {
+	if j.workerToLeave() != nil {
+		c.addPendingMove(j)
 	}
 }
 
-// leaves returns a worker of the job that it has to leave, or nil.
-func (j *job) leaves() *worker {
+// workerToLeave returns a worker of the job that it has to leave, or nil.
+func (j *job) workerToLeave() *worker {
 	for _, g := range j.groups {
 		if g.live() && (g.worker.ZoneOut || g.worker.Leaving) {
 			return g.worker
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// moveLater notes a job that has to leave its workers. A job that can not
+// addPendingMove notes a job that has to leave its workers. A job that can not
 // resume from a checkpoint runs to its end: stopping it would lose its work.
-func (c *Core) moveLater(j *job) {
+func (c *Core) addPendingMove(j *job) {
 	if !j.restartable() || !j.rec.Job.Checkpointable || j.movePending {
 		return
 	}
@@ -136,8 +136,8 @@
 	c.pendingMoves = append(c.pendingMoves, j)
 }
 
-// moveFromOutZones moves the next jobs, those within guarantees first.
-func (c *Core) moveFromOutZones() {
+// movePendingJobs moves the next jobs, those within guarantees first.
+func (c *Core) movePendingJobs() {
 	if len(c.pendingMoves) == 0 || !c.ownership.Owner {
 		return
 	}
@@ -145,11 +145,11 @@
 		return cmp.Or(cmp.Compare(c.moveRank(a), c.moveRank(b)), cmp.Compare(a.id(), b.id()))
 	})
 	moved := 0
-	for len(c.pendingMoves) > 0 && moved < moveBatch {
+	for len(c.pendingMoves) > 0 && moved < movesPerTick {
 		j := c.pendingMoves[0]
 		c.pendingMoves = c.pendingMoves[1:]
 		j.movePending = false
-		w := j.leaves()
+		w := j.workerToLeave()
 		if j.phase != phaseRunning || j.adopting || w == nil {
 			continue
 		}
@@ -169,41 +169,41 @@
 	return rankOther
 }
 
-// zoneStep opens the next part of a returning zone's racks.
-func (c *Core) zoneStep(zone string, ret *zoneReturn) {
+// reopenNextRacks opens the next part of a returning zone's racks.
+func (c *Core) reopenNextRacks(zone string, ret *zoneReopening) {
 	if c.reopeningZones[zone] != ret {
 		return
 	}
 	ret.step++
 	racks := c.fleet.Racks(zone)
-	for i := range c.openRacks(zone) {
+	for i := range c.openRackCount(zone) {
 		for _, w := range racks[i].Workers {
 			if w.AwaitingReopen {
-				c.update(c.workers[w.Name], func(f *fleet.Worker) { f.AwaitingReopen = false })
+				c.updateWorker(c.workers[w.Name], func(f *fleet.Worker) { f.AwaitingReopen = false })
 			}
 		}
 	}
-	if ret.step >= zoneSteps {
+	if ret.step >= zoneReopenSteps {
 		delete(c.reopeningZones, zone)
 		return
 	}
-	c.after(zoneStepInterval, func() { c.zoneStep(zone, ret) })
+	c.after(zoneReopenInterval, func() { c.reopenNextRacks(zone, ret) })
 }
 
-// openRacks is how many racks of a zone are open.
-func (c *Core) openRacks(zone string) int {
+// openRackCount is how many racks of a zone are open.
+func (c *Core) openRackCount(zone string) int {
 	n := len(c.fleet.Racks(zone))
 	ret := c.reopeningZones[zone]
 	if ret == nil {
 		return n
 	}
-	return (n*ret.step + zoneSteps - 1) / zoneSteps
+	return (n*ret.step + zoneReopenSteps - 1) / zoneReopenSteps
 }
 
-// stepping reports whether a worker's rack waits for a later step of its zone.
-func (c *Core) stepping(w *fleet.Worker) bool {
+// awaitsReopen reports whether a worker's rack waits for a later step of its zone.
+func (c *Core) awaitsReopen(w *fleet.Worker) bool {
 	if c.reopeningZones[w.Zone] == nil || w.ZoneOut {
 		return false
 	}
-	return slices.Index(c.fleet.Racks(w.Zone), w.Rack) >= c.openRacks(w.Zone)
+	return slices.Index(c.fleet.Racks(w.Zone), w.Rack) >= c.openRackCount(w.Zone)
 }
