--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -20,9 +20,9 @@
 )
 
 // beginAttempt takes the capacity of a placement and asks all workers to hold it.
-func (c *Core) beginAttempt(j *job, parts []placement.Assignment, firm bool) {
+func (c *Core) beginAttempt(j *job, assignments []placement.Assignment, firm bool) {
 	c.dropReservation(j)
-	c.createGroups(j, claim{assignments: parts}, firm, groupHolding)
+	c.createGroups(j, claim{assignments: assignments}, firm, groupHolding)
 	c.sendHolds(j)
 }
 
@@ -81,18 +81,18 @@
 	c.holdFailed(j, "hold timeout")
 }
 
-func (c *Core) holdFailed(j *job, why string) {
-	c.abandonHolds(j, why)
+func (c *Core) holdFailed(j *job, reason string) {
+	c.abandonHolds(j, reason)
 	c.requeueAfterBackoff(j)
 }
 
 // abandonHolds gives up an attempt that is not durable. Its groups keep their
 // capacity until each has ended for certain.
-func (c *Core) abandonHolds(j *job, why string) {
+func (c *Core) abandonHolds(j *job, reason string) {
 	j.reservation = nil
 	for _, g := range j.groups {
 		g.detached = true
-		c.stopGroup(g, 0, why)
+		c.stopGroup(g, 0, reason)
 	}
 	j.groups = nil
 	j.unlinkedGroups = 0
@@ -128,12 +128,12 @@
 
 // abortSaving releases the holds of an attempt whose row is being written; the
 // job goes on when the answer of the write has come.
-func (c *Core) abortSaving(j *job, why string) {
+func (c *Core) abortSaving(j *job, reason string) {
 	if j.abortedWhileSaving {
 		return
 	}
 	j.abortedWhileSaving = true
-	c.abandonHolds(j, why)
+	c.abandonHolds(j, reason)
 }
 
 func (c *Core) attemptSaved(j *job, failed bool) {
@@ -197,15 +197,15 @@
 
 // endAttempt stops all groups of a running attempt. The job goes on when all of them
 // have ended for certain.
-func (c *Core) endAttempt(j *job, grace time.Duration, why Reason) {
+func (c *Core) endAttempt(j *job, grace time.Duration, reason Reason) {
 	if j.phase == phaseEnding {
 		return
 	}
 	j.phase = phaseEnding
-	j.endReason = why
+	j.endReason = reason
 	for _, g := range j.groups {
 		if g.live() {
-			c.stopGroup(g, grace, string(why))
+			c.stopGroup(g, grace, string(reason))
 		}
 	}
 	c.concludeAttempt(j)
@@ -246,7 +246,7 @@
 
 // stopGroup asks a worker to end a group and repeats that until it is confirmed or
 // the lease has lapsed.
-func (c *Core) stopGroup(g *group, grace time.Duration, why string) {
+func (c *Core) stopGroup(g *group, grace time.Duration, reason string) {
 	if !g.live() || g.stopping {
 		return
 	}
@@ -255,18 +255,18 @@
 		c.releaseGroup(g, groupEnded)
 		return
 	}
-	c.sendStop(g, grace, why)
+	c.sendStop(g, grace, reason)
 	c.watchLease(g)
 }
 
-func (c *Core) sendStop(g *group, grace time.Duration, why string) {
+func (c *Core) sendStop(g *group, grace time.Duration, reason string) {
 	if !g.live() {
 		return
 	}
 	if g.worker.Linked {
-		c.emit(Stop{Worker: g.worker.Name, JobID: g.job.id(), Attempt: g.attempt, Grace: grace, Reason: why})
+		c.emit(Stop{Worker: g.worker.Name, JobID: g.job.id(), Attempt: g.attempt, Grace: grace, Reason: reason})
 	}
-	c.after(grace+stopResendInterval, func() { c.sendStop(g, 0, why) })
+	c.after(grace+stopResendInterval, func() { c.sendStop(g, 0, reason) })
 }
 
 // watchLease ends a group that is not renewed any more at the end of its lease.
@@ -289,19 +289,19 @@
 }
 
 // groupLost ends an attempt that has lost one of its groups.
-func (c *Core) groupLost(g *group, why Reason) {
+func (c *Core) groupLost(g *group, reason Reason) {
 	j := g.job
 	if g.detached {
 		return
 	}
 	switch j.phase {
 	case phaseHolding:
-		c.holdFailed(j, string(why))
+		c.holdFailed(j, string(reason))
 	case phaseSaving:
-		c.abortSaving(j, string(why))
+		c.abortSaving(j, string(reason))
 	case phaseRunning:
-		c.emitNotice(j, g.worker.Name, why, "")
-		c.endAttempt(j, checkpointGrace(j), why)
+		c.emitNotice(j, g.worker.Name, reason, "")
+		c.endAttempt(j, checkpointGrace(j), reason)
 	case phaseEnding:
 		c.concludeAttempt(j)
 	}
--- a/internal/sched/bind.go
+++ b/internal/sched/bind.go
@@ -47,11 +47,11 @@
 }
 
 func (c *Core) bindJob(j *job, r *reservation) {
-	parts := make([]placement.Assignment, 0, len(j.groups))
+	assignments := make([]placement.Assignment, 0, len(j.groups))
 	for _, g := range j.groups {
-		parts = append(parts, placement.Assignment{Worker: g.worker.Worker, Tasks: g.tasks})
+		assignments = append(assignments, placement.Assignment{Worker: g.worker.Worker, Tasks: g.tasks})
 	}
-	c.placeReservation(r, parts)
+	c.placeReservation(r, assignments)
 	j.nonPreemptible = false
 	j.reservation = r
 	for _, g := range j.groups {
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -30,10 +30,10 @@
 
 // planClaim finds the victims that open the parts for a job with the least work
 // lost.
-func (c *Core) planClaim(j *job, parts []placement.Assignment, rule victimRule) (claim, bool) {
-	cl := claim{assignments: parts, rule: rule}
+func (c *Core) planClaim(j *job, assignments []placement.Assignment, rule victimRule) (claim, bool) {
+	cl := claim{assignments: assignments, rule: rule}
 	var candidates []*job
-	for _, p := range parts {
+	for _, p := range assignments {
 		w := c.workers[p.Worker.Name]
 		if j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(w, &cl)) {
 			continue
@@ -156,11 +156,11 @@
 
 // startClaim sets the place aside for the job and stops the victims. The job goes on
 // when all of the place is free.
-func (c *Core) startClaim(j *job, cl claim, graceTime time.Duration) {
+func (c *Core) startClaim(j *job, cl claim, grace time.Duration) {
 	c.dropReservation(j)
-	why := ReasonPreempted
+	reason := ReasonPreempted
 	if cl.reservation != nil {
-		why = ReasonReclaimed
+		reason = ReasonReclaimed
 	}
 	j.reservation = cl.reservation
 	c.createGroups(j, cl, !c.mayBorrow(j) && cl.reservation == nil, groupClaimed)
@@ -169,8 +169,8 @@
 		g.worker.claims = append(g.worker.claims, j)
 	}
 	for _, v := range cl.victims {
-		c.emitNotice(v, "", why, j.id())
-		c.preempt(v, min(graceTime, checkpointGrace(v)), why)
+		c.emitNotice(v, "", reason, j.id())
+		c.preempt(v, min(grace, checkpointGrace(v)), reason)
 	}
 	attempt := j.attempt
 	c.after(claimTimeout, func() {
@@ -183,18 +183,18 @@
 }
 
 // preempt ends an attempt, whatever it has come to, for another one later.
-func (c *Core) preempt(j *job, graceTime time.Duration, why Reason) {
+func (c *Core) preempt(j *job, grace time.Duration, reason Reason) {
 	switch j.phase {
 	case phaseClaiming:
 		c.dropClaim(j)
 		c.enqueue(j)
 	case phaseHolding:
-		c.abandonHolds(j, string(why))
+		c.abandonHolds(j, string(reason))
 		c.enqueue(j)
 	case phaseSaving:
-		c.abortSaving(j, string(why))
+		c.abortSaving(j, string(reason))
 	case phaseRunning:
-		c.endAttempt(j, graceTime, why)
+		c.endAttempt(j, grace, reason)
 	}
 }
 
@@ -271,19 +271,19 @@
 
 // tryPreempt starts a job where preemptible work outside of reservations makes
 // room with the least loss.
-func (c *Core) tryPreempt(j *job, rule victimRule, graceTime time.Duration) bool {
+func (c *Core) tryPreempt(j *job, rule victimRule, grace time.Duration) bool {
 	best, ok := c.cheapestClaim(j, c.placementRequest(j, fleet.Preemptible), rule)
 	if ok {
-		c.startClaim(j, best, graceTime)
+		c.startClaim(j, best, grace)
 	}
 	return ok
 }
 
 // cheapestClaim compares the places for a gang by the work that would be lost there.
-func (c *Core) cheapestClaim(j *job, q placement.Request, rule victimRule) (best claim, found bool) {
+func (c *Core) cheapestClaim(j *job, req placement.Request, rule victimRule) (best claim, found bool) {
 	plans := 0
-	placement.ForEachDomain(c.fleet, q, func(parts []placement.Assignment) bool {
-		cl, ok := c.planClaim(j, parts, rule)
+	placement.ForEachDomain(c.fleet, req, func(assignments []placement.Assignment) bool {
+		cl, ok := c.planClaim(j, assignments, rule)
 		if ok && (!found || cl.lostWork < best.lostWork) {
 			best, found = cl, true
 		}
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -119,13 +119,13 @@
 
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Core) emitNotice(j *job, workerName string, why Reason, detail string) {
-	c.reasonCounts[why]++
+func (c *Core) emitNotice(j *job, workerName string, reason Reason, detail string) {
+	c.reasonCounts[reason]++
 	id := ""
 	if j != nil {
 		id = j.id()
 	}
-	c.emit(Notice{JobID: id, Worker: workerName, Reason: why, Detail: detail})
+	c.emit(Notice{JobID: id, Worker: workerName, Reason: reason, Detail: detail})
 }
 
 func (c *Core) after(d time.Duration, run func()) { c.timers.add(c.now+d, run) }
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -81,12 +81,12 @@
 
 // preemptNonPreemptible stops work outside of guarantees that stands in a reservation's new
 // place.
-func (c *Core) preemptNonPreemptible(j *job, m *reservation, parts []placement.Assignment) {
-	for _, p := range parts {
+func (c *Core) preemptNonPreemptible(j *job, m *reservation, assignments []placement.Assignment) {
+	for _, p := range assignments {
 		c.dropNonPreemptibleClaims(c.workers[p.Worker.Name])
 	}
-	whole := &job{rec: j.rec, perTask: m.gang.PerTask}
-	cl, ok := c.planClaim(whole, parts, victimRule{includeNonPreemptible: true})
+	guaranteeJob := &job{rec: j.rec, perTask: m.gang.PerTask}
+	cl, ok := c.planClaim(guaranteeJob, assignments, victimRule{includeNonPreemptible: true})
 	if !ok {
 		return
 	}
@@ -110,7 +110,7 @@
 // users returns the jobs that run in a reservation; ok is false if there are
 // none or one of them must not be stopped.
 func (r *reservation) users() (users []*job, ok bool) {
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		for _, g := range s.worker.groups {
 			if g.reservedPart != s || g.stopping {
 				continue
@@ -144,12 +144,12 @@
 	var places [][]placement.Assignment
 	all := append([]*reservation{r}, moved...)
 	for _, m := range all {
-		parts := placement.Find(c.fleet, placement.Request{Gang: m.gang, View: fleet.Restartable})
-		if parts == nil {
+		assignments := placement.Find(c.fleet, placement.Request{Gang: m.gang, View: fleet.Restartable})
+		if assignments == nil {
 			break
 		}
-		c.adjustReserved(parts, m.gang.PerTask, 1)
-		places = append(places, parts)
+		c.adjustReserved(assignments, m.gang.PerTask, 1)
+		places = append(places, assignments)
 	}
 	for i, parts := range places {
 		c.adjustReserved(parts, all[i].gang.PerTask, -1)
@@ -163,8 +163,8 @@
 	return places
 }
 
-func (c *Core) adjustReserved(parts []placement.Assignment, perTask api.Resources, sign int) {
-	for _, p := range parts {
+func (c *Core) adjustReserved(assignments []placement.Assignment, perTask api.Resources, sign int) {
+	for _, p := range assignments {
 		c.fleet.Update(p.Worker, func(w *fleet.Worker) {
 			w.Reserved = w.Reserved.Add(perTask.Times(sign * p.Tasks))
 		})
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -77,8 +77,8 @@
 	for _, r := range c.waitingReservations {
 		d.Reservations = append(d.Reservations, r.dump())
 	}
-	for why, n := range c.reasonCounts {
-		d.Reasons[why] = n
+	for reason, n := range c.reasonCounts {
+		d.Reasons[reason] = n
 	}
 	return d
 }
@@ -88,7 +88,7 @@
 	if r.job != nil {
 		d.Job = r.job.id()
 	}
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		d.Workers = append(d.Workers, s.worker.Name)
 	}
 	return d
--- a/internal/sched/feasibility/feasibility.go
+++ b/internal/sched/feasibility/feasibility.go
@@ -97,12 +97,12 @@
 func packGuarantees(f *fleet.Fleet, config *api.Config) []Finding {
 	var out []Finding
 	for _, p := range guaranteedProfiles(config) {
-		left := p.Guarantee.Gangs
-		for left > 0 && packGang(f, p.Guarantee.Shape) {
-			left--
+		remaining := p.Guarantee.Gangs
+		for remaining > 0 && packGang(f, p.Guarantee.Shape) {
+			remaining--
 		}
-		if left > 0 {
-			out = append(out, Finding{Profile: p.Name, Shape: p.Guarantee.Shape, Missing: left})
+		if remaining > 0 {
+			out = append(out, Finding{Profile: p.Name, Shape: p.Guarantee.Shape, Missing: remaining})
 		}
 	}
 	return out
@@ -113,23 +113,23 @@
 	for _, w := range workers {
 		out := config.ZoneOut(w.Zone) || (without != "" && w.Zone == without)
 		added := f.Add(w.Name, w.Zone, w.Rack)
-		f.Update(added, func(fw *fleet.Worker) {
-			fw.Capacity = w.Capacity
-			fw.Linked = true
-			fw.ZoneOut = out
+		f.Update(added, func(fleetWorker *fleet.Worker) {
+			fleetWorker.Capacity = w.Capacity
+			fleetWorker.Linked = true
+			fleetWorker.ZoneOut = out
 		})
 	}
 	return f
 }
 
 func packGang(f *fleet.Fleet, shape api.Shape) bool {
-	parts := placement.Find(f, placement.Request{Gang: shape, View: fleet.Preemptible})
-	for _, p := range parts {
+	assignments := placement.Find(f, placement.Request{Gang: shape, View: fleet.Preemptible})
+	for _, p := range assignments {
 		f.Update(p.Worker, func(w *fleet.Worker) {
 			w.Reserved = w.Reserved.Add(shape.PerTask.Times(p.Tasks))
 		})
 	}
-	return parts != nil
+	return assignments != nil
 }
 
 // guaranteedProfiles returns the profiles with a guarantee, those with the largest gangs first.
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -55,11 +55,11 @@
 func (c *Core) claimInReservation(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
 	rooms := r.candidates()
 	rooms = slices.DeleteFunc(rooms, func(room placement.Candidate) bool { return avoid(room.Worker) })
-	parts := placement.Pack(rooms, j.gang())
-	if parts == nil {
+	assignments := placement.Pack(rooms, j.gang())
+	if assignments == nil {
 		return claim{}, false
 	}
-	cl, ok := c.planClaim(j, parts, victimRule{})
+	cl, ok := c.planClaim(j, assignments, victimRule{})
 	cl.reservation = r
 	return cl, ok
 }
@@ -73,10 +73,10 @@
 	}
 	// A guarantee goes before the places kept for gangs that wait.
 	c.dropAllReservations()
-	q := c.placementRequest(j, fleet.Restartable)
-	q.Gang = r.gang
-	whole := &job{rec: j.rec, perTask: r.gang.PerTask}
-	best, ok := c.cheapestClaim(whole, q, victimRule{includeNonPreemptible: true})
+	req := c.placementRequest(j, fleet.Restartable)
+	req.Gang = r.gang
+	guaranteeJob := &job{rec: j.rec, perTask: r.gang.PerTask}
+	best, ok := c.cheapestClaim(guaranteeJob, req, victimRule{includeNonPreemptible: true})
 	if !ok {
 		return c.placeByDisplacing(r, j)
 	}
@@ -104,22 +104,22 @@
 
 // moveGuarantee moves an unused guarantee to other capacity that suits the job.
 func (c *Core) moveGuarantee(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
-	q := c.placementRequest(j, v)
-	q.Gang = r.gang
-	parts := placement.Find(c.fleet, q)
-	if parts == nil {
+	req := c.placementRequest(j, v)
+	req.Gang = r.gang
+	assignments := placement.Find(c.fleet, req)
+	if assignments == nil {
 		return claim{}, false
 	}
 	c.unplaceReservation(r)
-	c.placeReservation(r, parts)
+	c.placeReservation(r, assignments)
 	return c.claimInReservation(r, j, c.excludedWorkers(j))
 }
 
 func (r *reservation) candidates() []placement.Candidate {
-	out := make([]placement.Candidate, 0, len(r.shares))
-	for _, s := range r.shares {
+	out := make([]placement.Candidate, 0, len(r.parts))
+	for _, s := range r.parts {
 		if s.worker.InService() && !s.worker.Paused {
-			out = append(out, placement.Candidate{Worker: s.worker.Worker, Available: s.amount.Sub(s.used)})
+			out = append(out, placement.Candidate{Worker: s.worker.Worker, Available: s.resources.Sub(s.used)})
 		}
 	}
 	return out
@@ -128,8 +128,8 @@
 // hasOpenGuarantee reports whether a guarantee of the profile has capacity for a task.
 func (c *Core) hasOpenGuarantee(profile string, perTask api.Resources) bool {
 	for _, r := range c.guaranteesOf[profile] {
-		for _, s := range r.shares {
-			if perTask.Fits(s.amount.Sub(s.used)) {
+		for _, s := range r.parts {
+			if perTask.Fits(s.resources.Sub(s.used)) {
 				return true
 			}
 		}
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -180,7 +180,7 @@
 	var reserved api.Resources
 	for _, r := range m.core.guarantees {
 		if s := r.partOn(w); s != nil {
-			reserved = reserved.Add(s.amount)
+			reserved = reserved.Add(s.resources)
 		}
 	}
 	if w.InService() && w.Capacity != (api.Resources{}) && !reserved.Add(firm).Fits(w.Capacity) && reserved != (api.Resources{}) {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -37,20 +37,20 @@
 // tryFree uses free capacity: any for preemptible work, that outside of
 // reservations for other work.
 func (c *Core) tryFree(j *job) bool {
-	lent := c.mayBorrow(j)
-	q := c.placementRequest(j, fleet.Unreserved)
-	if lent {
-		q.View = fleet.Free
+	borrowing := c.mayBorrow(j)
+	req := c.placementRequest(j, fleet.Unreserved)
+	if borrowing {
+		req.View = fleet.Free
 	}
 	if j.class.noPlacement {
-		q.GainedSince = j.class.fleetGeneration
+		req.GainedSince = j.class.fleetGeneration
 	}
-	parts := placement.Find(c.fleet, q)
-	if parts == nil {
+	assignments := placement.Find(c.fleet, req)
+	if assignments == nil {
 		j.class.fleetGeneration = c.fleet.Generation()
 		return false
 	}
-	c.beginAttempt(j, parts, !lent)
+	c.beginAttempt(j, assignments, !borrowing)
 	return true
 }
 
@@ -61,8 +61,10 @@
 // excludedWorkers returns the workers that a job must not use: those on which it has
 // failed and, unless it may run twice, those that need a probe.
 func (c *Core) excludedWorkers(j *job) func(*fleet.Worker) bool {
-	probe := excludesProbation(j)
-	return func(w *fleet.Worker) bool { return w.Paused || probe(w) || slices.Contains(j.avoidedWorkers, w.Name) }
+	onProbation := excludesProbation(j)
+	return func(w *fleet.Worker) bool {
+		return w.Paused || onProbation(w) || slices.Contains(j.avoidedWorkers, w.Name)
+	}
 }
 
 func excludesProbation(j *job) func(*fleet.Worker) bool {
--- a/internal/sched/placement/placement.go
+++ b/internal/sched/placement/placement.go
@@ -34,50 +34,50 @@
 }
 
 // Find returns the best room for the whole gang, or nil.
-func Find(f *fleet.Fleet, q Request) []Assignment {
-	if q.Gang.Tasks == 1 {
-		q.Gang.Adjacency = api.AdjacentWorker
+func Find(f *fleet.Fleet, req Request) []Assignment {
+	if req.Gang.Tasks == 1 {
+		req.Gang.Adjacency = api.AdjacentWorker
 	}
-	switch q.Gang.Adjacency {
+	switch req.Gang.Adjacency {
 	case api.AdjacentWorker:
-		return findInWorker(f, q)
+		return findInWorker(f, req)
 	case api.AdjacentRack:
-		return findInRack(f, q)
+		return findInRack(f, req)
 	}
-	return findInZone(f, q)
+	return findInZone(f, req)
 }
 
-func (q *Request) available(w *fleet.Worker) api.Resources {
-	if q.Exclude != nil && q.Exclude(w) {
+func (req *Request) available(w *fleet.Worker) api.Resources {
+	if req.Exclude != nil && req.Exclude(w) {
 		return api.Resources{}
 	}
-	return w.Available(q.View)
+	return w.Available(req.View)
 }
 
 // usesIndex reports whether the indexes by free capacity bound the view.
-func (q *Request) usesIndex() bool { return q.View == fleet.Free || q.View == fleet.Unreserved }
+func (req *Request) usesIndex() bool { return req.View == fleet.Free || req.View == fleet.Unreserved }
 
-func findInWorker(f *fleet.Fleet, q Request) []Assignment {
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
+func findInWorker(f *fleet.Fleet, req Request) []Assignment {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
 	var best *fleet.Worker
-	if q.GainedSince == 0 && q.usesIndex() {
+	if req.GainedSince == 0 && req.usesIndex() {
 		f.BestFit(need, func(w *fleet.Worker) bool {
-			if need.Fits(q.available(w)) {
+			if need.Fits(req.available(w)) {
 				best = w
 			}
 			return best == nil
 		})
-		return onOneWorker(best, q.Gang.Tasks)
+		return onOneWorker(best, req.Gang.Tasks)
 	}
-	eachRack(f, q, need, func(r *fleet.Rack) bool {
+	eachRack(f, req, need, func(r *fleet.Rack) bool {
 		for _, w := range r.Workers {
-			if need.Fits(q.available(w)) && (best == nil || tighterWorker(w, best, q.View)) {
+			if need.Fits(req.available(w)) && (best == nil || tighterWorker(w, best, req.View)) {
 				best = w
 			}
 		}
 		return true
 	})
-	return onOneWorker(best, q.Gang.Tasks)
+	return onOneWorker(best, req.Gang.Tasks)
 }
 
 func onOneWorker(w *fleet.Worker, tasks int) []Assignment {
@@ -97,18 +97,18 @@
 
 // eachRack visits the racks whose total could hold need, changed ones only if
 // the request says so.
-func eachRack(f *fleet.Fleet, q Request, need api.Resources, visit func(*fleet.Rack) bool) {
+func eachRack(f *fleet.Fleet, req Request, need api.Resources, visit func(*fleet.Rack) bool) {
 	filtered := func(r *fleet.Rack) bool {
-		if !need.Fits(r.Total[q.View]) {
+		if !need.Fits(r.Total[req.View]) {
 			return true
 		}
 		return visit(r)
 	}
-	if q.GainedSince > 0 {
-		f.RacksGainedSince(q.GainedSince, filtered)
+	if req.GainedSince > 0 {
+		f.RacksGainedSince(req.GainedSince, filtered)
 		return
 	}
-	if q.usesIndex() {
+	if req.usesIndex() {
 		f.RacksByFree(need, filtered)
 		return
 	}
@@ -121,20 +121,20 @@
 	}
 }
 
-func findInRack(f *fleet.Fleet, q Request) []Assignment {
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
+func findInRack(f *fleet.Fleet, req Request) []Assignment {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
 	var best []Assignment
 	var bestRack *fleet.Rack
-	eachRack(f, q, need, func(r *fleet.Rack) bool {
-		if bestRack != nil && !tighterRack(r, bestRack, q.View) {
+	eachRack(f, req, need, func(r *fleet.Rack) bool {
+		if bestRack != nil && !tighterRack(r, bestRack, req.View) {
 			return true
 		}
-		parts := Pack(candidates(r.Workers, &q), q.Gang)
-		if parts != nil {
-			best, bestRack = parts, r
+		assignments := Pack(candidates(r.Workers, &req), req.Gang)
+		if assignments != nil {
+			best, bestRack = assignments, r
 		}
 		// The index visits racks from the tightest fit on.
-		return best == nil || q.GainedSince > 0 || !q.usesIndex()
+		return best == nil || req.GainedSince > 0 || !req.usesIndex()
 	})
 	return best
 }
@@ -146,27 +146,27 @@
 		cmp.Compare(a.Name, b.Name)) < 0
 }
 
-func candidates(workers []*fleet.Worker, q *Request) []Candidate {
+func candidates(workers []*fleet.Worker, req *Request) []Candidate {
 	out := make([]Candidate, 0, len(workers))
 	for _, w := range workers {
-		if avail := q.available(w); q.Gang.PerTask.Fits(avail) {
+		if avail := req.available(w); req.Gang.PerTask.Fits(avail) {
 			out = append(out, Candidate{w, avail})
 		}
 	}
 	return out
 }
 
-func findInZone(f *fleet.Fleet, q Request) []Assignment {
+func findInZone(f *fleet.Fleet, req Request) []Assignment {
 	// One rack is the better place for a gang that may spread over a zone.
-	if parts := findInRack(f, q); parts != nil {
-		return parts
+	if assignments := findInRack(f, req); assignments != nil {
+		return assignments
 	}
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
-	for _, z := range candidateZones(f, q) {
-		if !need.Fits(f.ZoneTotal(z, q.View)) {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
+	for _, z := range candidateZones(f, req) {
+		if !need.Fits(f.ZoneTotal(z, req.View)) {
 			continue
 		}
-		if parts := packInZone(f, z, q); parts != nil {
+		if parts := packInZone(f, z, req); parts != nil {
 			return parts
 		}
 	}
@@ -174,12 +174,12 @@
 }
 
 // candidateZones returns the zones from the one with the least room on.
-func candidateZones(f *fleet.Fleet, q Request) []string {
+func candidateZones(f *fleet.Fleet, req Request) []string {
 	var zones []string
-	if q.GainedSince == 0 {
+	if req.GainedSince == 0 {
 		zones = slices.Clone(f.Zones())
 	} else {
-		f.RacksGainedSince(q.GainedSince, func(r *fleet.Rack) bool {
+		f.RacksGainedSince(req.GainedSince, func(r *fleet.Rack) bool {
 			if !slices.Contains(zones, r.Zone) {
 				zones = append(zones, r.Zone)
 			}
@@ -188,14 +188,14 @@
 	}
 	slices.SortFunc(zones, func(a, b string) int {
 		return cmp.Or(
-			cmp.Compare(f.ZoneTotal(a, q.View).Accelerators, f.ZoneTotal(b, q.View).Accelerators),
+			cmp.Compare(f.ZoneTotal(a, req.View).Accelerators, f.ZoneTotal(b, req.View).Accelerators),
 			cmp.Compare(a, b))
 	})
 	return zones
 }
 
 // packInZone spreads a gang over as few racks of the zone as it can.
-func packInZone(f *fleet.Fleet, zone string, q Request) []Assignment {
+func packInZone(f *fleet.Fleet, zone string, req Request) []Assignment {
 	type rackRoom struct {
 		rooms []Candidate
 		tasks int
@@ -203,38 +203,38 @@
 	var racks []rackRoom
 	total := 0
 	for _, r := range f.Racks(zone) {
-		if !q.Gang.PerTask.Fits(r.Total[q.View]) {
+		if !req.Gang.PerTask.Fits(r.Total[req.View]) {
 			continue
 		}
-		rs := candidates(r.Workers, &q)
+		rs := candidates(r.Workers, &req)
 		n := 0
 		for _, room := range rs {
-			n += TasksThatFit(room.Available, q.Gang.PerTask)
+			n += TasksThatFit(room.Available, req.Gang.PerTask)
 		}
 		if n > 0 {
 			racks = append(racks, rackRoom{rs, n})
 			total += n
 		}
 	}
-	if total < q.Gang.Tasks {
+	if total < req.Gang.Tasks {
 		return nil
 	}
 	slices.SortStableFunc(racks, func(a, b rackRoom) int { return cmp.Compare(b.tasks, a.tasks) })
-	var parts []Assignment
-	for left := q.Gang.Tasks; left > 0; {
+	var assignments []Assignment
+	for remaining := req.Gang.Tasks; remaining > 0; {
 		// The last rack is the tightest that holds what is left.
 		pick := 0
 		for i := range racks {
-			if racks[i].tasks >= left {
+			if racks[i].tasks >= remaining {
 				pick = i
 			}
 		}
-		take := min(left, racks[pick].tasks)
-		parts = append(parts, assign(racks[pick].rooms, q.Gang.PerTask, take)...)
+		take := min(remaining, racks[pick].tasks)
+		assignments = append(assignments, assign(racks[pick].rooms, req.Gang.PerTask, take)...)
 		racks = slices.Delete(racks, pick, pick+1)
-		left -= take
+		remaining -= take
 	}
-	return parts
+	return assignments
 }
 
 // Pack places the gang into the rooms, which are adjacent enough already
@@ -281,22 +281,22 @@
 		}
 	}
 	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(b.tasks, a.tasks) })
-	var parts []Assignment
-	for left, i := tasks, 0; left > 0; {
-		if slots[i].tasks <= left {
-			parts = append(parts, Assignment{slots[i].worker, slots[i].tasks})
-			left -= slots[i].tasks
+	var assignments []Assignment
+	for remaining, i := tasks, 0; remaining > 0; {
+		if slots[i].tasks <= remaining {
+			assignments = append(assignments, Assignment{slots[i].worker, slots[i].tasks})
+			remaining -= slots[i].tasks
 			i++
 			continue
 		}
 		last := i
-		for last+1 < len(slots) && slots[last+1].tasks >= left {
+		for last+1 < len(slots) && slots[last+1].tasks >= remaining {
 			last++
 		}
-		parts = append(parts, Assignment{slots[last].worker, left})
-		left = 0
+		assignments = append(assignments, Assignment{slots[last].worker, remaining})
+		remaining = 0
 	}
-	return parts
+	return assignments
 }
 
 // maxTasksPerWorker bounds the count of tasks that ask for nothing.
@@ -319,30 +319,30 @@
 
 // ForEachDomain visits one room for the whole gang in each worker, rack or zone that
 // has one, until visit returns false.
-func ForEachDomain(f *fleet.Fleet, q Request, visit func([]Assignment) bool) {
-	if q.Gang.Tasks == 1 {
-		q.Gang.Adjacency = api.AdjacentWorker
+func ForEachDomain(f *fleet.Fleet, req Request, visit func([]Assignment) bool) {
+	if req.Gang.Tasks == 1 {
+		req.Gang.Adjacency = api.AdjacentWorker
 	}
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
-	if q.Gang.Adjacency == api.AdjacentZone {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
+	if req.Gang.Adjacency == api.AdjacentZone {
 		for _, z := range f.Zones() {
-			if !need.Fits(f.ZoneTotal(z, q.View)) {
+			if !need.Fits(f.ZoneTotal(z, req.View)) {
 				continue
 			}
-			parts := packInZone(f, z, q)
-			if parts != nil && !visit(parts) {
+			assignments := packInZone(f, z, req)
+			if assignments != nil && !visit(assignments) {
 				return
 			}
 		}
 		return
 	}
-	eachRack(f, q, need, func(r *fleet.Rack) bool {
-		if q.Gang.Adjacency == api.AdjacentRack {
-			parts := Pack(candidates(r.Workers, &q), q.Gang)
+	eachRack(f, req, need, func(r *fleet.Rack) bool {
+		if req.Gang.Adjacency == api.AdjacentRack {
+			parts := Pack(candidates(r.Workers, &req), req.Gang)
 			return parts == nil || visit(parts)
 		}
 		for _, w := range r.Workers {
-			if need.Fits(q.available(w)) && !visit(onOneWorker(w, q.Gang.Tasks)) {
+			if need.Fits(req.available(w)) && !visit(onOneWorker(w, req.Gang.Tasks)) {
 				return false
 			}
 		}
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -261,8 +261,8 @@
 }
 
 // rejectQueued answers a queued job that can not go on.
-func (c *Core) rejectQueued(j *job, why Reason, detail string) {
-	c.emitNotice(j, "", why, detail)
+func (c *Core) rejectQueued(j *job, reason Reason, detail string) {
+	c.emitNotice(j, "", reason, detail)
 	c.leaveQueue(j)
 	if j.everStarted {
 		c.finishJob(j, api.OutcomeFailed, detail)
--- a/internal/sched/reports.go
+++ b/internal/sched/reports.go
@@ -109,13 +109,13 @@
 
 func (c *Core) handleRefused(g *group, r GroupReport) {
 	g.neverStarted = true
-	why := ReasonHoldRefused
+	reason := ReasonHoldRefused
 	if g.state == groupHolding && !g.stopping {
-		c.emitNotice(g.job, g.worker.Name, why, r.Detail)
+		c.emitNotice(g.job, g.worker.Name, reason, r.Detail)
 		c.pauseWorker(g.worker, holdFailurePause)
 	}
 	c.releaseGroup(g, groupEnded)
-	c.groupLost(g, why)
+	c.groupLost(g, reason)
 }
 
 func (c *Core) handleRunning(g *group, r GroupReport) {
--- a/internal/sched/slots.go
+++ b/internal/sched/slots.go
@@ -16,21 +16,21 @@
 	profile string
 	job     *job
 	gang    api.Shape
-	shares  []*reservationPart
+	parts   []*reservationPart
 }
 
 // reservationPart is the part of a reservation on one worker.
 type reservationPart struct {
 	reservation *reservation
 	worker      *worker
-	amount      api.Resources
+	resources   api.Resources
 	used        api.Resources
 }
 
-func (r *reservation) placed() bool { return len(r.shares) > 0 }
+func (r *reservation) placed() bool { return len(r.parts) > 0 }
 
 func (r *reservation) unused() bool {
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		if s.used != (api.Resources{}) {
 			return false
 		}
@@ -43,7 +43,7 @@
 	if r == nil {
 		return nil
 	}
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		if s.worker == w {
 			return s
 		}
@@ -53,7 +53,7 @@
 
 // inService reports whether all workers of the reservation are in service.
 func (r *reservation) inService() bool {
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		if !s.worker.InService() {
 			return false
 		}
@@ -61,20 +61,20 @@
 	return true
 }
 
-func (c *Core) placeReservation(r *reservation, parts []placement.Assignment) {
-	for _, p := range parts {
+func (c *Core) placeReservation(r *reservation, assignments []placement.Assignment) {
+	for _, p := range assignments {
 		w := c.workers[p.Worker.Name]
-		s := &reservationPart{reservation: r, worker: w, amount: r.gang.PerTask.Times(p.Tasks)}
-		r.shares = append(r.shares, s)
-		c.updateWorker(w, func(f *fleet.Worker) { f.Reserved = f.Reserved.Add(s.amount) })
+		s := &reservationPart{reservation: r, worker: w, resources: r.gang.PerTask.Times(p.Tasks)}
+		r.parts = append(r.parts, s)
+		c.updateWorker(w, func(f *fleet.Worker) { f.Reserved = f.Reserved.Add(s.resources) })
 	}
 }
 
 // unplaceReservation gives a reservation's place up. Work that runs in it goes on as work
 // that must not be preempted.
 func (c *Core) unplaceReservation(r *reservation) {
-	shares := r.shares
-	r.shares = nil
+	shares := r.parts
+	r.parts = nil
 	for _, s := range shares {
 		c.dropReservationClaims(s)
 		for _, g := range s.worker.groups {
@@ -82,7 +82,7 @@
 				c.detachFromReservation(g)
 			}
 		}
-		c.updateWorker(s.worker, func(f *fleet.Worker) { f.Reserved = f.Reserved.Sub(s.amount) })
+		c.updateWorker(s.worker, func(f *fleet.Worker) { f.Reserved = f.Reserved.Sub(s.resources) })
 	}
 }
 
@@ -131,13 +131,13 @@
 		if r.placed() || c.bindToRunningGang(r) {
 			continue
 		}
-		parts := placement.Find(c.fleet, placement.Request{Gang: r.gang, View: fleet.Preemptible})
-		if parts == nil {
+		assignments := placement.Find(c.fleet, placement.Request{Gang: r.gang, View: fleet.Preemptible})
+		if assignments == nil {
 			c.unplacedCount++
 			c.unplacedSize += r.weightedSize()
 			continue
 		}
-		c.placeReservation(r, parts)
+		c.placeReservation(r, assignments)
 	}
 }
 
@@ -162,20 +162,20 @@
 		return nil
 	}
 	c.lastCompaction = c.now
-	var parts []placement.Assignment
+	var assignments []placement.Assignment
 	before := c.unplacedCount
 	c.rearrange(func() bool {
-		parts = c.soonestPlacement(j)
-		return parts != nil && c.unplacedCount <= before
+		assignments = c.soonestPlacement(j)
+		return assignments != nil && c.unplacedCount <= before
 	})
-	return parts
+	return assignments
 }
 
 // rearrange places all unused guarantees anew and undoes that unless it helps.
 func (c *Core) rearrange(helps func() bool) {
 	type kept struct {
-		r     *reservation
-		parts []placement.Assignment
+		r           *reservation
+		assignments []placement.Assignment
 	}
 	missing, lacking := c.unplacedCount, c.unplacedSize
 	var old []kept
@@ -198,15 +198,15 @@
 		}
 	}
 	for _, k := range old {
-		c.placeReservation(k.r, k.parts)
+		c.placeReservation(k.r, k.assignments)
 	}
 	c.unplacedCount, c.unplacedSize = missing, lacking
 }
 
 func (r *reservation) assignments() []placement.Assignment {
-	out := make([]placement.Assignment, 0, len(r.shares))
-	for _, s := range r.shares {
-		tasks := placement.TasksThatFit(s.amount, r.gang.PerTask)
+	out := make([]placement.Assignment, 0, len(r.parts))
+	for _, s := range r.parts {
+		tasks := placement.TasksThatFit(s.resources, r.gang.PerTask)
 		out = append(out, placement.Assignment{Worker: s.worker.Worker, Tasks: tasks})
 	}
 	return out
@@ -223,9 +223,9 @@
 // configureGuarantees makes the guarantees match the configuration.
 func (c *Core) configureGuarantees() {
 	var next []*reservation
-	left := map[string][]*reservation{}
+	remaining := map[string][]*reservation{}
 	for _, r := range c.guarantees {
-		left[r.profile] = append(left[r.profile], r)
+		remaining[r.profile] = append(remaining[r.profile], r)
 	}
 	for _, name := range sortedKeys(c.config.Profiles) {
 		g := c.config.Profiles[name].Guarantee
@@ -233,10 +233,10 @@
 			continue
 		}
 		for range g.Gangs {
-			old := left[name]
+			old := remaining[name]
 			if len(old) > 0 && old[0].gang == g.Shape {
 				next = append(next, old[0])
-				left[name] = old[1:]
+				remaining[name] = old[1:]
 				continue
 			}
 			next = append(next, &reservation{profile: name, gang: g.Shape})
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -74,9 +74,9 @@
 
 // rejectUnplaceable answers a job that the fleet as it has become can not hold.
 func (c *Core) rejectUnplaceable(j *job) bool {
-	why, never := c.neverFits(j)
+	reason, never := c.neverFits(j)
 	if never {
-		c.rejectQueued(j, ReasonNeverFits, why)
+		c.rejectQueued(j, ReasonNeverFits, reason)
 	}
 	return never
 }
@@ -119,18 +119,18 @@
 	if len(c.waitingReservations) >= maxWaitingReservations {
 		return
 	}
-	parts := c.soonestPlacement(j)
-	if parts == nil {
-		parts = c.compact(j)
+	assignments := c.soonestPlacement(j)
+	if assignments == nil {
+		assignments = c.compact(j)
 	}
-	if parts == nil {
+	if assignments == nil {
 		return
 	}
 	r := &reservation{job: j, gang: j.gang()}
-	c.placeReservation(r, parts)
+	c.placeReservation(r, assignments)
 	j.waitingReservation = r
 	c.waitingReservations = append(c.waitingReservations, r)
-	c.emitNotice(j, parts[0].Worker.Name, ReasonReserved, "")
+	c.emitNotice(j, assignments[0].Worker.Name, ReasonReserved, "")
 }
 
 // freeingWorker is a worker with the time until its work outside of
@@ -144,9 +144,9 @@
 	var best []placement.Assignment
 	var bestWait time.Duration
 	for _, domain := range c.adjacencyDomains(j.gang().Adjacency) {
-		parts, wait := c.soonestInDomain(j, domain)
-		if parts != nil && (best == nil || wait < bestWait) {
-			best, bestWait = parts, wait
+		assignments, wait := c.soonestInDomain(j, domain)
+		if assignments != nil && (best == nil || wait < bestWait) {
+			best, bestWait = assignments, wait
 		}
 	}
 	return best
@@ -190,8 +190,8 @@
 		if gang.Adjacency == api.AdjacentWorker {
 			rooms = rooms[len(rooms)-1:]
 		}
-		if parts := placement.Pack(rooms, gang); parts != nil {
-			return parts, f.timeToFree
+		if assignments := placement.Pack(rooms, gang); assignments != nil {
+			return assignments, f.timeToFree
 		}
 	}
 	return nil, 0
@@ -211,14 +211,14 @@
 
 func (c *Core) timeToVacate(g *group) time.Duration {
 	j := g.job
-	left := c.remainingRunTime(j)
+	remaining := c.remainingRunTime(j)
 	move := migrationCost(j)
-	if move >= left || !c.migratable(g) {
-		return left
+	if move >= remaining || !c.migratable(g) {
+		return remaining
 	}
-	away := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool { return w == g.worker.Worker }}
-	if placement.Find(c.fleet, away) == nil {
-		return left
+	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool { return w == g.worker.Worker }}
+	if placement.Find(c.fleet, elsewhere) == nil {
+		return remaining
 	}
 	return move
 }
@@ -248,9 +248,9 @@
 	if r == nil {
 		return false
 	}
-	for _, s := range r.shares {
-		open := s.worker.Capacity.Sub(s.worker.Reserved).Sub(s.worker.NonPreemptible).Add(s.amount)
-		if !s.worker.Schedulable() || !s.amount.Fits(open) {
+	for _, s := range r.parts {
+		open := s.worker.Capacity.Sub(s.worker.Reserved).Sub(s.worker.NonPreemptible).Add(s.resources)
+		if !s.worker.Schedulable() || !s.resources.Fits(open) {
 			return false
 		}
 	}
@@ -282,14 +282,14 @@
 // migrateForReservation moves one job that stands in the way of a waiting gang, if it has
 // room elsewhere and the gang's gain repays the move.
 func (c *Core) migrateForReservation(r *reservation) {
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		for _, g := range s.worker.groups {
 			if g.stopping {
 				return
 			}
 		}
 	}
-	for _, s := range r.shares {
+	for _, s := range r.parts {
 		for _, g := range slices.Clone(s.worker.groups) {
 			if c.migrationPaysOff(g, r) {
 				c.emitNotice(g.job, s.worker.Name, ReasonMigrated, r.job.id())
--- a/internal/sched/workers.go
+++ b/internal/sched/workers.go
@@ -34,9 +34,9 @@
 
 func (c *Core) ensureWorker(name, zone, rack string) *worker {
 	w := c.workers[name]
-	fw := c.fleet.Add(name, zone, rack)
+	fleetWorker := c.fleet.Add(name, zone, rack)
 	if w == nil {
-		w = &worker{Worker: fw, index: len(c.workerList)}
+		w = &worker{Worker: fleetWorker, index: len(c.workerList)}
 		c.workers[name] = w
 		c.workerList = append(c.workerList, w)
 	}
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -38,9 +38,9 @@
 	out := c.config.ZoneOut(zone)
 	var changed []*worker
 	for _, r := range c.fleet.Racks(zone) {
-		for _, fw := range r.Workers {
-			if fw.ZoneOut != out {
-				changed = append(changed, c.workers[fw.Name])
+		for _, fleetWorker := range r.Workers {
+			if fleetWorker.ZoneOut != out {
+				changed = append(changed, c.workers[fleetWorker.Name])
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 
 // vacateWorker ends everything on a worker that has not started and moves what runs.
 func (c *Core) vacateWorker(w *worker) {
-	why := leaveReason(w)
+	reason := leaveReason(w)
 	c.guaranteesDirty = true
 	c.dropWorkerClaims(w)
 	for _, g := range slices.Clone(w.groups) {
@@ -93,9 +93,9 @@
 		}
 		switch g.job.phase {
 		case phaseHolding:
-			c.preempt(g.job, 0, why)
+			c.preempt(g.job, 0, reason)
 		case phaseSaving:
-			c.abortSaving(g.job, string(why))
+			c.abortSaving(g.job, string(reason))
 		case phaseRunning:
 			c.addPendingMove(g.job)
 		}
@@ -170,11 +170,11 @@
 }
 
 // reopenNextRacks opens the next part of a returning zone's racks.
-func (c *Core) reopenNextRacks(zone string, ret *zoneReopening) {
-	if c.reopeningZones[zone] != ret {
+func (c *Core) reopenNextRacks(zone string, reopening *zoneReopening) {
+	if c.reopeningZones[zone] != reopening {
 		return
 	}
-	ret.step++
+	reopening.step++
 	racks := c.fleet.Racks(zone)
 	for i := range c.openRackCount(zone) {
 		for _, w := range racks[i].Workers {
@@ -183,21 +183,21 @@
 			}
 		}
 	}
-	if ret.step >= zoneReopenSteps {
+	if reopening.step >= zoneReopenSteps {
 		delete(c.reopeningZones, zone)
 		return
 	}
-	c.after(zoneReopenInterval, func() { c.reopenNextRacks(zone, ret) })
+	c.after(zoneReopenInterval, func() { c.reopenNextRacks(zone, reopening) })
 }
 
 // openRackCount is how many racks of a zone are open.
 func (c *Core) openRackCount(zone string) int {
 	n := len(c.fleet.Racks(zone))
-	ret := c.reopeningZones[zone]
-	if ret == nil {
+	reopening := c.reopeningZones[zone]
+	if reopening == nil {
 		return n
 	}
-	return (n*ret.step + zoneReopenSteps - 1) / zoneReopenSteps
+	return (n*reopening.step + zoneReopenSteps - 1) / zoneReopenSteps
 }
 
 // awaitsReopen reports whether a worker's rack waits for a later step of its zone.
