--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -7,26 +7,28 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// Bounds of the phases of an attempt.
+// Time limits and intervals of an attempt.
 const (
-	// holdTimeout is how long all workers have to answer a hold.
+	// holdTimeout is the time within which all workers must answer a hold.
 	holdTimeout = 1500 * time.Millisecond
-	// saveTimeout is how long holds are kept for the attempt's row.
+	// saveTimeout is how long holds are kept while the attempt's row is written.
 	saveTimeout = 15 * time.Second
-	// stopResendInterval is the time between two stops to a worker that does not confirm.
+	// stopResendInterval is the time between two stops to a worker that has not
+	// confirmed.
 	stopResendInterval = time.Second
-	// holdFailurePause is how long a worker that refused a hold is not chosen again.
+	// holdFailurePause is how long a worker is not used after it refused a hold
+	// or did not answer one.
 	holdFailurePause = 2 * time.Second
 )
 
-// beginAttempt takes the capacity of a placement and asks all workers to hold it.
+// beginAttempt allocates the capacity of a placement and sends the holds.
 func (c *Core) beginAttempt(j *job, assignments []placement.Assignment, firm bool) {
 	c.dropReservation(j)
 	c.createGroups(j, claim{assignments: assignments}, firm, groupHolding)
 	c.sendHolds(j)
 }
 
-// createGroups creates the groups of a new attempt.
+// createGroups creates the groups of a new attempt and allocates their capacity.
 func (c *Core) createGroups(j *job, cl claim, firm bool, state groupState) {
 	c.queue.remove(j)
 	j.attempt = c.nextAttempt(j)
@@ -47,11 +49,12 @@
 	}
 }
 
-// attemptBits is how many attempts of a job each owner has numbers for.
+// attemptBits is the number of low bits of an attempt number that count the
+// attempts within one epoch; the bits above hold the epoch.
 const attemptBits = 10
 
-// nextAttempt numbers attempts by the owner's epoch, so that the number of a
-// hold that a former owner did not get to save is never used again.
+// nextAttempt returns the next attempt number. It includes the owner's epoch, so
+// that the number of a hold that a previous owner did not save is never reused.
 func (c *Core) nextAttempt(j *job) uint32 {
 	return max(j.attempt, uint32(c.ownership.Epoch)<<attemptBits) + 1
 }
@@ -87,7 +90,7 @@
 }
 
 // abandonHolds gives up an attempt that is not durable. Its groups keep their
-// capacity until each has ended for certain.
+// capacity until each has certainly ended.
 func (c *Core) abandonHolds(j *job, reason string) {
 	j.reservation = nil
 	for _, g := range j.groups {
@@ -126,8 +129,8 @@
 	return out
 }
 
-// abortSaving releases the holds of an attempt whose row is being written; the
-// job goes on when the answer of the write has come.
+// abortSaving releases the holds of an attempt whose row is being written. The
+// job continues when the result of the write arrives.
 func (c *Core) abortSaving(j *job, reason string) {
 	if j.abortedWhileSaving {
 		return
@@ -195,8 +198,8 @@
 	})
 }
 
-// endAttempt stops all groups of a running attempt. The job goes on when all of them
-// have ended for certain.
+// endAttempt stops all groups of a running attempt. The job continues when all of
+// them have certainly ended.
 func (c *Core) endAttempt(j *job, grace time.Duration, reason Reason) {
 	if j.phase == phaseEnding {
 		return
@@ -211,7 +214,7 @@
 	c.concludeAttempt(j)
 }
 
-// checkpointGrace is the time that a job's groups get for a checkpoint.
+// checkpointGrace returns the time that a job's groups get for a checkpoint.
 func checkpointGrace(j *job) time.Duration {
 	if j.rec.Job.Checkpointable {
 		return CheckpointGrace
@@ -219,7 +222,7 @@
 	return 0
 }
 
-// concludeAttempt goes on with a job once no group of its attempt is left.
+// concludeAttempt finishes or requeues a job once no group of its attempt is live.
 func (c *Core) concludeAttempt(j *job) {
 	if j.phase != phaseRunning && j.phase != phaseEnding {
 		return
@@ -244,8 +247,8 @@
 	}
 }
 
-// stopGroup asks a worker to end a group and repeats that until it is confirmed or
-// the lease has lapsed.
+// stopGroup asks a worker to end a group. The request is repeated until it is
+// confirmed or the lease has expired.
 func (c *Core) stopGroup(g *group, grace time.Duration, reason string) {
 	if !g.live() || g.stopping {
 		return
@@ -269,7 +272,7 @@
 	c.after(grace+stopResendInterval, func() { c.sendStop(g, 0, reason) })
 }
 
-// watchLease ends a group that is not renewed any more at the end of its lease.
+// watchLease ends a group that is no longer renewed when its lease expires.
 func (c *Core) watchLease(g *group) {
 	c.timers.add(g.leaseUntil, func() {
 		if !g.live() || !(g.stopping || !g.worker.Linked) {
@@ -288,7 +291,7 @@
 	c.groupLost(g, ReasonWorkerLost)
 }
 
-// groupLost ends an attempt that has lost one of its groups.
+// groupLost ends the attempt that has lost one of its groups.
 func (c *Core) groupLost(g *group, reason Reason) {
 	j := g.job
 	if g.detached {
--- a/internal/sched/bind.go
+++ b/internal/sched/bind.go
@@ -5,6 +5,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
+// detachFromReservation turns a group inside a reservation into work outside of
+// reservations that must be neither preempted nor stopped.
 func (c *Core) detachFromReservation(g *group) {
 	g.reservedPart = nil
 	g.account.unguaranteed = g.account.unguaranteed.Add(g.resources)
@@ -21,8 +23,8 @@
 	}
 }
 
-// bindToRunningGang gives a guarantee without a place the one where a gang of its profile
-// runs already, as after a takeover.
+// bindToRunningGang places an unplaced guarantee where a gang of its profile
+// already runs, as after a takeover.
 func (c *Core) bindToRunningGang(r *reservation) bool {
 	for _, j := range c.unboundJobs {
 		if j.rec.Job.Profile == r.profile && c.bindable(j, r) {
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// urgentGrace is the time for a checkpoint when urgent work waits.
+	// urgentGrace is the checkpoint grace of jobs preempted for urgent work.
 	urgentGrace = 1500 * time.Millisecond
-	// claimTimeout is how long a gang waits for its victims to end.
+	// claimTimeout is how long a claim waits for its victims to end.
 	claimTimeout = 30 * time.Second
-	// maxPreemptionPlans bounds how many places are compared for an eviction.
+	// maxPreemptionPlans limits the placements that are compared for a preemption.
 	maxPreemptionPlans = 64
 )
 
-// claim is a place for a gang and the preemptible work that has to end for it.
+// claim is a placement for a gang and the jobs that must be preempted for it.
 type claim struct {
 	reservation *reservation // nil outside of guarantees
 	assignments []placement.Assignment
@@ -28,8 +28,8 @@
 	rule        victimRule
 }
 
-// planClaim finds the victims that open the parts for a job with the least work
-// lost.
+// planClaim selects the victims that free the assignments for a job, with the
+// least work lost.
 func (c *Core) planClaim(j *job, assignments []placement.Assignment, rule victimRule) (claim, bool) {
 	cl := claim{assignments: assignments, rule: rule}
 	var candidates []*job
@@ -65,13 +65,15 @@
 	return cl, true
 }
 
-// victimRule says which work may be stopped for a claim.
+// victimRule restricts which jobs may be preempted for a claim.
 type victimRule struct {
-	// minRunTime spares work that has run for less.
+	// minRunTime excludes jobs that have run for less.
 	minRunTime time.Duration
-	// acceleratorLimit spares gangs of that many accelerators and more, if it is set.
+	// acceleratorLimit, if not zero, excludes gangs with at least that many
+	// accelerators.
 	acceleratorLimit int
-	// includeNonPreemptible takes also work outside of guarantees that is not preemptible.
+	// includeNonPreemptible also allows work outside of guarantees that is not
+	// preemptible.
 	includeNonPreemptible bool
 }
 
@@ -97,9 +99,9 @@
 	return false
 }
 
-// capacityForClaim is the capacity of a worker that is free, or will be once the groups
-// that are ending and the victims have ended. For a claim that may stop work
-// which is not preemptible, other reservations are left out.
+// capacityForClaim returns the capacity of a worker that is free, or will be once
+// the stopping groups and the victims have ended. For a claim that may stop
+// non-preemptible work, it excludes other reservations.
 func (c *Core) capacityForClaim(w *worker, cl *claim) api.Resources {
 	open := w.Unused().Sub(w.Claimed)
 	unreserved := w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)
@@ -128,7 +130,8 @@
 	return true
 }
 
-// victimHelps reports whether a victim frees capacity on a worker that still lacks it.
+// victimHelps reports whether a victim frees capacity on a worker that still lacks
+// capacity for the claim.
 func (c *Core) victimHelps(j, victim *job, cl *claim) bool {
 	for _, p := range cl.assignments {
 		w := c.workers[p.Worker.Name]
@@ -144,7 +147,8 @@
 	return false
 }
 
-// dropNeedlessVictims drops victims that are not needed, those with the largest loss first.
+// dropNeedlessVictims drops the victims that the claim does not need, those with
+// the most lost work first.
 func (c *Core) dropNeedlessVictims(j *job, cl *claim) {
 	for i := len(cl.victims) - 1; i >= 0; i-- {
 		fewer := claim{assignments: cl.assignments, rule: cl.rule, victims: slices.Delete(slices.Clone(cl.victims), i, i+1)}
@@ -154,8 +158,8 @@
 	}
 }
 
-// startClaim sets the place aside for the job and stops the victims. The job goes on
-// when all of the place is free.
+// startClaim allocates the claimed capacity to the job and preempts the victims.
+// The job continues when all of the capacity is free.
 func (c *Core) startClaim(j *job, cl claim, grace time.Duration) {
 	c.dropReservation(j)
 	reason := ReasonPreempted
@@ -182,7 +186,7 @@
 	c.advanceClaim(j)
 }
 
-// preempt ends an attempt, whatever it has come to, for another one later.
+// preempt ends a job's attempt in whatever phase it is. The job runs again later.
 func (c *Core) preempt(j *job, grace time.Duration, reason Reason) {
 	switch j.phase {
 	case phaseClaiming:
@@ -198,7 +202,7 @@
 	}
 }
 
-// advanceClaims lets the claims on a worker go on after capacity became free.
+// advanceClaims rechecks the claims on a worker whose capacity has become free.
 func (c *Core) advanceClaims(w *worker) {
 	for _, j := range slices.Clone(w.claims) {
 		if j.phase == phaseClaiming {
@@ -230,7 +234,7 @@
 	}
 }
 
-// dropClaim gives the place of a job up before anything was held.
+// dropClaim gives up a job's claimed capacity before any hold was sent.
 func (c *Core) dropClaim(j *job) {
 	c.removeClaim(j)
 	groups := j.groups
@@ -261,7 +265,7 @@
 	}
 }
 
-// claimGrace is the time that victims of a job get for their checkpoints.
+// claimGrace returns the checkpoint grace of jobs preempted for a job.
 func (c *Core) claimGrace(j *job) time.Duration {
 	if c.config.Profiles[j.rec.Job.Profile].Urgent {
 		return urgentGrace
@@ -269,8 +273,8 @@
 	return CheckpointGrace
 }
 
-// tryPreempt starts a job where preemptible work outside of reservations makes
-// room with the least loss.
+// tryPreempt starts a job where the least work outside of reservations is lost by
+// preemption.
 func (c *Core) tryPreempt(j *job, rule victimRule, grace time.Duration) bool {
 	best, ok := c.cheapestClaim(j, c.placementRequest(j, fleet.Preemptible), rule)
 	if ok {
@@ -279,7 +283,7 @@
 	return ok
 }
 
-// cheapestClaim compares the places for a gang by the work that would be lost there.
+// cheapestClaim returns the claim for a gang that loses the least work.
 func (c *Core) cheapestClaim(j *job, req placement.Request, rule victimRule) (best claim, found bool) {
 	plans := 0
 	placement.ForEachDomain(c.fleet, req, func(assignments []placement.Assignment) bool {
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -7,15 +7,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// DefaultLeaseMargin is added to leases to allow for delays of messages and for
-// different clock rates.
+// DefaultLeaseMargin is added to each lease to cover message delays and
+// differences between clock rates.
 const DefaultLeaseMargin = 500 * time.Millisecond
 
-// Config sets up a core.
+// Config configures a Core.
 type Config struct {
-	// TermStart is the wall clock time at time zero.
+	// TermStart is the wall-clock time at which the core's time is zero.
 	TermStart time.Time
-	// LeaseMargin is added to each lease before its capacity counts as free.
+	// LeaseMargin is how long after the end of a lease its capacity still counts
+	// as used.
 	LeaseMargin time.Duration
 }
 
@@ -43,24 +44,25 @@
 	lastReview      time.Duration
 	lastForget      time.Duration
 
-	// guarantees are the places of the guarantees; slotsOf holds them by profile.
+	// guarantees holds one reservation per guaranteed gang; guaranteesOf groups
+	// them by profile.
 	guarantees          []*reservation
 	guaranteesOf        map[string][]*reservation
 	guaranteesDirty     bool
 	lastRepack          time.Duration
 	lastCompaction      time.Duration
 	lastDisplacement    time.Duration
-	repackPending       bool // a guarantee lacks a place and repackInterval had not passed
+	repackPending       bool // a guarantee is unplaced and repackInterval has not passed yet
 	placedGeneration    uint64
-	unboundJobs         []*job // run outside of their profile's guarantee
-	unplacedCount       int    // guarantees without a place
-	unplacedSize        int    // size of the guarantees without a place
+	unboundJobs         []*job // running outside of their profile's guarantee
+	unplacedCount       int    // guaranteed gangs without a placement
+	unplacedSize        int    // sum of their weightedSize
 	waitingReservations []*reservation
 	idleFleet           guaranteedFleet
 }
 
-// New returns a core without workers and jobs. It starts nothing before it has
-// the authority and a configuration.
+// New returns a core without workers or jobs. It starts no work until it has
+// received ownership and a configuration.
 func New(cfg Config) *Core {
 	if cfg.LeaseMargin == 0 {
 		cfg.LeaseMargin = DefaultLeaseMargin
@@ -79,8 +81,8 @@
 	}
 }
 
-// Step takes one event at the given time and returns the actions that follow,
-// in order. Time must not go back.
+// Step processes one event and returns the resulting actions in order. The
+// given times must not decrease.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
 	c.actions = nil
@@ -130,7 +132,7 @@
 
 func (c *Core) after(d time.Duration, run func()) { c.timers.add(c.now+d, run) }
 
-// mayStart reports whether new attempts may begin.
+// mayStart reports whether new attempts may start.
 func (c *Core) mayStart() bool {
 	a := c.ownership
 	return a.Owner && !a.StoreDown && !c.draining && c.now >= a.StartAfter && c.config != nil
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -8,19 +8,20 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// maxDisplacementSets bounds the sets of reservations that are looked at for one
-// guarantee without a place.
+// maxDisplacementSets limits the sets of reservations that are considered for one
+// unplaced guarantee.
 const maxDisplacementSets = 64
 
-// displacementSet is a set of reservations in use that may move, with the jobs in them.
+// displacementSet is a set of used reservations that may be moved, with the jobs
+// that run in them.
 type displacementSet struct {
 	reservations []*reservation
 	users        []*job
 }
 
-// placeByDisplacing makes room for a guarantee without a place by moving up to two
-// others that are in use, and unused ones, if all fit then and the work in
-// those in use may be stopped.
+// placeByDisplacing makes room for an unplaced guarantee by moving up to two used
+// reservations and all unused ones. It does so only if all of them can be placed
+// afterwards and the jobs in the used ones may be stopped.
 func (c *Core) placeByDisplacing(r *reservation, j *job) bool {
 	if c.now < c.lastDisplacement+repackInterval {
 		return false
@@ -36,8 +37,8 @@
 	return false
 }
 
-// displacementSets returns the reservations in use that may move: first none, then
-// each alone, then two at a time.
+// displacementSets returns the sets of used reservations that may be moved: first
+// the empty set, then single reservations, then pairs.
 func (c *Core) displacementSets() []displacementSet {
 	sets := []displacementSet{{}}
 	for _, other := range c.guarantees {
@@ -58,8 +59,8 @@
 	return sets
 }
 
-// applyDisplacement stops the users of moved reservations, gives r and the moved ones
-// their new places and claims r's for the job.
+// applyDisplacement stops the users of the moved reservations, places r and the
+// moved ones anew and claims r's placement for the job.
 func (c *Core) applyDisplacement(r *reservation, j *job, users []*job, moved []*reservation, places [][]placement.Assignment) bool {
 	for _, user := range users {
 		c.emitNotice(user, "", ReasonMigrated, j.id())
@@ -79,8 +80,8 @@
 	return ok
 }
 
-// preemptNonPreemptible stops work outside of guarantees that stands in a reservation's new
-// place.
+// preemptNonPreemptible stops non-preemptible work outside of guarantees that
+// occupies the new placement of a reservation.
 func (c *Core) preemptNonPreemptible(j *job, m *reservation, assignments []placement.Assignment) {
 	for _, p := range assignments {
 		c.dropNonPreemptibleClaims(c.workers[p.Worker.Name])
@@ -96,8 +97,8 @@
 	}
 }
 
-// dropNonPreemptibleClaims drops the claims of work outside of guarantees on a worker,
-// which wait for room there that a guarantee takes now.
+// dropNonPreemptibleClaims drops the claims of non-preemptible work on a worker
+// whose capacity a guarantee takes now.
 func (c *Core) dropNonPreemptibleClaims(w *worker) {
 	for _, g := range slices.Clone(w.groups) {
 		if g.nonPreemptible && g.job.phase == phaseClaiming && !g.detached {
@@ -107,8 +108,8 @@
 	}
 }
 
-// users returns the jobs that run in a reservation; ok is false if there are
-// none or one of them must not be stopped.
+// users returns the jobs that run in a reservation. ok is false if there are none
+// or if one of them must not be stopped.
 func (r *reservation) users() (users []*job, ok bool) {
 	for _, s := range r.parts {
 		for _, g := range s.worker.groups {
@@ -134,9 +135,9 @@
 	return out
 }
 
-// placeTogether finds places for r and for the moved reservations together, in
-// that order, on what is open once the moved ones have left theirs. It returns
-// nil if there are none, and changes nothing.
+// placeTogether returns placements for r and the moved reservations, in that
+// order, on the capacity available once the moved ones are unplaced. It returns
+// nil if they do not all fit. The state of the core is left unchanged.
 func (c *Core) placeTogether(r *reservation, moved []*reservation) [][]placement.Assignment {
 	for _, m := range moved {
 		c.adjustReserved(m.assignments(), m.gang.PerTask, -1)
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -6,7 +6,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// Dump is the state of the core for operators.
+// Dump is the state of the core, for operators.
 type Dump struct {
 	Now                string            `json:"now"`
 	ConfigVersion      uint64            `json:"config_version"`
@@ -44,7 +44,7 @@
 	Workers []api.Placement `json:"workers,omitempty"`
 }
 
-// ReservationDump is capacity that is kept for a guarantee or a waiting gang.
+// ReservationDump is capacity reserved for a guarantee or for a waiting gang.
 type ReservationDump struct {
 	Profile string   `json:"profile,omitempty"`
 	Job     string   `json:"job,omitempty"`
--- a/internal/sched/feasibility/feasibility.go
+++ b/internal/sched/feasibility/feasibility.go
@@ -1,5 +1,5 @@
-// Package feasibility checks that all guaranteed shapes of a configuration
-// find room together in the racks that are in service.
+// Package feasibility checks that all guaranteed gangs of a configuration fit
+// together into the racks in service.
 package feasibility
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// Worker is one worker of the fleet to be checked.
+// Worker is one worker of the checked fleet.
 type Worker struct {
 	Name     string
 	Zone     string
@@ -20,7 +20,7 @@
 	Capacity api.Resources
 }
 
-// Severity tells whether a finding forbids a configuration.
+// Severity tells whether a finding rejects a configuration.
 type Severity string
 
 // The severities.
@@ -29,7 +29,7 @@
 	Warning Severity = "warning"
 )
 
-// Finding names guaranteed gangs of a profile that find no room.
+// Finding reports guaranteed gangs of a profile that cannot be placed.
 type Finding struct {
 	Severity Severity  `json:"severity"`
 	Profile  string    `json:"profile"`
@@ -41,7 +41,7 @@
 }
 
 // Check returns an error for each profile whose guarantee does not fit into the
-// zones that are in and, if there is none, a warning for each guarantee that
+// zones that are in. If there is none, it returns a warning for each guarantee that
 // does not fit without one of these zones.
 func Check(config *api.Config, workers []Worker) []Finding {
 	var findings []Finding
@@ -80,14 +80,14 @@
 	return zones
 }
 
-// unplaced packs all guarantees, the largest gangs first, and returns those
-// left over. The zone without is taken as out.
+// unplaced packs all guarantees, the largest gangs first, and returns those that do
+// not fit. The zone without counts as out.
 func unplaced(config *api.Config, workers []Worker, without string) []Finding {
 	return packGuarantees(newFleet(config, workers, without), config)
 }
 
-// FleetWithGuarantees returns the fleet with all guarantees packed, as if all its zones
-// were in. What its workers have left is open to other work.
+// FleetWithGuarantees returns a fleet with all guarantees packed, as if all its
+// zones were in. What remains on its workers is available to other work.
 func FleetWithGuarantees(config *api.Config, workers []Worker) *fleet.Fleet {
 	f := newFleet(&api.Config{}, workers, "")
 	packGuarantees(f, config)
@@ -132,7 +132,8 @@
 	return assignments != nil
 }
 
-// guaranteedProfiles returns the profiles with a guarantee, those with the largest gangs first.
+// guaranteedProfiles returns the profiles with a guarantee, those with the largest
+// gangs first.
 func guaranteedProfiles(config *api.Config) []api.Profile {
 	var out []api.Profile
 	for _, p := range config.Profiles {
@@ -146,7 +147,7 @@
 	return out
 }
 
-// CompareShapes orders shapes by the difficulty to place them, the hardest first.
+// CompareShapes orders shapes by how hard they are to place, the hardest first.
 func CompareShapes(a, b api.Shape) int {
 	x, y := a.PerTask.Times(a.Tasks), b.PerTask.Times(b.Tasks)
 	return cmp.Or(
--- a/internal/sched/fits.go
+++ b/internal/sched/fits.go
@@ -10,12 +10,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// fleetDiscoveryTime is how long after the start of a term workers may still announce
-// themselves before a job is said never to fit.
+// fleetDiscoveryTime is how long after the start of a term workers may still
+// announce themselves before a job is reported as never fitting.
 const fleetDiscoveryTime = 15 * time.Second
 
-// NeverFits reports why no worker, rack or zone that is known could ever hold
-// the job's gang, even when all are in service and empty.
+// NeverFits reports whether no known worker, rack or zone could ever hold the job's
+// gang, even if all were in service and empty, and why.
 func (c *Core) NeverFits(in api.Job) (string, bool) {
 	j := &job{rec: api.JobRecord{Job: in}, perTask: in.Gang.PerTask}
 	return c.neverFits(j)
@@ -43,16 +43,16 @@
 		gang.Adjacency, gang.Tasks, gang.PerTask.Accelerators, gang.PerTask.MilliCPU, gang.PerTask.MemoryMB), true
 }
 
-// guaranteedFleet is the fleet with all guarantees packed, at one version of
-// the configuration and one number of workers.
+// guaranteedFleet caches an otherwise empty fleet with all guarantees placed, for
+// one version of the configuration and one number of workers.
 type guaranteedFleet struct {
 	version uint64
 	workers int
 	fleet   *fleet.Fleet
 }
 
-// blockedByGuarantees reports whether a gang that must not be preempted has no room
-// beside the guarantees, even on an empty fleet.
+// blockedByGuarantees reports whether a non-preemptible gang does not fit beside
+// the guarantees, even on an otherwise empty fleet.
 func (c *Core) blockedByGuarantees(j *job) (string, bool) {
 	if c.mayBorrow(j) || !c.isLarge(j) || c.fitsGuarantee(j) {
 		return "", false
@@ -74,7 +74,7 @@
 }
 
 // CheckFeasibility checks the guarantees of a configuration against the workers that
-// have announced themselves; those that are gone for now count as well.
+// have announced themselves, including those that are currently disconnected.
 func (c *Core) CheckFeasibility(config *api.Config) []feasibility.Finding {
 	return feasibility.Check(config, c.knownWorkers())
 }
--- a/internal/sched/fleet/fleet.go
+++ b/internal/sched/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds the capacity of the workers of one cell, in racks and
-// zones, with indexes by free capacity. It decides nothing.
+// Package fleet tracks the capacity of the workers of one cell, in racks and
+// zones, with indexes by free capacity. It makes no decisions.
 package fleet
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// btreeDegree is the node size of the indexes.
+// btreeDegree is the degree of the index B-trees.
 const btreeDegree = 16
 
 // Rack is a set of adjacent workers in one zone.
 type Rack struct {
-	// Label is the name as announced; Name has the zone before it.
+	// Label is the name as announced; Name is prefixed with the zone.
 	Label   string
 	Name    string
 	Zone    string
 	Workers []*Worker
-	// Generation is the generation at which the rack last gained capacity.
+	// Generation is the fleet's generation when the rack last gained capacity.
 	Generation uint64
-	// Total sums the available capacity of the rack's workers, by view.
+	// Total is the sum of what each view offers on the rack's workers.
 	Total [capacityViewCount]api.Resources
 
 	lastGain *list.Element
@@ -81,13 +81,14 @@
 	return a.Name < b.Name
 }
 
-// Generation is the generation of the last gain of capacity anywhere.
+// Generation returns the number of updates so far in which a worker gained
+// capacity.
 func (f *Fleet) Generation() uint64 { return f.generation }
 
-// InServiceCapacity is the capacity of all workers in service.
+// InServiceCapacity returns the total capacity of the workers in service.
 func (f *Fleet) InServiceCapacity() api.Resources { return f.inService }
 
-// LargestCapacity is the largest capacity of any worker, by dimension.
+// LargestCapacity returns the largest worker capacity seen, per dimension.
 func (f *Fleet) LargestCapacity() api.Resources { return f.largest }
 
 // Workers returns all workers in order of their first announcement.
@@ -99,14 +100,14 @@
 // Racks returns the racks of a zone in order of their first announcement.
 func (f *Fleet) Racks(zone string) []*Rack { return f.racksOf[zone] }
 
-// ZoneTotal is what a view offers in a zone.
+// ZoneTotal returns what a view offers in a zone.
 func (f *Fleet) ZoneTotal(zone string, v CapacityView) api.Resources { return f.zoneTotals[zone][v] }
 
 // Worker returns the named worker, or nil.
 func (f *Fleet) Worker(name string) *Worker { return f.workers[name] }
 
-// Add adds a worker without capacity; the caller sets the rest by Update. A
-// worker that is known already moves to the given rack if it changed.
+// Add adds a worker without capacity; the caller sets its other fields with
+// Update. A known worker moves to the given rack if that changed.
 func (f *Fleet) Add(name, zone, rack string) *Worker {
 	w := f.workers[name]
 	if w == nil {
@@ -161,7 +162,7 @@
 	old.Workers = slices.DeleteFunc(old.Workers, func(o *Worker) bool { return o == w })
 }
 
-// Remove takes a worker out of the fleet.
+// Remove removes a worker from the fleet.
 func (f *Fleet) Remove(w *Worker) {
 	f.removeFromRack(w)
 	w.Rack = nil
@@ -169,7 +170,7 @@
 	f.ordered = slices.DeleteFunc(f.ordered, func(o *Worker) bool { return o == w })
 }
 
-// Update applies change to a worker and brings the indexes up to date.
+// Update applies a change to a worker and updates the indexes.
 func (f *Fleet) Update(w *Worker, change func(*Worker)) {
 	if w.Rack == nil {
 		// The worker has been removed.
@@ -203,7 +204,7 @@
 	}
 }
 
-// addTotal replaces a worker's part in the totals of its rack and zone.
+// addTotal replaces a worker's contribution to the totals of its rack and zone.
 func (f *Fleet) addTotal(r *Rack, before, after [capacityViewCount]api.Resources) {
 	zone := f.zoneTotals[r.Zone]
 	for v := range capacityViewCount {
@@ -238,8 +239,8 @@
 	r.indexed = true
 }
 
-// BestFit visits the open workers with at least the free accelerators and CPU
-// of need, from the tightest fit on, until visit returns false.
+// BestFit visits the schedulable workers with at least the free accelerators and
+// CPU of need, tightest fit first, until visit returns false.
 func (f *Fleet) BestFit(need api.Resources, visit func(*Worker) bool) {
 	last, ok := f.freeWorkers.Max()
 	if !ok {
@@ -259,13 +260,14 @@
 }
 
 // RacksByFree visits the racks with at least the free accelerators of need,
-// from the tightest on, until visit returns false.
+// tightest fit first, until visit returns false.
 func (f *Fleet) RacksByFree(need api.Resources, visit func(*Rack) bool) {
 	from := &Rack{indexKey: api.Resources{Accelerators: need.Accelerators}}
 	f.freeRacks.AscendGreaterOrEqual(from, visit)
 }
 
-// RacksGainedSince visits the racks that gained capacity after the generation.
+// RacksGainedSince visits the racks that gained capacity after the given
+// generation, until visit returns false.
 func (f *Fleet) RacksGainedSince(gen uint64, visit func(*Rack) bool) {
 	for e := f.byLastGain.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*Rack)
--- a/internal/sched/fleet/worker.go
+++ b/internal/sched/fleet/worker.go
@@ -2,64 +2,67 @@
 
 import "github.com/coltsfootlug/coltsfootlug/internal/api"
 
-// CapacityView selects which part of a worker's capacity a request may use.
+// CapacityView selects the part of a worker's capacity that a request may use.
 type CapacityView int
 
 // The views.
 const (
-	// Free is capacity that nothing uses, also inside reservations.
+	// Free is unused capacity, including capacity inside reservations.
 	Free CapacityView = iota
 	// Unreserved is free capacity outside of reservations.
 	Unreserved
 	// Preemptible is capacity outside of reservations that is free or used by
 	// preemptible work.
 	Preemptible
-	// Restartable is capacity outside of reservations that is free or used by work
-	// that may be stopped and run again elsewhere.
+	// Restartable is capacity outside of reservations that is free or used by
+	// work that may be stopped and run again elsewhere.
 	Restartable
-	// FullCapacity is the capacity of the empty worker, whether it is in service or not.
+	// FullCapacity is the capacity of the worker when empty, whether or not it is
+	// in service.
 	FullCapacity
 	capacityViewCount
 )
 
-// Worker is the capacity of one worker. Its fields are changed through Fleet.Update.
+// Worker is the capacity and condition of one worker. Its fields are changed
+// through Fleet.Update.
 type Worker struct {
 	Name     string
 	Zone     string
 	Rack     *Rack
 	Capacity api.Resources
-	// Used is taken by groups, whether held, running or not yet confirmed as ended.
+	// Used is allocated to groups that are held, running or not yet confirmed as
+	// ended.
 	Used api.Resources
-	// NonPreemptible is the part of Used by work that must not be preempted and that
-	// runs outside of reservations.
+	// NonPreemptible is the part of Used and Claimed that belongs to work outside
+	// of reservations which must not be preempted.
 	NonPreemptible api.Resources
-	// NonRestartable is the part of Firm that must not be stopped at all.
+	// NonRestartable is the part of NonPreemptible that must not be stopped at all.
 	NonRestartable api.Resources
 	// Reserved belongs to guarantees and to reservations of waiting gangs.
 	Reserved api.Resources
-	// Claimed is free, or about to be, and waits for a chosen gang.
+	// Claimed is free, or becoming free, and allocated to gangs that wait for it.
 	Claimed api.Resources
 
 	Linked      bool
 	Healthy     bool
 	Leaving     bool
 	Quarantined bool
-	// Probation admits one group of idempotent work, as a probe.
+	// Probation limits the worker to one group of idempotent work, as a probe.
 	Probation bool
 	// Paused keeps a worker that refused a hold, or did not answer one, from
-	// being chosen again at once.
+	// being used again at once.
 	Paused bool
-	// ZoneOut says that operators have taken the worker's zone out.
+	// ZoneOut is set while operators have taken the worker's zone out.
 	ZoneOut bool
-	// AwaitingReopen says that the worker's zone returns by steps and that the
-	// worker is not yet open for work outside of guarantees.
+	// AwaitingReopen is set while the worker's zone reopens in steps and the
+	// worker is not yet open to work outside of guarantees.
 	AwaitingReopen bool
 
 	available [capacityViewCount]api.Resources
 	indexed   bool
 }
 
-// InService reports whether the worker may run work at all.
+// InService reports whether the worker may run any work.
 func (w *Worker) InService() bool {
 	return w.Linked && w.Healthy && !w.Leaving && !w.Quarantined && !w.ZoneOut
 }
@@ -75,7 +78,7 @@
 // Available returns what a view offers on the worker.
 func (w *Worker) Available(v CapacityView) api.Resources { return w.available[v] }
 
-// Unused is the capacity that no group uses.
+// Unused returns the capacity that no group uses.
 func (w *Worker) Unused() api.Resources { return w.Capacity.Sub(w.Used) }
 
 func (w *Worker) computeAvailable(v CapacityView) api.Resources {
@@ -122,7 +125,7 @@
 	}
 }
 
-// MinResources is the smaller of two amounts in each dimension.
+// MinResources returns the smaller of two amounts in each dimension.
 func MinResources(a, b api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: min(a.Accelerators, b.Accelerators),
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -8,8 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// tryGuaranteed starts a job within its profile's guarantee, where the least
-// work is lost for it.
+// tryGuaranteed starts a job within its profile's guarantee, where the least work
+// is lost.
 func (c *Core) tryGuaranteed(j *job) bool {
 	best := c.cheapestGuaranteedClaim(j, c.excludedWorkers(j))
 	if best.reservation == nil && len(j.avoidedWorkers) > 0 {
@@ -38,8 +38,9 @@
 	return best
 }
 
-// claimElsewhere finds a claim for a job that has failed on the workers of its
-// profile's guarantees: it moves one of them or else goes there again.
+// claimElsewhere returns a claim for a job that has failed on the workers of its
+// profile's guarantees. It moves one of the guarantees, or else uses these workers
+// again.
 func (c *Core) claimElsewhere(j *job) claim {
 	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		if !r.placed() || !r.unused() {
@@ -64,14 +65,14 @@
 	return cl, ok
 }
 
-// reclaimGuarantee makes room for a guarantee that has lost its place, as with a
-// zone out, by work outside of all guarantees.
+// reclaimGuarantee places an unplaced guarantee, such as one whose zone is out, by
+// preempting work outside of all guarantees.
 func (c *Core) reclaimGuarantee(j *job) bool {
 	r := c.unplacedGuarantee(j)
 	if r == nil {
 		return false
 	}
-	// A guarantee goes before the places kept for gangs that wait.
+	// Guarantees take precedence over reservations of waiting gangs.
 	c.dropAllReservations()
 	req := c.placementRequest(j, fleet.Restartable)
 	req.Gang = r.gang
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// moveGuarantee moves an unused guarantee to other capacity that suits the job.
+// moveGuarantee moves an unused guarantee to other capacity that the job may use.
 func (c *Core) moveGuarantee(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
 	req := c.placementRequest(j, v)
 	req.Gang = r.gang
@@ -125,7 +126,8 @@
 	return out
 }
 
-// hasOpenGuarantee reports whether a guarantee of the profile has capacity for a task.
+// hasOpenGuarantee reports whether a guarantee of the profile has capacity for one
+// task.
 func (c *Core) hasOpenGuarantee(profile string, perTask api.Resources) bool {
 	for _, r := range c.guaranteesOf[profile] {
 		for _, s := range r.parts {
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -11,13 +11,14 @@
 const (
 	// workerFailureWindow is how long a failure counts against a worker.
 	workerFailureWindow = 30 * time.Minute
-	// quarantineThreshold is how many jobs must fail on a worker for its quarantine.
+	// quarantineThreshold is the number of jobs that must fail on a worker before
+	// it is quarantined.
 	quarantineThreshold = 3
-	// maxJobFailures bounds the failures of a job anywhere.
+	// maxJobFailures limits the failures of a job on all workers.
 	maxJobFailures = 8
 	quarantineMin  = time.Minute
 	quarantineMax  = time.Hour
-	// probationTimeout ends a probation in which no work came.
+	// probationTimeout ends a probation during which no work arrived.
 	probationTimeout = 10 * time.Minute
 )
 
@@ -27,9 +28,9 @@
 	at    time.Duration
 }
 
-// recordWorkerFailure counts a failure against a worker; several jobs put it in quarantine.
-// A job that has failed on another worker, too, counts against none of them
-// unless the agent says that the worker is at fault.
+// recordWorkerFailure counts a failure against a worker and quarantines it after
+// failures of several jobs. A job that has also failed on another worker counts
+// against none of them, unless the agent reports that the worker is at fault.
 func (c *Core) recordWorkerFailure(w *worker, j *job, workerFault bool) {
 	if w.Quarantined {
 		return
@@ -50,8 +51,8 @@
 	}
 }
 
-// quarantineWorker keeps work from a worker. The failures there do not count against
-// the jobs.
+// quarantineWorker takes a worker out of service for a time that grows with each
+// quarantine. Failures on the worker no longer count against the jobs.
 func (c *Core) quarantineWorker(w *worker) {
 	c.emitNotice(nil, w.Name, ReasonQuarantine, "")
 	for _, s := range w.failures {
@@ -85,8 +86,8 @@
 	c.updateWorker(w, func(f *fleet.Worker) { f.Probation = false })
 }
 
-// allowAvoidedWorkers lets a job try the workers again on which it failed, once it
-// has no other place.
+// allowAvoidedWorkers lets a job use the workers on which it failed again, once no
+// other workers could hold it.
 func (c *Core) allowAvoidedWorkers(j *job) {
 	if len(j.avoidedWorkers) == 0 {
 		return
@@ -112,8 +113,8 @@
 	c.updateWorker(w, func(f *fleet.Worker) { f.Probation = false })
 }
 
-// clearWorkerFailures takes back what a job that fails everywhere has done to the
-// standing of workers.
+// clearWorkerFailures removes the failures of a job that fails everywhere from the
+// workers' records.
 func (c *Core) clearWorkerFailures(j *job) {
 	for _, name := range j.avoidedWorkers {
 		w := c.workers[name]
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -10,13 +10,13 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// phase is where a job stands on its way to the final answer.
+// phase is the position of a job in its life cycle.
 type phase string
 
 const (
 	phaseQueued   phase = "queued"
 	phaseBackoff  phase = "backoff"
-	phaseClaiming phase = "claiming" // victims are being stopped
+	phaseClaiming phase = "claiming" // waiting until the preempted jobs have ended
 	phaseHolding  phase = "holding"
 	phaseSaving   phase = "saving" // the attempt's row is being written
 	phaseRunning  phase = "running"
@@ -33,36 +33,38 @@
 	// attempt is the highest attempt number seen.
 	attempt uint32
 	groups  []*group
-	// unlinkedGroups counts live groups whose worker's link is down.
+	// unlinkedGroups counts the live groups whose worker's link is down.
 	unlinkedGroups int
-	// adopting is true until all members of a taken over attempt have reported.
+	// adopting is true until all groups of an adopted attempt have reported.
 	adopting bool
-	// started says that a start of the current attempt may have happened.
+	// started is true once the current attempt may have been started.
 	started bool
-	// everStarted says so of any attempt.
+	// everStarted is true once any attempt may have been started.
 	everStarted bool
-	// abortedWhileSaving says that the attempt ended while its row was being written.
+	// abortedWhileSaving is true if the attempt was given up while its row was
+	// being written.
 	abortedWhileSaving bool
-	// finalOutcome is the outcome after the attempt has ended; empty to try again.
+	// finalOutcome is the job's outcome once the attempt has ended. If it is
+	// empty, the job runs again.
 	finalOutcome api.Outcome
 	finalDetail  string
 
 	perTask            api.Resources // declared or learned
-	endReason          Reason        // why the current attempt is being ended for another one
+	endReason          Reason        // why the current attempt is being stopped
 	nonPreemptible     bool
-	reservation        *reservation // the reservation that the attempt uses
-	waitingReservation *reservation // the reservation made for the waiting gang
+	reservation        *reservation // the guarantee that the attempt uses
+	waitingReservation *reservation // the reservation made for this gang while it waits
 	queuedAt           time.Duration
 	startedAt          time.Duration
 	lastReview         time.Duration
-	mayPreempt         bool // a large preemptible gang that has waited may try to evict once
+	mayPreempt         bool // a large preemptible gang that has waited may preempt once
 	earlierRunTime     time.Duration
 	holdFailures       int
 	failures           int
 	failedWorkers      []string
 	avoidedWorkers     []string
 	deadlineTimerSet   bool
-	movePending        bool // waits to leave a zone that is out or a worker that leaves
+	movePending        bool // waits to leave a zone that is out or a worker that is leaving
 }
 
 type groupState string
@@ -73,7 +75,7 @@
 	groupHeld     groupState = "held"
 	groupStarting groupState = "starting"
 	groupRunning  groupState = "running"
-	groupUnknown  groupState = "unknown" // taken over, not reported yet
+	groupUnknown  groupState = "unknown" // adopted, not reported yet
 	groupDone     groupState = "done"
 	groupEnded    groupState = "gone"
 )
@@ -88,11 +90,12 @@
 	tasks     int
 	resources api.Resources
 	state     groupState
-	// stopping is set once a Stop is sent; detached once the job has left the attempt.
+	// stopping is set once a Stop is sent. detached is set once the job no longer
+	// uses the attempt.
 	stopping bool
 	detached bool
-	// neverStarted is set when the agent says that it has started no task of the
-	// group and never will.
+	// neverStarted is set when the agent reports that it has started no task of
+	// the group and never will.
 	neverStarted   bool
 	nonPreemptible bool
 	nonRestartable bool
@@ -101,14 +104,14 @@
 	leaseUntil      time.Duration
 	progress        time.Duration
 	checkpointed    time.Duration // progress at the last checkpoint
-	oversizeReports int           // reports in a row above the declared size
+	oversizeReports int           // consecutive reports above the declared size
 	result          json.RawMessage
 }
 
 func (g *group) live() bool { return g.state != groupDone && g.state != groupEnded }
 
-// neverStarted reports whether the agents of all members have said that they have
-// started nothing of the attempt.
+// neverStarted reports whether the agents of all groups have reported that they
+// started no task of the attempt.
 func (j *job) neverStarted() bool {
 	return len(j.groups) > 0 && !slices.ContainsFunc(j.groups, func(g *group) bool { return !g.neverStarted })
 }
@@ -136,13 +139,14 @@
 	return slices.ContainsFunc(j.groups, (*group).live)
 }
 
-// restartable reports whether the job may be stopped and run again elsewhere.
+// restartable reports whether the job may be stopped and run again.
 func (j *job) restartable() bool { return j.rec.Job.Idempotent }
 
-// preemptible reports whether the job runs on lent capacity.
+// preemptible reports whether the job runs on borrowed capacity.
 func (j *job) preemptible() bool { return !j.nonPreemptible && j.reservation == nil && j.restartable() }
 
-// lostWork is the work in accelerator time that stopping the job now would lose.
+// lostWork returns the accelerator time that would be lost if the job were
+// stopped now.
 func (j *job) lostWork(now time.Duration) time.Duration {
 	if !j.started {
 		return 0
@@ -159,8 +163,8 @@
 	return sum
 }
 
-// checkpointRange is the key of a group in JobRecord.Checkpoints: its first
-// task and the number of tasks.
+// checkpointRange returns the key of a group in JobRecord.Checkpoints: its first
+// task and its number of tasks.
 func checkpointRange(first, tasks int) string {
 	return strconv.Itoa(first) + "+" + strconv.Itoa(tasks)
 }
@@ -172,7 +176,8 @@
 	return first, tasks, found && errA == nil && errB == nil
 }
 
-// setCheckpoint keeps the newest checkpoint of each range of tasks.
+// setCheckpoint records the checkpoint of a range of tasks and drops those of the
+// ranges inside it.
 func (j *job) setCheckpoint(first, tasks int, key string) {
 	next := map[string]string{}
 	for k, v := range j.rec.Checkpoints {
@@ -186,8 +191,8 @@
 	j.rec.Checkpoints = next
 }
 
-// checkpointFor returns the checkpoint of a range of tasks: its own key, or
-// the keys of all ranges that overlap it, separated by spaces.
+// checkpointFor returns the checkpoint key of a range of tasks, or the keys of all
+// ranges that overlap it, separated by spaces.
 func (j *job) checkpointFor(first, tasks int) string {
 	if own, ok := j.rec.Checkpoints[checkpointRange(first, tasks)]; ok {
 		return own
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// submit takes in a durable job, also one that ran under the previous owner.
+// submit adds a durable job, which may have run under a previous owner.
 func (c *Core) submit(rec api.JobRecord) {
 	id := rec.Job.ID
 	if old := c.jobs[id]; old != nil {
@@ -41,7 +41,7 @@
 	c.watchDeadline(j)
 }
 
-// watchDeadline answers a job that is still queued at its deadline.
+// watchDeadline finishes a job that is still queued at its deadline.
 func (c *Core) watchDeadline(j *job) {
 	if j.deadlineTimerSet || j.rec.Job.Deadline.IsZero() {
 		return
@@ -65,7 +65,8 @@
 	c.finishJob(j, api.OutcomeNotRun, "the deadline passed before a start")
 }
 
-// leaveQueue takes a job that holds nothing yet out of all waiting structures.
+// leaveQueue removes a job that holds no capacity yet from the queue, and drops its
+// claim and its reservation.
 func (c *Core) leaveQueue(j *job) {
 	if j.phase == phaseClaiming {
 		c.dropClaim(j)
@@ -95,7 +96,7 @@
 	}
 }
 
-// finishJob writes the one answer of a job.
+// finishJob sets a job's outcome and saves its final row.
 func (c *Core) finishJob(j *job, outcome api.Outcome, detail string) {
 	j.phase = phaseFinal
 	j.rec.State = api.JobFinal
@@ -118,7 +119,8 @@
 	return out
 }
 
-// Retries of a row that could not be written, and of an attempt that got no holds.
+// Retry intervals of a row that could not be written, and of an attempt whose
+// holds failed.
 const (
 	saveRetryInterval = time.Second
 	holdRetryMin      = 200 * time.Millisecond
@@ -146,7 +148,7 @@
 		return
 	}
 	for _, g := range j.groups {
-		// Lets the agent forget the group; its result is durable.
+		// Lets the agent discard the group: its result is durable.
 		c.emit(Stop{Worker: g.worker.Name, JobID: j.id(), Attempt: g.attempt, Reason: "answered"})
 	}
 	delete(c.jobs, j.id())
@@ -173,8 +175,8 @@
 	c.enqueue(j)
 }
 
-// requeue brings a job back after an attempt whose groups have all ended. The
-// row is written first when it holds something that a takeover must not lose.
+// requeue queues a job again after all groups of its attempt have ended. If a
+// takeover must not lose what the row holds, the row is written first.
 func (c *Core) requeue(j *job) {
 	durable := !j.restartable() || len(j.rec.Checkpoints) > 0
 	j.groups = nil
@@ -190,7 +192,8 @@
 	c.emit(Save{j.rec})
 }
 
-// requeueAfterBackoff queues a job again after a while that grows with each failure.
+// requeueAfterBackoff queues a job again after a delay that grows with each failed
+// hold.
 func (c *Core) requeueAfterBackoff(j *job) {
 	j.phase = phaseBackoff
 	wait := min(holdRetryMin<<min(j.holdFailures, 8), holdRetryMax)
--- a/internal/sched/learn.go
+++ b/internal/sched/learn.go
@@ -10,24 +10,26 @@
 const (
 	// runTimeLearningRate is the weight of the newest run in the learned run time.
 	runTimeLearningRate = 0.2
-	// maxRunRatio bounds how far a run time is learned from its declaration.
+	// maxRunRatio limits the learned ratio of actual to declared run time.
 	maxRunRatio = 20.0
-	// maxOversizeReports is how many reports in a row must exceed the declaration.
+	// maxOversizeReports is the number of consecutive reports above the declared
+	// size after which the job is moved.
 	maxOversizeReports = 3
-	// oversizePercent is the use, in percent of the declaration, that exceeds it.
+	// oversizePercent is the usage, in percent of the declaration, above which a
+	// report counts as oversized.
 	oversizePercent = 110
-	// resizePercent is the size of the next attempt, in percent of the use.
+	// resizePercent is the size of the next attempt, in percent of the usage.
 	resizePercent = 125
 )
 
-// learnedProfile is what the runs of a profile have shown.
+// learnedProfile is what past runs of a profile have shown.
 type learnedProfile struct {
-	// RunRatio is the mean of actual by declared run time.
+	// RunRatio is the moving mean of actual divided by declared run time.
 	RunRatio float64 `json:"run_ratio"`
 	Runs     int     `json:"runs"`
 }
 
-// learnRunTime takes in the run time of a job that is done.
+// learnRunTime updates the profile's run ratio from a job that is done.
 func (c *Core) learnRunTime(j *job) {
 	declared := j.rec.Job.DeclaredRun.D()
 	if j.rec.Outcome != api.OutcomeDone || declared <= 0 {
@@ -43,7 +45,8 @@
 	l.Runs++
 }
 
-// expectedRunTime is the declared run time, corrected by what the profile's jobs took.
+// expectedRunTime returns the declared run time multiplied by the profile's
+// learned ratio.
 func (c *Core) expectedRunTime(j *job) time.Duration {
 	declared := j.rec.Job.DeclaredRun.D()
 	if declared <= 0 {
@@ -55,8 +58,9 @@
 	return declared
 }
 
-// handleUsage takes in the (late) usage of a group. One that keeps exceeding
-// its declared memory is moved to a larger place; agents throttle processor time.
+// handleUsage processes the reported usage of a group, which may be out of date.
+// A job that keeps exceeding its declared memory is moved to a larger placement.
+// CPU needs no check: agents throttle it.
 func (c *Core) handleUsage(g *group, usage api.Resources) {
 	j := g.job
 	if usage.MemoryMB*100 <= g.resources.MemoryMB*oversizePercent {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,8 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// tryStart begins an attempt of a queued job if it has a place. After a failure the
-// job's class waits for a change.
+// tryStart begins an attempt of a queued job if it can be placed. After a failure
+// the job's class waits for a change.
 func (c *Core) tryStart(j *job) bool {
 	p, ok := c.config.Profiles[j.rec.Job.Profile]
 	if !ok {
@@ -34,8 +34,8 @@
 	return j.account.used.Accelerators+j.totalResources().Accelerators <= p.QuotaAccelerators
 }
 
-// tryFree uses free capacity: any for preemptible work, that outside of
-// reservations for other work.
+// tryFree places a job on free capacity. Preemptible work may use all of it, other
+// work only what is outside of reservations.
 func (c *Core) tryFree(j *job) bool {
 	borrowing := c.mayBorrow(j)
 	req := c.placementRequest(j, fleet.Unreserved)
@@ -58,8 +58,9 @@
 	return placement.Request{Gang: j.gang(), View: v, Exclude: c.excludedWorkers(j)}
 }
 
-// excludedWorkers returns the workers that a job must not use: those on which it has
-// failed and, unless it may run twice, those that need a probe.
+// excludedWorkers returns a filter for the workers that a job must not use:
+// paused ones, those on which it has failed and, if it is not restartable, those
+// on probation.
 func (c *Core) excludedWorkers(j *job) func(*fleet.Worker) bool {
 	onProbation := excludesProbation(j)
 	return func(w *fleet.Worker) bool {
--- a/internal/sched/placement/placement.go
+++ b/internal/sched/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement finds room for a whole gang: best fit by worker, then by
-// rack, so that whole workers and racks stay empty.
+// Package placement finds room for a whole gang. It uses the best fit among
+// workers, then among racks, so that whole workers and racks stay empty.
 package placement
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// Candidate is what one worker offers to a request.
+// Candidate is a worker and the capacity it offers to a request.
 type Candidate struct {
 	Worker    *fleet.Worker
 	Available api.Resources
@@ -22,18 +22,18 @@
 	Tasks  int
 }
 
-// Request asks for room for a gang.
+// Request asks for a placement of a gang.
 type Request struct {
 	Gang api.Shape
 	View fleet.CapacityView
-	// GainedSince limits the search to racks (and their zones) that gained capacity
-	// after this generation.
+	// GainedSince, if not zero, limits the search to racks (and their zones) that
+	// gained capacity after this generation.
 	GainedSince uint64
-	// Exclude excludes workers; nil excludes none.
+	// Exclude filters out workers; nil excludes none.
 	Exclude func(*fleet.Worker) bool
 }
 
-// Find returns the best room for the whole gang, or nil.
+// Find returns the best placement of the whole gang, or nil if there is none.
 func Find(f *fleet.Fleet, req Request) []Assignment {
 	if req.Gang.Tasks == 1 {
 		req.Gang.Adjacency = api.AdjacentWorker
@@ -95,8 +95,8 @@
 		cmp.Compare(a.Name, b.Name)) < 0
 }
 
-// eachRack visits the racks whose total could hold need, changed ones only if
-// the request says so.
+// eachRack visits the racks whose total could hold need. If the request sets
+// GainedSince, it visits only racks that gained capacity since then.
 func eachRack(f *fleet.Fleet, req Request, need api.Resources, visit func(*fleet.Rack) bool) {
 	filtered := func(r *fleet.Rack) bool {
 		if !need.Fits(r.Total[req.View]) {
@@ -133,7 +133,7 @@
 		if assignments != nil {
 			best, bestRack = assignments, r
 		}
-		// The index visits racks from the tightest fit on.
+		// The index visits the tightest racks first.
 		return best == nil || req.GainedSince > 0 || !req.usesIndex()
 	})
 	return best
@@ -157,7 +157,7 @@
 }
 
 func findInZone(f *fleet.Fleet, req Request) []Assignment {
-	// One rack is the better place for a gang that may spread over a zone.
+	// A single rack is preferred for a gang that may spread over a zone.
 	if assignments := findInRack(f, req); assignments != nil {
 		return assignments
 	}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// candidateZones returns the zones from the one with the least room on.
+// candidateZones returns the zones to search, the one with the least room first.
 func candidateZones(f *fleet.Fleet, req Request) []string {
 	var zones []string
 	if req.GainedSince == 0 {
@@ -194,7 +194,7 @@
 	return zones
 }
 
-// packInZone spreads a gang over as few racks of the zone as it can.
+// packInZone spreads a gang over as few racks of the zone as possible.
 func packInZone(f *fleet.Fleet, zone string, req Request) []Assignment {
 	type rackRoom struct {
 		rooms []Candidate
@@ -222,7 +222,7 @@
 	slices.SortStableFunc(racks, func(a, b rackRoom) int { return cmp.Compare(b.tasks, a.tasks) })
 	var assignments []Assignment
 	for remaining := req.Gang.Tasks; remaining > 0; {
-		// The last rack is the tightest that holds what is left.
+		// The last rack is the tightest one that holds the remaining tasks.
 		pick := 0
 		for i := range racks {
 			if racks[i].tasks >= remaining {
@@ -237,8 +237,8 @@
 	return assignments
 }
 
-// Pack places the gang into the rooms, which are adjacent enough already
-// unless the gang must share one worker. It returns nil if the gang does not fit.
+// Pack places a gang on the candidates. These already satisfy the gang's adjacency,
+// unless the gang needs a single worker. It returns nil if the gang does not fit.
 func Pack(in []Candidate, gang api.Shape) []Assignment {
 	if gang.Adjacency == api.AdjacentWorker {
 		return packOnOneWorker(in, gang)
@@ -267,8 +267,8 @@
 	return onOneWorker(best.Worker, gang.Tasks)
 }
 
-// assign uses the largest rooms first and the tightest one for the rest. The
-// rooms hold at least the given number of tasks.
+// assign uses the largest candidates first and the tightest one for the rest. The
+// candidates must hold at least the given number of tasks.
 func assign(in []Candidate, perTask api.Resources, tasks int) []Assignment {
 	type slot struct {
 		worker *fleet.Worker
@@ -299,7 +299,7 @@
 	return assignments
 }
 
-// maxTasksPerWorker bounds the count of tasks that ask for nothing.
+// maxTasksPerWorker limits the count for tasks that request no resources.
 const maxTasksPerWorker = 1 << 20
 
 // TasksThatFit returns how many tasks of the given size fit into avail.
@@ -317,8 +317,8 @@
 	return n
 }
 
-// ForEachDomain visits one room for the whole gang in each worker, rack or zone that
-// has one, until visit returns false.
+// ForEachDomain visits one placement of the whole gang in each worker, rack or zone
+// that has room, until visit returns false.
 func ForEachDomain(f *fleet.Fleet, req Request, visit func([]Assignment) bool) {
 	if req.Gang.Tasks == 1 {
 		req.Gang.Adjacency = api.AdjacentWorker
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -13,23 +13,24 @@
 
 const queueDegree = 8
 
-// classKey names jobs that fit into the same places, so that a class is tried
-// once after a change instead of each job.
+// classKey identifies jobs that fit the same placements. After a change, the core
+// tries each class once instead of each job.
 type classKey struct {
 	profile        string
 	gang           api.Shape
 	idempotent     bool
 	checkpointable bool
-	jobID          string // set for a job that avoids workers of its own
+	jobID          string // set for a job that avoids certain workers
 }
 
-// class is the queued jobs of one key in order of submission.
+// class is the queued jobs with one key, in order of submission.
 type class struct {
 	key     classKey
 	account *account
 	jobs    *btree.BTreeG[*job]
-	// noPlacement says that the first job found no place; since and sinceAccount
-	// are the generations of the fleet and of the account's use at that time.
+	// noPlacement is true if the first job could not be placed. fleetGeneration
+	// and accountGeneration are the generations of the fleet and of the account's
+	// usage at that time.
 	noPlacement       bool
 	fleetGeneration   uint64
 	accountGeneration uint64
@@ -94,8 +95,8 @@
 	return j
 }
 
-// classHeap orders classes by rank, then by the account's share, then by the
-// age of the first job.
+// classHeap orders classes by rank, then by the account's weighted share, then by
+// the submission time of the first job.
 type classHeap []*class
 
 func (h classHeap) Len() int { return len(h) }
@@ -116,7 +117,7 @@
 	return cl
 }
 
-// Ranks of classes, from the first served on.
+// Ranks of classes, the first one served first.
 const (
 	rankUrgent = iota
 	rankGuaranteed
@@ -124,7 +125,7 @@
 	rankOther
 )
 
-// schedule starts what can start after the changes of this step.
+// schedule starts the jobs that can start after the changes of this step.
 func (c *Core) schedule() {
 	if !c.mayStart() {
 		return
@@ -183,13 +184,13 @@
 	}
 }
 
-// account is what one client account uses.
+// account is the usage of one client account.
 type account struct {
 	name string
 	used api.Resources
-	// unguaranteed is the part of used outside of guarantees.
+	// unguaranteed is the part of used that is outside of guarantees.
 	unguaranteed api.Resources
-	// generation rises when the account's use falls.
+	// generation increases when the account's usage decreases.
 	generation uint64
 }
 
@@ -208,7 +209,8 @@
 	return a
 }
 
-// refreshAccounts brings the queue up to date with a new configuration.
+// refreshAccounts updates the accounts of jobs and classes after a configuration
+// change.
 func (c *Core) refreshAccounts() {
 	for _, j := range c.jobs {
 		j.account = c.accountOf(j)
@@ -234,7 +236,7 @@
 	}
 }
 
-// weightedShare is the account's dominant weightedShare of the fleet outside of its
+// weightedShare returns the account's dominant share of the fleet outside of its
 // guarantees, divided by the weight.
 func (a *account) weightedShare(fleet api.Resources, weight int) float64 {
 	part := func(used, all int) float64 {
@@ -250,7 +252,8 @@
 	return dominant / float64(max(1, weight))
 }
 
-// missingProfileWait is how long a job waits for a configuration that has its profile.
+// missingProfileWait is how long a job waits for a configuration that contains its
+// profile.
 const missingProfileWait = 30 * time.Second
 
 func (c *Core) handleMissingProfile(j *job) {
@@ -260,7 +263,7 @@
 	c.rejectQueued(j, ReasonUnknownProfile, "profile \""+j.rec.Job.Profile+"\" does not exist")
 }
 
-// rejectQueued answers a queued job that can not go on.
+// rejectQueued finishes a queued job that cannot run.
 func (c *Core) rejectQueued(j *job, reason Reason, detail string) {
 	c.emitNotice(j, "", reason, detail)
 	c.leaveQueue(j)
--- a/internal/sched/renew.go
+++ b/internal/sched/renew.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// renewBuckets spreads the renewals of all workers over RenewInterval.
+// renewBuckets is the number of ticks over which the renewals of all workers are
+// spread.
 const renewBuckets = int64(RenewInterval / TickInterval)
 
-// startResendInterval is how long a start may stay without a report.
+// startResendInterval is how long a start may remain without a report before it is
+// sent again.
 const startResendInterval = time.Second
 
 func (c *Core) renewDueLeases() {
@@ -53,8 +55,8 @@
 	c.startGroup(g)
 }
 
-// renewable reports whether a group's lease may be extended: those of a gang
-// are for all members or for none.
+// renewable reports whether a group's lease may be extended. The leases of a gang
+// are extended for all groups or for none.
 func renewable(g *group) bool {
 	if g.stopping || g.detached {
 		return false
--- a/internal/sched/reports.go
+++ b/internal/sched/reports.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// handleReport takes in the state of a group from its worker's agent.
+// handleReport processes an agent's report about a group.
 func (c *Core) handleReport(r GroupReport) {
 	w := c.workers[r.Worker]
 	if w == nil || c.keepEarlyReport(r) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// handleStrayReport answers the report of a group that is of no use any more, such
-// as one of an attempt that another owner began or whose lease had lapsed.
+// handleStrayReport handles a report about a group that belongs to no current
+// attempt, for example one that another owner began or whose lease has expired.
 func (c *Core) handleStrayReport(r GroupReport) {
 	if j := c.jobs[r.JobID]; j != nil {
 		j.attempt = max(j.attempt, r.Attempt)
@@ -51,8 +51,8 @@
 	}
 }
 
-// strayGroup is a group of no attempt that the core knows. What it uses is not in
-// the books, so its worker is not chosen while it lives.
+// strayGroup is a group of an attempt that the core does not know. The resources
+// it uses are not accounted for, so its worker is not used while it exists.
 type strayGroup struct {
 	ref   GroupRef
 	until time.Duration
@@ -159,7 +159,8 @@
 	c.groupLost(g, ReasonWorkerLost)
 }
 
-// maxFailedWorkers is on how many good workers a job may fail before it is answered failed.
+// maxFailedWorkers is the number of good workers on which a job must fail before
+// its outcome is failed.
 const maxFailedWorkers = 3
 
 func (c *Core) handleFailed(g *group, r GroupReport) {
--- a/internal/sched/slots.go
+++ b/internal/sched/slots.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// reservation is a set of adjacent capacity that only preemptible work may
-// borrow. It belongs to a guarantee of a profile or to one waiting gang.
+// reservation is a set of adjacent capacity that only preemptible work may borrow.
+// It belongs to a guarantee of a profile or to one waiting gang.
 type reservation struct {
 	profile string
 	job     *job
@@ -38,7 +38,7 @@
 	return true
 }
 
-// partOn returns the reservation's part on a worker, nil if there is none.
+// partOn returns the reservation's part on a worker, or nil if there is none.
 func (r *reservation) partOn(w *worker) *reservationPart {
 	if r == nil {
 		return nil
@@ -70,8 +70,8 @@
 	}
 }
 
-// unplaceReservation gives a reservation's place up. Work that runs in it goes on as work
-// that must not be preempted.
+// unplaceReservation gives up a reservation's placement. Jobs inside it continue
+// as non-preemptible work.
 func (c *Core) unplaceReservation(r *reservation) {
 	shares := r.parts
 	r.parts = nil
@@ -86,18 +86,20 @@
 	}
 }
 
-// repackInterval bounds how often all guarantees are packed anew for a missing one.
+// repackInterval is the minimum time between two repackings of all guarantees for
+// an unplaced one.
 const repackInterval = 5 * time.Second
 
-// acceleratorWeightMilliCPU is what one accelerator counts as when sizes are compared.
+// acceleratorWeightMilliCPU is the weight of one accelerator, in milli-CPU, when
+// the sizes of reservations are compared.
 const acceleratorWeightMilliCPU = 8000
 
-// compactInterval bounds how often that is done for a waiting gang.
+// compactInterval is the minimum time between two repackings for a waiting gang.
 const compactInterval = 30 * time.Second
 
-// updateGuarantees keeps a place for each gang that is guaranteed.
+// updateGuarantees keeps a placement for each guaranteed gang.
 func (c *Core) updateGuarantees() {
-	// Capacity that became free may hold a guarantee that has no place.
+	// Capacity that has become free may fit an unplaced guarantee.
 	retry := c.unplacedCount > 0 && c.fleet.Generation() > c.placedGeneration
 	repackDue := c.repackPending && c.now >= c.lastRepack+repackInterval
 	if !c.guaranteesDirty && !retry && !repackDue {
@@ -123,7 +125,7 @@
 	c.placedGeneration = c.fleet.Generation()
 }
 
-// placeGuarantees looks for a place for each guarantee without one, the largest first.
+// placeGuarantees places the unplaced guarantees, the largest first.
 func (c *Core) placeGuarantees() {
 	c.unplacedCount, c.unplacedSize = 0, 0
 	c.unboundJobs = slices.DeleteFunc(c.unboundJobs, func(j *job) bool { return j.phase != phaseRunning || j.reservation != nil })
@@ -141,9 +143,9 @@
 	}
 }
 
-// repack moves all unused guarantees if that makes room for a missing one, or
-// leaves smaller ones missing: for those, work outside of guarantees is stopped
-// more easily.
+// repack places all unused guarantees anew. It keeps the result if fewer guarantees
+// are unplaced, or as many but smaller ones: for smaller ones, work outside of
+// guarantees is stopped more easily.
 func (c *Core) repack() {
 	missing, lacking := c.unplacedCount, c.unplacedSize
 	c.rearrange(func() bool {
@@ -151,12 +153,12 @@
 	})
 }
 
-// weightedSize compares reservations of different shapes.
+// weightedSize is a size by which reservations of different shapes are compared.
 func (r *reservation) weightedSize() int {
 	return r.gang.Tasks * (acceleratorWeightMilliCPU*r.gang.PerTask.Accelerators + r.gang.PerTask.MilliCPU)
 }
 
-// compact packs the unused guarantees anew if that opens a place for a gang.
+// compact repacks the unused guarantees if that makes room for a gang.
 func (c *Core) compact(j *job) []placement.Assignment {
 	if c.now < c.lastCompaction+compactInterval {
 		return nil
@@ -220,7 +222,7 @@
 	return out
 }
 
-// configureGuarantees makes the guarantees match the configuration.
+// configureGuarantees makes the reservations of guarantees match the configuration.
 func (c *Core) configureGuarantees() {
 	var next []*reservation
 	remaining := map[string][]*reservation{}
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// earlyReportPeriod is how long after the start of its permissions an owner
-// keeps reports of jobs that it has not been given yet.
+// earlyReportPeriod is how long after the start of its permissions a new owner
+// keeps reports about jobs whose rows it has not received yet.
 const earlyReportPeriod = 2 * time.Second
 
-// adopt rebuilds an attempt that runs, or may run, under the permissions of
-// the previous owner. The agents' reports tell what is left of it.
+// adopt rebuilds an attempt that runs, or may run, under the permissions of the
+// previous owner. The agents' reports show what is left of it.
 func (c *Core) adopt(j *job) {
 	j.phase = phaseRunning
 	j.adopting = true
@@ -43,7 +43,7 @@
 	}
 }
 
-// watchAdoption gives up a member that nobody has reported in time.
+// watchAdoption gives up a group that has not been reported by the given time.
 func (c *Core) watchAdoption(g *group, until time.Duration) {
 	c.timers.add(until, func() {
 		if g.state != groupUnknown || g.detached {
@@ -57,8 +57,8 @@
 	})
 }
 
-// continueAdopted goes on with an attempt once all its members have reported. Members
-// that are held only may start: the attempt's row is durable.
+// continueAdopted continues an attempt once all its groups have reported. Groups
+// that are only held may start, because the attempt's row is durable.
 func (c *Core) continueAdopted(j *job) {
 	if !j.adopting || j.phase != phaseRunning {
 		return
@@ -73,9 +73,9 @@
 	c.moveIfWorkerLeaves(j)
 }
 
-// startAdopted starts the members of an adopted attempt that are held only, as
-// soon as this process may start work and the previous owner's permissions have
-// ended. Until then the attempt waits; its holds end by themselves.
+// startAdopted starts the groups of an adopted attempt that are only held, as soon
+// as this process may start work and the previous owner's permissions have expired.
+// Until then the attempt waits; its holds expire on their own.
 func (c *Core) startAdopted(j *job) {
 	if j.phase != phaseRunning {
 		return
@@ -96,22 +96,22 @@
 	}
 }
 
-// renewHeld extends the hold of an adopted member at once: it may lapse before
-// this owner is permitted to start the attempt.
+// renewHeld extends the hold of an adopted group at once: it could expire before
+// this owner may start the attempt.
 func (c *Core) renewHeld(g *group) {
 	if c.ownership.Owner && renewable(g) {
 		c.emit(Renew{Worker: g.worker.Name, Groups: []GroupRef{{g.job.id(), g.attempt}}})
 	}
 }
 
-// keepEarlyReport keeps the report of a job that may still be read from the table.
-// It returns false once all rows have been given to the core.
+// keepEarlyReport keeps a report about a job whose row may still be read from the
+// table. It returns false once all rows have been received.
 func (c *Core) keepEarlyReport(r GroupReport) bool {
 	if c.jobs[r.JobID] != nil || c.rowsComplete() {
 		return false
 	}
 	c.earlyReports = append(c.earlyReports, r)
-	// What the group uses is not in the books yet.
+	// The group's resources are not accounted for yet.
 	c.pauseWorker(c.workers[r.Worker], max(0, c.ownership.StartAfter-c.now)+earlyReportPeriod)
 	return true
 }
@@ -120,7 +120,7 @@
 	return c.ownership.Owner && c.now >= c.ownership.StartAfter+earlyReportPeriod
 }
 
-// replayEarlyReports takes in the reports that came before the job's row.
+// replayEarlyReports handles the reports that arrived before the job's row.
 func (c *Core) replayEarlyReports(j *job) {
 	var own, rest []GroupReport
 	for _, r := range c.earlyReports {
@@ -143,7 +143,8 @@
 	return slices.ContainsFunc(reports, func(r GroupReport) bool { return r.Worker == workerName })
 }
 
-// flushEarlyReports stops the groups whose jobs turned out to have no row.
+// flushEarlyReports handles the reports about jobs that turned out to have no row;
+// their groups are stopped.
 func (c *Core) flushEarlyReports() {
 	if len(c.earlyReports) == 0 || !c.rowsComplete() {
 		return
@@ -155,8 +156,8 @@
 	}
 }
 
-// mayBorrow reports whether a job may use capacity that is guaranteed to others,
-// and so may be stopped when that is claimed.
+// mayBorrow reports whether a job may use capacity guaranteed to others. Such a
+// job may be preempted when that capacity is claimed.
 func (c *Core) mayBorrow(j *job) bool {
 	if c.config == nil || !j.restartable() {
 		return false
--- a/internal/sched/timers.go
+++ b/internal/sched/timers.go
@@ -11,7 +11,7 @@
 	run func()
 }
 
-// timerQueue runs functions at their times; ties run in order of creation.
+// timerQueue runs functions when they are due; ties run in order of creation.
 type timerQueue struct {
 	items []timer
 	seq   uint64
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -1,12 +1,12 @@
 // Package sched is the decision core of gang scheduling for one cell. It is
 // pure and deterministic: it does no I/O, reads no clock, starts no goroutines
-// and depends on no map order. The caller passes events and the time to Step
-// and carries out the returned actions in order. Times are durations since
-// the start of the owner's term.
+// and does not depend on map iteration order. The caller passes events and the
+// current time to Step and carries out the returned actions in order. Times are
+// durations since the start of the owner's term.
 //
-// A new owner gives the core the configuration, then all rows that are not
-// final (Submit), then Authority. Reports of jobs that it has not been given
-// yet are kept until the permissions of the previous owner have ended.
+// A new owner passes the configuration, then every row that is not final
+// (Submit), then Ownership. Reports about jobs whose row has not been passed yet
+// are kept until the permissions of the previous owner have expired.
 package sched
 
 import (
@@ -19,14 +19,14 @@
 // Event is an input of the core.
 type Event interface{ event() }
 
-// Submit brings a job that is durable in the table. Record is its row; after a
-// takeover it may be running already.
+// Submit adds a job whose row is durable. After a takeover the job may already
+// be running.
 type Submit struct{ Record api.JobRecord }
 
-// Cancel asks for the end of a job.
+// Cancel requests the end of a job.
 type Cancel struct{ JobID string }
 
-// WorkerUp says that the link with a worker's agent is open.
+// WorkerUp is sent when the link to a worker's agent opens.
 type WorkerUp struct {
 	Worker   string
 	Zone     string
@@ -34,18 +34,18 @@
 	Capacity api.Resources
 }
 
-// WorkerDown says that the link with a worker's agent is lost. Its groups run
-// on until their leases lapse.
+// WorkerDown is sent when the link to a worker's agent is lost. The worker's
+// groups keep running until their leases expire.
 type WorkerDown struct{ Worker string }
 
-// WorkerStatus is a worker agent's heartbeat.
+// WorkerStatus is the heartbeat of a worker's agent.
 type WorkerStatus struct {
 	Worker  string
 	Leaving bool
 	Healthy bool
 }
 
-// GroupState is the state of one job attempt's tasks on one worker.
+// GroupState is the state of one attempt's tasks on one worker.
 type GroupState string
 
 // The states that agents report. GroupAbsent promises that the agent holds
@@ -61,7 +61,7 @@
 	GroupAbsent       GroupState = "absent"
 )
 
-// GroupReport is a worker agent's report on the tasks of one attempt.
+// GroupReport is an agent's report about the tasks of one attempt.
 type GroupReport struct {
 	Worker      string
 	JobID       string
@@ -75,8 +75,8 @@
 	WorkerFault bool
 }
 
-// SaveResult answers a Save: Attempt (and State) of the job's row are durable.
-// Failed means that the row has certainly not been written.
+// SaveResult is the result of a Save. The row with this Attempt and State is
+// durable, or, if Failed is set, has certainly not been written.
 type SaveResult struct {
 	JobID   string
 	Attempt uint32
@@ -84,23 +84,24 @@
 	Failed  bool
 }
 
-// ConfigUpdate brings a configuration; one with a lower version is ignored.
+// ConfigUpdate carries a configuration. One with a lower version than the
+// current configuration is ignored.
 type ConfigUpdate struct{ Config *api.Config }
 
-// Ownership tells whether this process is the owner at this moment, with the
-// epoch of its term. Without authority the core starts nothing. StartAfter is
-// the time up to which the previous owner's permissions may still be in use.
+// Ownership tells whether this process is the owner now, and the epoch of its
+// term. A core that is not the owner starts no work. Until StartAfter the
+// permissions of the previous owner may still be in use.
 type Ownership struct {
 	Owner      bool
 	Epoch      uint64
 	StartAfter time.Duration
-	StoreDown  bool // nothing can be saved; running work goes on
+	StoreDown  bool // rows cannot be saved; running work continues
 }
 
-// Tick lets time pass; the shell sends one every TickInterval.
+// Tick advances the time; the caller sends one every TickInterval.
 type Tick struct{}
 
-// Drain stops the start of new attempts, for a planned stop.
+// Drain stops new attempts from starting, before a planned shutdown.
 type Drain struct{}
 
 func (Submit) event()       {}
@@ -118,20 +119,20 @@
 // Times of the protocol between the owner and the worker agents.
 const (
 	TickInterval = 100 * time.Millisecond
-	// GroupLease is how long a group runs on without a renewal.
+	// GroupLease is how long a group keeps running without a renewal.
 	GroupLease = 10 * time.Second
 	// RenewInterval is the time between two renewals of a group's lease.
 	RenewInterval = 2 * time.Second
-	// HoldLease is how long a worker keeps held capacity without a start.
+	// HoldLease is how long a worker keeps capacity held without a start.
 	HoldLease = 3 * time.Second
-	// CheckpointGrace is how long a preempted group has for its checkpoint.
+	// CheckpointGrace is how long a preempted group may take to checkpoint.
 	CheckpointGrace = 5 * time.Second
 )
 
 // Action is an output of the core.
 type Action interface{ action() }
 
-// Hold asks a worker to set capacity aside for an attempt.
+// Hold asks a worker to hold capacity for an attempt.
 type Hold struct {
 	Worker  string
 	JobID   string
@@ -140,9 +141,10 @@
 	PerTask api.Resources
 }
 
-// Start starts a held group. It is issued only after the attempt's Save.
-// Checkpoint is the object store key to resume from; if the tasks were grouped
-// differently when they were checkpointed, it is several keys with spaces between.
+// Start starts a held group. It is issued only after the attempt's row has been
+// saved. Checkpoint is the object store key to resume from. If the tasks were
+// grouped differently when the checkpoints were taken, it is several keys
+// separated by spaces.
 type Start struct {
 	Worker     string
 	JobID      string
@@ -151,10 +153,11 @@
 	Checkpoint string
 }
 
-// Stop ends a group, held or running; with Grace a checkpoint is tried first.
-// The agent answers with a GroupReport (checkpointed, stopped or absent). A
-// Stop of a group that has ended already lets the agent forget its result: the
-// job's answer is durable. Stops are repeated until they are answered.
+// Stop ends a group, whether held or running. With a Grace, the agent first tries
+// to take a checkpoint. The agent answers with a GroupReport (checkpointed,
+// stopped or absent); a Stop is repeated until it is answered. A Stop for a group
+// that has already ended lets the agent discard its result, because the job's
+// final row is durable.
 type Stop struct {
 	Worker  string
 	JobID   string
@@ -163,24 +166,24 @@
 	Reason  string
 }
 
-// Renew extends the leases of groups on one worker, running or held. The
-// agent answers absent for those that it does not know.
+// Renew extends the leases of groups on one worker, whether held or running. The
+// agent reports groups that it does not know as absent.
 type Renew struct {
 	Worker string
 	Groups []GroupRef
 }
 
-// GroupRef names the tasks of one attempt on a worker.
+// GroupRef identifies the tasks of one attempt on a worker.
 type GroupRef struct {
 	JobID   string
 	Attempt uint32
 }
 
-// Save writes a job's row. The core waits for Saved before anything that
-// depends on it. A final record is the job's one answer.
+// Save writes a job's row. The core waits for the SaveResult before it does
+// anything that depends on the row. A final row is the job's only answer.
 type Save struct{ Record api.JobRecord }
 
-// Notice reports a decision for counters, logs and the state dump.
+// Notice reports a decision to counters, logs and the state dump.
 type Notice struct {
 	JobID  string
 	Worker string
@@ -195,7 +198,7 @@
 func (Save) action()   {}
 func (Notice) action() {}
 
-// Reason is a typed reason of a decision.
+// Reason is the typed reason of a decision.
 type Reason string
 
 // The reasons of decisions.
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -14,21 +14,24 @@
 	reviewInterval = time.Second
 	// reservationDelay is how long a gang waits before capacity is reserved for it.
 	reservationDelay = 30 * time.Second
-	// maxWaitingReservations bounds the gangs with a reservation at a time.
+	// maxWaitingReservations limits the waiting gangs that hold a reservation.
 	maxWaitingReservations = 8
-	// minRunBeforePreemption protects preemptible work from preemptible gangs.
+	// minRunBeforePreemption is how long preemptible work runs before a preemptible
+	// gang may preempt it.
 	minRunBeforePreemption = 10 * time.Minute
-	// preemptionRetryInterval is the time between two attempts to evict for a preemptible gang.
+	// preemptionRetryInterval is the time between two attempts to preempt for a
+	// waiting preemptible gang.
 	preemptionRetryInterval = 30 * time.Second
 	// unplaceableTimeout is how long a job waits for workers that the fleet lacks.
 	unplaceableTimeout = 6 * time.Hour
-	// restartCost is the time that a moved gang loses besides its checkpoint.
+	// restartCost is the time that a migrated gang loses in addition to its
+	// checkpoint.
 	restartCost = 30 * time.Second
-	// defaultRun is expected of a job that declares no run time.
+	// defaultRun is the expected run time of a job that declares none.
 	defaultRun = time.Hour
 )
 
-// reviewQueue looks at the jobs that wait, once per reviewInterval.
+// reviewQueue reviews the waiting jobs, once per reviewInterval.
 func (c *Core) reviewQueue() {
 	if !c.mayStart() || c.now < c.lastReview+reviewInterval {
 		return
@@ -56,7 +59,7 @@
 	}
 	c.allowAvoidedWorkers(j)
 	if c.unplacedGuarantee(j) != nil {
-		// Other guarantees may be moved for it by now.
+		// Other guarantees may be movable by now.
 		j.class.noPlacement = false
 	}
 	if j.waitingReservation != nil && !j.waitingReservation.inService() {
@@ -72,7 +75,7 @@
 	}
 }
 
-// rejectUnplaceable answers a job that the fleet as it has become can not hold.
+// rejectUnplaceable finishes a job that the current fleet could never hold.
 func (c *Core) rejectUnplaceable(j *job) bool {
 	reason, never := c.neverFits(j)
 	if never {
@@ -82,7 +85,7 @@
 }
 
 // isLarge reports whether a gang needs more than half of the largest worker, so
-// that smaller work could keep it waiting for ever.
+// that smaller work could keep it waiting forever.
 func (c *Core) isLarge(j *job) bool {
 	need, largest := j.totalResources(), c.fleet.LargestCapacity()
 	if need.Accelerators > 0 {
@@ -91,8 +94,8 @@
 	return need.MilliCPU*2 > largest.MilliCPU
 }
 
-// retryPreemption tries a preemptible gang again: work that may make room for it
-// may have run for long enough by now.
+// retryPreemption lets a waiting preemptible gang try to preempt again: work that
+// blocks it may have run long enough by now.
 func (c *Core) retryPreemption(j *job) {
 	if c.now < j.lastReview+preemptionRetryInterval {
 		return
@@ -102,8 +105,8 @@
 	j.class.noPlacement = false
 }
 
-// tryPreemptForLarge starts a large preemptible gang that has waited in the place of
-// smaller preemptible work. Gangs of like size do not evict each other.
+// tryPreemptForLarge lets a large preemptible gang that has waited preempt smaller
+// preemptible work. Gangs of similar size do not preempt each other.
 func (c *Core) tryPreemptForLarge(j *job) bool {
 	if !j.mayPreempt || !c.mayBorrow(j) {
 		return false
@@ -113,8 +116,8 @@
 	return c.tryPreempt(j, rule, CheckpointGrace)
 }
 
-// reserve sets the place aside that is expected to be free first. Preemptible
-// work may go on using it.
+// reserve reserves the placement that is expected to become free first.
+// Preemptible work may keep using it.
 func (c *Core) reserve(j *job) {
 	if len(c.waitingReservations) >= maxWaitingReservations {
 		return
@@ -133,8 +136,8 @@
 	c.emitNotice(j, assignments[0].Worker.Name, ReasonReserved, "")
 }
 
-// freeingWorker is a worker with the time until its work outside of
-// reservations that must not be preempted is expected to end.
+// freeingWorker is a worker with the time until its non-preemptible work outside
+// of reservations is expected to end.
 type freeingWorker struct {
 	candidate  placement.Candidate
 	timeToFree time.Duration
@@ -152,7 +155,7 @@
 	return best
 }
 
-// adjacencyDomains returns the sets of workers that are adjacent enough.
+// adjacencyDomains returns the sets of workers that satisfy an adjacency.
 func (c *Core) adjacencyDomains(adjacency api.Adjacency) [][]*fleet.Worker {
 	var out [][]*fleet.Worker
 	for _, z := range c.fleet.Zones() {
@@ -197,8 +200,8 @@
 	return nil, 0
 }
 
-// nonPreemptibleWait is the time until all work that must not be preempted is expected
-// to have ended or to have been moved.
+// nonPreemptibleWait returns the time until all non-preemptible work on a worker
+// is expected to have ended or to have been moved.
 func (c *Core) nonPreemptibleWait(w *worker) time.Duration {
 	var wait time.Duration
 	for _, g := range w.groups {
@@ -223,7 +226,7 @@
 	return move
 }
 
-// migrationCost is the accelerator time that a migration loses.
+// migrationCost returns the accelerator time that a migration loses.
 func migrationCost(j *job) time.Duration {
 	return (CheckpointGrace + restartCost) * time.Duration(max(1, j.totalResources().Accelerators))
 }
@@ -238,11 +241,11 @@
 	if j.started {
 		ran += c.now - j.startedAt
 	}
-	// A job that has outrun its expectation counts as halfway.
+	// A job that has run longer than expected counts as halfway through.
 	return max(c.expectedRunTime(j)-ran, ran/2)
 }
 
-// tryReserved starts a job in the place that is reserved for it.
+// tryReserved starts a job on the capacity reserved for it.
 func (c *Core) tryReserved(j *job) bool {
 	r := j.waitingReservation
 	if r == nil {
@@ -262,7 +265,7 @@
 	return true
 }
 
-// dropReservation gives up the reservation of a waiting gang, if it has one.
+// dropReservation drops the reservation of a waiting gang, if it has one.
 func (c *Core) dropReservation(j *job) {
 	r := j.waitingReservation
 	if r == nil {
@@ -279,8 +282,8 @@
 	}
 }
 
-// migrateForReservation moves one job that stands in the way of a waiting gang, if it has
-// room elsewhere and the gang's gain repays the move.
+// migrateForReservation moves one job that blocks a waiting gang's reservation, if
+// the job fits elsewhere and the gang gains more than the migration costs.
 func (c *Core) migrateForReservation(r *reservation) {
 	for _, s := range r.parts {
 		for _, g := range s.worker.groups {
--- a/internal/sched/workers.go
+++ b/internal/sched/workers.go
@@ -7,18 +7,18 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// disconnectTimeout is how long the link with a worker may be lost before the
-// gangs with a member there are stopped. It leaves the other members the time
-// for a checkpoint within their leases.
+// disconnectTimeout is how long the link to a worker may be lost before the gangs
+// with a group there are stopped. It leaves the other groups enough time for a
+// checkpoint within their leases.
 const disconnectTimeout = 4 * time.Second
 
 const (
-	// lostWorkerTTL is how long a worker that is gone counts as part of the fleet.
+	// lostWorkerTTL is how long a disconnected worker counts as part of the fleet.
 	lostWorkerTTL         = 24 * time.Hour
 	forgetWorkersInterval = time.Hour
 )
 
-// worker is a worker of the fleet with the groups that use it.
+// worker is a worker of the fleet and the groups on it.
 type worker struct {
 	*fleet.Worker
 	index       int
@@ -28,7 +28,7 @@
 	failures    []workerFailure
 	quarantines int
 	unlinkedAt  time.Duration
-	// pausedUntil is when the worker may be chosen again after a refusal.
+	// pausedUntil is when a paused worker may be used again.
 	pausedUntil time.Duration
 }
 
@@ -43,7 +43,8 @@
 	return w
 }
 
-// forgetWorkers drops workers that have been replaced.
+// forgetWorkers removes workers that have been disconnected for lostWorkerTTL, such
+// as replaced ones.
 func (c *Core) forgetWorkers() {
 	if c.now < c.lastForget+forgetWorkersInterval {
 		return
@@ -118,8 +119,8 @@
 	}
 }
 
-// awaitLink ends an attempt in time for checkpoints of the other members, if
-// the link with one member's worker does not come back.
+// awaitLink ends an attempt if the link to a group's worker does not come back in
+// time for the other groups to checkpoint.
 func (c *Core) awaitLink(g *group) {
 	j, w, since := g.job, g.worker, g.worker.unlinkedAt
 	c.after(disconnectTimeout, func() {
@@ -144,7 +145,7 @@
 	}
 }
 
-// pauseWorker keeps a worker from being chosen for a while.
+// pauseWorker keeps a worker from being used for a while.
 func (c *Core) pauseWorker(w *worker, d time.Duration) {
 	w.pausedUntil = max(w.pausedUntil, c.now+d)
 	if w.Paused {
@@ -169,7 +170,7 @@
 	})
 }
 
-// allocateGroup books the capacity of a group.
+// allocateGroup allocates the resources of a group on its worker.
 func (c *Core) allocateGroup(g *group) {
 	w := g.worker
 	w.groups = append(w.groups, g)
@@ -194,7 +195,7 @@
 	})
 }
 
-// releaseGroup frees the capacity of a group that has ended for certain.
+// releaseGroup frees the resources of a group that has certainly ended.
 func (c *Core) releaseGroup(g *group, state groupState) {
 	if !g.live() {
 		return
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// zoneReopenSteps is in how many steps the racks of a returning zone are opened.
+	// zoneReopenSteps is the number of steps in which the racks of a zone reopen.
 	zoneReopenSteps = 4
 	// zoneReopenInterval is the time between two steps.
 	zoneReopenInterval = 5 * time.Second
-	// movesPerTick is how many gangs are moved out of zones per tick.
+	// movesPerTick is the number of gangs that are moved per tick.
 	movesPerTick = 16
 )
 
-// zoneReopening is the state of a zone that comes back by steps.
+// zoneReopening is the progress of a zone that reopens in steps.
 type zoneReopening struct{ step int }
 
 func (c *Core) handleConfigUpdate(config *api.Config) {
@@ -82,7 +82,8 @@
 	}
 }
 
-// vacateWorker ends everything on a worker that has not started and moves what runs.
+// vacateWorker ends everything on a worker that has not started and moves running
+// jobs.
 func (c *Core) vacateWorker(w *worker) {
 	reason := leaveReason(w)
 	c.guaranteesDirty = true
@@ -109,14 +110,15 @@
 	return ReasonWorkerLeaving
 }
 
-// moveIfWorkerLeaves moves a job that was taken over in a zone that is out.
+// moveIfWorkerLeaves moves an adopted job that runs in a zone that is out or on a
+// worker that is leaving.
 func (c *Core) moveIfWorkerLeaves(j *job) {
 	if j.workerToLeave() != nil {
 		c.addPendingMove(j)
 	}
 }
 
-// workerToLeave returns a worker of the job that it has to leave, or nil.
+// workerToLeave returns a worker that the job has to leave, or nil.
 func (j *job) workerToLeave() *worker {
 	for _, g := range j.groups {
 		if g.live() && (g.worker.ZoneOut || g.worker.Leaving) {
@@ -126,8 +128,9 @@
 	return nil
 }
 
-// addPendingMove notes a job that has to leave its workers. A job that can not
-// resume from a checkpoint runs to its end: stopping it would lose its work.
+// addPendingMove records a job that has to leave its workers. A job that cannot
+// resume from a checkpoint runs to its end, because stopping it would lose its
+// work.
 func (c *Core) addPendingMove(j *job) {
 	if !j.restartable() || !j.rec.Job.Checkpointable || j.movePending {
 		return
@@ -136,7 +139,7 @@
 	c.pendingMoves = append(c.pendingMoves, j)
 }
 
-// movePendingJobs moves the next jobs, those within guarantees first.
+// movePendingJobs moves the next pending jobs, those within guarantees first.
 func (c *Core) movePendingJobs() {
 	if len(c.pendingMoves) == 0 || !c.ownership.Owner {
 		return
@@ -169,7 +172,7 @@
 	return rankOther
 }
 
-// reopenNextRacks opens the next part of a returning zone's racks.
+// reopenNextRacks reopens the next racks of a zone.
 func (c *Core) reopenNextRacks(zone string, reopening *zoneReopening) {
 	if c.reopeningZones[zone] != reopening {
 		return
@@ -190,7 +193,7 @@
 	c.after(zoneReopenInterval, func() { c.reopenNextRacks(zone, reopening) })
 }
 
-// openRackCount is how many racks of a zone are open.
+// openRackCount returns the number of racks of a zone that are open.
 func (c *Core) openRackCount(zone string) int {
 	n := len(c.fleet.Racks(zone))
 	reopening := c.reopeningZones[zone]
@@ -200,7 +203,7 @@
 	return (n*reopening.step + zoneReopenSteps - 1) / zoneReopenSteps
 }
 
-// awaitsReopen reports whether a worker's rack waits for a later step of its zone.
+// awaitsReopen reports whether a worker's rack reopens in a later step of its zone.
 func (c *Core) awaitsReopen(w *fleet.Worker) bool {
 	if c.reopeningZones[w.Zone] == nil || w.ZoneOut {
 		return false
