--- a/internal/entry/node/ownership.go
+++ b/internal/entry/node/ownership.go
@@ -21,8 +21,8 @@
 
 // Authority returns the present standing and how long from now the earlier
 // owner's permissions may still be in use.
-func (o Ownership) Authority() (sched.Ownership, time.Duration) {
+func (o Ownership) Authority() (sched.OwnerStatus, time.Duration) {
 	a := o.Owner.Current()
 	wait := max(0, a.StartAfter-o.Clock())
-	return sched.Ownership{Owner: a.Owner, Epoch: a.Epoch, StoreDown: a.StoreDown}, wait
+	return sched.OwnerStatus{Owner: a.Owner, Epoch: a.Epoch, StoreDown: a.StoreDown}, wait
 }
--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -33,7 +33,7 @@
 type Ownership interface {
 	// Authority returns the present standing; see sched.Authority. StartAfter
 	// is the wait that the term begins with.
-	Authority() (sched.Ownership, time.Duration)
+	Authority() (sched.OwnerStatus, time.Duration)
 }
 
 // Configuration is what the scheduler reads of the configuration.
@@ -136,7 +136,7 @@
 }
 
 // beginTerm is called with mu held; the rows are read without it.
-func (s *Service) beginTerm(a sched.Ownership, wait time.Duration) {
+func (s *Service) beginTerm(a sched.OwnerStatus, wait time.Duration) {
 	t := newTerm(s, a.Epoch, wait)
 	s.term = t
 	s.log.Info().Uint64("epoch", a.Epoch).Dur("start_after", wait).Msg("term began")
@@ -205,7 +205,7 @@
 // replay is called with mu held. The standing comes first, since it decides
 // what becomes of the attempts that are found. Jobs come before the workers'
 // reports, so that no report names a job that the core does not know.
-func (s *Service) replay(t *term, authority sched.Ownership, rows []jobs.Row) {
+func (s *Service) replay(t *term, authority sched.OwnerStatus, rows []jobs.Row) {
 	t.step(authority, sched.ConfigUpdate{Config: s.config.Current()})
 	for _, row := range rows {
 		t.submit(row.Record)
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -56,7 +56,7 @@
 // nextAttempt returns the next attempt number. It includes the owner's epoch, so
 // that the number of a hold that a previous owner did not save is never reused.
 func (c *Core) nextAttempt(j *job) uint32 {
-	return max(j.attempt, uint32(c.ownership.Epoch)<<attemptBits) + 1
+	return max(j.attempt, uint32(c.ownerStatus.Epoch)<<attemptBits) + 1
 }
 
 func (c *Core) sendHolds(j *job) {
@@ -167,7 +167,7 @@
 
 // startable reports whether a held and saved attempt may start now.
 func (c *Core) startable(j *job) bool {
-	if !c.ownership.Owner || c.now < c.ownership.StartAfter || j.unlinkedGroups > 0 {
+	if !c.ownerStatus.Owner || c.now < c.ownerStatus.StartAfter || j.unlinkedGroups > 0 {
 		return false
 	}
 	for _, g := range j.groups {
--- a/internal/sched/baseline_test.go
+++ b/internal/sched/baseline_test.go
@@ -16,8 +16,8 @@
 	queue   []*baseJob
 	config  *api.Config
 	out     []Action
-	// stuck says that the first job found no room and none became free since.
-	stuck bool
+	// headBlocked says that the first job found no room and none became free since.
+	headBlocked bool
 }
 
 type baseWorker struct {
@@ -27,9 +27,9 @@
 }
 
 type baseJob struct {
-	rec     api.JobRecord
-	waiting int // reports that are still to come: held, then done
-	running bool
+	rec            api.JobRecord
+	pendingReports int // reports that are still to come: held, then done
+	running        bool
 }
 
 func newBaseline() *baseline {
@@ -41,7 +41,7 @@
 	switch e := ev.(type) {
 	case ConfigUpdate:
 		b.config = e.Config
-		b.stuck = false
+		b.headBlocked = false
 	case WorkerUp:
 		b.workerUp(e)
 	case WorkerDown:
@@ -57,8 +57,8 @@
 	case Tick:
 		return nil
 	}
-	for !b.stuck && len(b.queue) > 0 {
-		if b.stuck = !b.begin(b.queue[0]); !b.stuck {
+	for !b.headBlocked && len(b.queue) > 0 {
+		if b.headBlocked = !b.tryStart(b.queue[0]); !b.headBlocked {
 			b.queue = b.queue[1:]
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 func (b *baseline) workerUp(e WorkerUp) {
-	b.stuck = false
+	b.headBlocked = false
 	w := b.byName[e.Worker]
 	if w == nil {
 		w = &baseWorker{}
@@ -79,14 +79,14 @@
 // workerDown runs the jobs of the worker again, from the start, in their old order.
 func (b *baseline) workerDown(name string) {
 	b.byName[name].down = true
-	b.stuck = false
+	b.headBlocked = false
 	for _, id := range sortedKeys(b.jobs) {
 		j := b.jobs[id]
 		if !slices.ContainsFunc(j.rec.Placements, func(p api.Placement) bool { return p.Worker == name }) {
 			continue
 		}
 		for _, p := range j.rec.Placements {
-			b.give(p, j)
+			b.releaseCapacity(p, j)
 			b.out = append(b.out, Stop{Worker: p.Worker, JobID: id, Attempt: j.rec.Attempt})
 		}
 		j.rec.Placements = nil
@@ -97,14 +97,14 @@
 	})
 }
 
-func (b *baseline) give(p api.Placement, j *baseJob) {
-	b.stuck = false
+func (b *baseline) releaseCapacity(p api.Placement, j *baseJob) {
+	b.headBlocked = false
 	w := b.byName[p.Worker]
 	w.free = w.free.Add(j.rec.Job.Gang.PerTask.Times(p.Tasks))
 }
 
-// begin places a gang on the first worker, rack or zone that has room.
-func (b *baseline) begin(j *baseJob) bool {
+// tryStart places a gang on the first worker, rack or zone that has room.
+func (b *baseline) tryStart(j *baseJob) bool {
 	gang := j.rec.Job.Gang
 	domain := func(w *baseWorker) string {
 		switch gang.Adjacency {
@@ -118,7 +118,7 @@
 	room := map[string]int{}
 	for _, w := range b.workers {
 		name := domain(w)
-		room[name] += b.fits(w, gang.PerTask)
+		room[name] += b.tasksThatFit(w, gang.PerTask)
 		if room[name] < gang.Tasks {
 			continue
 		}
@@ -128,7 +128,7 @@
 	return false
 }
 
-func (b *baseline) fits(w *baseWorker, perTask api.Resources) int {
+func (b *baseline) tasksThatFit(w *baseWorker, perTask api.Resources) int {
 	if w.down || b.config.ZoneOut(w.up.Zone) {
 		return 0
 	}
@@ -147,7 +147,7 @@
 	for _, w := range b.workers {
 		n := 0
 		if in(w) {
-			n = min(gang.Tasks-first, b.fits(w, gang.PerTask))
+			n = min(gang.Tasks-first, b.tasksThatFit(w, gang.PerTask))
 		}
 		if n == 0 {
 			continue
@@ -157,7 +157,7 @@
 		b.out = append(b.out, Hold{Worker: w.up.Worker, JobID: j.rec.Job.ID, Attempt: j.rec.Attempt, Tasks: n, PerTask: gang.PerTask})
 		first += n
 	}
-	j.waiting = len(j.rec.Placements)
+	j.pendingReports = len(j.rec.Placements)
 }
 
 func (b *baseline) report(r GroupReport) {
@@ -167,14 +167,14 @@
 	}
 	switch r.State {
 	case GroupHeld:
-		j.waiting--
-		if j.waiting == 0 {
+		j.pendingReports--
+		if j.pendingReports == 0 {
 			j.rec.State = api.JobRunning
 			b.out = append(b.out, Save{j.rec})
 		}
 	case GroupDone:
-		j.waiting--
-		if j.waiting == 0 && j.running {
+		j.pendingReports--
+		if j.pendingReports == 0 && j.running {
 			b.finish(j)
 		}
 	}
@@ -182,7 +182,7 @@
 
 func (b *baseline) finish(j *baseJob) {
 	for _, p := range j.rec.Placements {
-		b.give(p, j)
+		b.releaseCapacity(p, j)
 	}
 	delete(b.jobs, j.rec.Job.ID)
 	j.rec.State = api.JobFinal
@@ -196,7 +196,7 @@
 		return
 	}
 	j.running = true
-	j.waiting = len(j.rec.Placements)
+	j.pendingReports = len(j.rec.Placements)
 	for _, p := range j.rec.Placements {
 		b.out = append(b.out, Start{Worker: p.Worker, JobID: e.JobID, Attempt: e.Attempt, FirstTask: p.FirstTask})
 	}
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -12,16 +12,16 @@
 
 // bench drives a core with agents and a table that answer at once.
 type bench struct {
-	core    *Core
-	now     time.Duration
-	workers []WorkerUp
-	config  *api.Config
-	rows    map[string]api.JobRecord
-	events  []Event
-	acts    int
-	rnd     *rand.Rand
-	next    int
-	tasks   int
+	core        *Core
+	now         time.Duration
+	workers     []WorkerUp
+	config      *api.Config
+	rows        map[string]api.JobRecord
+	events      []Event
+	actionCount int
+	rnd         *rand.Rand
+	next        int
+	tasks       int
 }
 
 // newBench fills a fleet with seven tasks per worker: 31,000 on 4,400 workers.
@@ -50,15 +50,15 @@
 		}
 		b.config.Profiles[p.Name] = p
 	}
-	b.own()
+	b.takeOwnership()
 	for b.tasks < 7*workers {
-		b.submit(b.job(min(128, 1<<b.rnd.Intn(8), max(1, workers/8))))
+		b.submit(b.newJob(min(128, 1<<b.rnd.Intn(8), max(1, workers/8))))
 	}
 	return b
 }
 
-// own starts a new term from the rows and the agents' reports.
-func (b *bench) own() {
+// takeOwnership starts a new term from the rows and the agents' reports.
+func (b *bench) takeOwnership() {
 	b.core = New(Config{TermStart: time.Unix(0, 0)})
 	b.now = 0
 	b.apply(ConfigUpdate{b.config})
@@ -72,10 +72,10 @@
 			b.apply(GroupReport{Worker: p.Worker, JobID: id, Attempt: rec.Attempt, State: GroupRunning})
 		}
 	}
-	b.apply(Ownership{Owner: true, Epoch: 1})
+	b.apply(OwnerStatus{Owner: true, Epoch: 1})
 }
 
-func (b *bench) job(tasks int) api.Job {
+func (b *bench) newJob(tasks int) api.Job {
 	b.next++
 	accelerators := 0
 	if b.rnd.Intn(5) == 0 {
@@ -108,7 +108,7 @@
 	b.events = append(b.events[:0], ev)
 	for i := 0; i < len(b.events); i++ {
 		acts := b.core.Step(b.now, b.events[i])
-		b.acts += len(acts)
+		b.actionCount += len(acts)
 		for _, a := range acts {
 			b.answer(a)
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *bench) advance(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += TickInterval
 		b.apply(Tick{})
@@ -155,18 +155,18 @@
 	return ids
 }
 
-func (b *bench) lose(workers []WorkerUp) {
+func (b *bench) disconnect(workers []WorkerUp) {
 	for _, w := range workers {
 		b.apply(WorkerDown{w.Worker})
 	}
-	b.pass(GroupLease + 2*time.Second)
+	b.advance(GroupLease + 2*time.Second)
 }
 
-func (b *bench) bringBack(workers []WorkerUp) {
+func (b *bench) reconnect(workers []WorkerUp) {
 	for _, w := range workers {
 		b.apply(w)
 	}
-	b.pass(15 * time.Second)
+	b.advance(15 * time.Second)
 }
 
 func (b *bench) setZone(state api.ZoneState) {
@@ -174,7 +174,7 @@
 	b.config.Version++
 	b.config.Zones["z1"] = api.AvailabilityZone{Name: "z1", State: state}
 	b.apply(ConfigUpdate{b.config})
-	b.pass(40 * time.Second)
+	b.advance(40 * time.Second)
 }
 
 var benchSizes = []int{10, 100, 1000, 4400}
@@ -185,10 +185,10 @@
 		t.Run(fmt.Sprintf("workers=%d", n), func(t *testing.B) {
 			b := newBench(n)
 			t.ReportAllocs()
-			b.acts = 0
+			b.actionCount = 0
 			t.ResetTimer()
 			run(t, b)
-			t.ReportMetric(float64(b.acts)/float64(t.N), "actions/op")
+			t.ReportMetric(float64(b.actionCount)/float64(t.N), "actions/op")
 		})
 	}
 }
@@ -198,7 +198,7 @@
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
 			t.StopTimer()
-			job := b.job(min(tasks, len(b.workers)/2))
+			job := b.newJob(min(tasks, len(b.workers)/2))
 			job.Gang.PerTask.Accelerators = 0
 			if measureSubmit {
 				t.StartTimer()
@@ -223,12 +223,12 @@
 	perSize(t, func(t *testing.B, b *bench) {
 		t.StopTimer()
 		for range 200 {
-			job := b.job(64)
+			job := b.newJob(64)
 			job.Gang.PerTask.Accelerators = 2
 			b.submit(job)
 		}
 		for range t.N {
-			job := b.job(4)
+			job := b.newJob(4)
 			job.Gang.PerTask.Accelerators = 0
 			b.submit(job)
 			t.StartTimer()
@@ -244,9 +244,9 @@
 	perSize(t, func(t *testing.B, b *bench) {
 		for i := range t.N {
 			lost := b.workers[i%len(b.workers) : i%len(b.workers)+1]
-			b.lose(lost)
+			b.disconnect(lost)
 			t.StopTimer()
-			b.bringBack(lost)
+			b.reconnect(lost)
 			t.StartTimer()
 		}
 	})
@@ -256,9 +256,9 @@
 	perSize(t, func(t *testing.B, b *bench) {
 		rack := b.workers[:min(40, len(b.workers)/3)]
 		for range t.N {
-			b.lose(rack)
+			b.disconnect(rack)
 			t.StopTimer()
-			b.bringBack(rack)
+			b.reconnect(rack)
 			t.StartTimer()
 		}
 	})
@@ -290,7 +290,7 @@
 func BenchmarkTakeover(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
-			b.own()
+			b.takeOwnership()
 		}
 	})
 }
@@ -316,7 +316,7 @@
 func BenchmarkSecond(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
-			b.pass(time.Second)
+			b.advance(time.Second)
 		}
 	})
 }
--- a/internal/sched/compare_test.go
+++ b/internal/sched/compare_test.go
@@ -30,26 +30,26 @@
 }
 
 const (
-	day      = 24 * time.Hour
-	dayStart = 10 * time.Hour // the zone leaves
-	dayEnd   = 13 * time.Hour // the zone returns
-	powerOff = 2 * time.Minute
-	lastTime = 48 * time.Hour
+	day           = 24 * time.Hour
+	zoneOutAt     = 10 * time.Hour // the zone leaves
+	zoneInAt      = 13 * time.Hour // the zone returns
+	powerOffDelay = 2 * time.Minute
+	maxTime       = 48 * time.Hour
 )
 
 type workload struct {
-	name   string
-	fleet  []WorkerUp
-	config *api.Config
-	jobs   []api.Job
-	run    map[string]time.Duration
-	tick   time.Duration
-	shape  api.Shape // the largest guaranteed shape
-	large  int       // accelerators of a gang above half a rack
+	name      string
+	fleet     []WorkerUp
+	config    *api.Config
+	jobs      []api.Job
+	runTimes  map[string]time.Duration
+	tick      time.Duration
+	shape     api.Shape // the largest guaranteed shape
+	largeGang int       // accelerators of a gang above half a rack
 }
 
-// kind is a kind of work in a load.
-type kind struct {
+// jobKind is a jobKind of work in a load.
+type jobKind struct {
 	profile    string
 	share      float64 // of all jobs
 	sizes      []int   // tasks
@@ -59,13 +59,13 @@
 	checkpoint bool
 }
 
-func (l *workload) generate(seed int64, perDay int, kinds []kind) {
+func (l *workload) generate(seed int64, perDay int, kinds []jobKind) {
 	rnd := rand.New(rand.NewSource(seed))
-	l.run = map[string]time.Duration{}
+	l.runTimes = map[string]time.Duration{}
 	at := time.Duration(0)
 	for i := range perDay {
 		at += time.Duration(rnd.ExpFloat64() * float64(day) / float64(perDay))
-		k := pick(rnd, kinds)
+		k := drawKind(rnd, kinds)
 		length := time.Duration(math.Exp(rnd.NormFloat64()*0.8-0.32) * float64(k.mean))
 		declared := time.Duration(float64(length) * math.Exp(rnd.NormFloat64()))
 		job := api.Job{
@@ -74,11 +74,11 @@
 			DeclaredRun: api.Duration(declared), Submitted: time.Unix(0, 0).Add(at),
 		}
 		l.jobs = append(l.jobs, job)
-		l.run[job.ID] = max(length, time.Minute)
+		l.runTimes[job.ID] = max(length, time.Minute)
 	}
 }
 
-func pick(rnd *rand.Rand, kinds []kind) kind {
+func drawKind(rnd *rand.Rand, kinds []jobKind) jobKind {
 	x := rnd.Float64()
 	for _, k := range kinds {
 		if x < k.share {
@@ -111,7 +111,7 @@
 			Capacity: api.Resources{Accelerators: 8, MilliCPU: cpu, MemoryMB: 250000},
 		})
 	}
-	l.large = 13
+	l.largeGang = 13
 }
 
 var oneAccelerator = api.Resources{Accelerators: 1, MilliCPU: 4000, MemoryMB: 16000}
@@ -123,7 +123,7 @@
 	l.smallFleet(130000)
 	l.guarantee("consent", 1, 16, oneAccelerator, api.AdjacentRack)
 	l.shape = l.config.Profiles["consent"].Guarantee.Shape
-	l.generate(11, 420, []kind{
+	l.generate(11, 420, []jobKind{
 		{"report", 0.50, []int{1, 1, 2, 4}, oneAccelerator, api.AdjacentWorker, 40 * time.Minute, true},
 		{"survey", 0.12, []int{8, 12, 16, 24}, oneAccelerator, api.AdjacentRack, 60 * time.Minute, true},
 		{"consent", 0.06, []int{8, 16}, oneAccelerator, api.AdjacentRack, 30 * time.Minute, false},
@@ -139,7 +139,7 @@
 	l.smallFleet(60000)
 	l.guarantee("clinic", 2, 8, oneAccelerator, api.AdjacentWorker)
 	l.shape = l.config.Profiles["clinic"].Guarantee.Shape
-	l.generate(12, 440, []kind{
+	l.generate(12, 440, []jobKind{
 		{"nightly", 0.60, []int{1, 2, 2, 4}, oneAccelerator, api.AdjacentWorker, 45 * time.Minute, true},
 		{"clinic", 0.15, []int{4, 8}, oneAccelerator, api.AdjacentWorker, 20 * time.Minute, true},
 		{"cohort", 0.10, []int{8, 16, 24}, oneAccelerator, api.AdjacentRack, 60 * time.Minute, true},
@@ -159,7 +159,7 @@
 	}
 	l.shape = l.config.Profiles["t01"].Guarantee.Shape
 	l.tick = 5 * time.Second
-	l.large = 21
+	l.largeGang = 21
 	for i := range 4400 {
 		accelerators := 1
 		if i%22 == 0 {
@@ -171,7 +171,7 @@
 		})
 	}
 	cpu := api.Resources{MilliCPU: 4000, MemoryMB: 8000}
-	l.generate(13, 7900, []kind{
+	l.generate(13, 7900, []jobKind{
 		{"t00", 0.84, []int{1, 8, 32, 64, 128}, cpu, api.AdjacentZone, 150 * time.Minute, true},
 		{"t01", 0.08, []int{1, 4, 16, 32}, oneAccelerator, api.AdjacentRack, 150 * time.Minute, true},
 		{"t02", 0.08, []int{1, 8, 32, 64, 128}, oneAccelerator, api.AdjacentZone, 150 * time.Minute, true},
@@ -185,37 +185,37 @@
 // trial is one run of a load.
 type trial struct {
 	*rig
-	load    workload
-	started map[string]time.Duration
-	done    map[string]time.Duration
-	blocked []float64 // share of free accelerators without room for the shape
+	load          workload
+	started       map[string]time.Duration
+	done          map[string]time.Duration
+	fragmentation []float64 // share of free accelerators without room for the shape
 }
 
 func newTrial(load workload, event, name string) *trial {
 	t := &trial{rig: newRig(), load: load, started: map[string]time.Duration{}, done: map[string]time.Duration{}}
 	t.noLeases = true
 	t.tickEvery = load.tick
-	t.rig.run = load.run
+	t.rig.runTimes = load.runTimes
 	t.config = load.config
 	t.sched = newBaseline()
 	if name == "core" {
 		t.sched = New(Config{TermStart: time.Unix(0, 0)})
 	}
-	t.onAct = t.observe
+	t.onAction = t.recordAction
 	t.step(ConfigUpdate{t.config})
 	for _, w := range load.fleet {
-		t.addAgent(w.Worker, w.Zone, w.Rack, w.Capacity).up()
+		t.addAgent(w.Worker, w.Zone, w.Rack, w.Capacity).connect()
 	}
-	t.step(Ownership{Owner: true, Epoch: 1})
-	t.tick()
+	t.step(OwnerStatus{Owner: true, Epoch: 1})
+	t.startTicks()
 	t.sample()
 	for _, job := range load.jobs {
-		t.queue.add(job.Submitted.Sub(time.Unix(0, 0)), func() { t.submit(job) })
+		t.timers.add(job.Submitted.Sub(time.Unix(0, 0)), func() { t.submit(job) })
 	}
 	if event != "undisturbed" {
 		t.disturb(event == "zone-off")
 	}
-	for t.now < lastTime && len(t.done) < len(load.jobs) {
+	for t.now < maxTime && len(t.done) < len(load.jobs) {
 		t.runUntil(t.now + time.Hour)
 	}
 	return t
@@ -223,28 +223,28 @@
 
 func (t *trial) disturb(off bool) {
 	const zone = "z1"
-	t.queue.add(dayStart, func() { t.setZone(zone, api.ZoneOut) })
-	t.queue.add(dayEnd, func() { t.setZone(zone, api.ZoneIn) })
+	t.timers.add(zoneOutAt, func() { t.setZone(zone, api.ZoneOut) })
+	t.timers.add(zoneInAt, func() { t.setZone(zone, api.ZoneIn) })
 	if !off {
 		return
 	}
-	t.queue.add(dayStart+powerOff, func() {
-		for _, name := range t.names {
+	t.timers.add(zoneOutAt+powerOffDelay, func() {
+		for _, name := range t.agentNames {
 			if g := t.agents[name]; g.zone == zone {
 				g.crash()
 			}
 		}
 	})
-	t.queue.add(dayEnd, func() {
-		for _, name := range t.names {
+	t.timers.add(zoneInAt, func() {
+		for _, name := range t.agentNames {
 			if g := t.agents[name]; g.zone == zone {
-				g.up()
+				g.connect()
 			}
 		}
 	})
 }
 
-func (t *trial) observe(a Action) {
+func (t *trial) recordAction(a Action) {
 	switch a := a.(type) {
 	case Start:
 		if _, ok := t.started[a.JobID]; !ok {
@@ -263,7 +263,7 @@
 		return
 	}
 	free, room := 0, map[string]int{}
-	for _, name := range t.names {
+	for _, name := range t.agentNames {
 		g := t.agents[name]
 		left := g.capacity
 		for _, f := range g.groups {
@@ -280,7 +280,7 @@
 		usable += n / t.load.shape.Tasks * t.load.shape.Tasks
 	}
 	if free > 0 {
-		t.blocked = append(t.blocked, float64(free-usable)/float64(free))
+		t.fragmentation = append(t.fragmentation, float64(free-usable)/float64(free))
 	}
 	t.after(10*time.Minute, t.sample)
 }
@@ -294,19 +294,19 @@
 		at := job.Submitted.Sub(time.Unix(0, 0))
 		end, ok := t.done[job.ID]
 		if !ok {
-			end = lastTime
+			end = maxTime
 			unfinished++
 		}
 		took = append(took, end-at)
 		total := job.Gang.PerTask.Accelerators * job.Gang.Tasks
-		if total >= t.load.large {
+		if total >= t.load.largeGang {
 			start, ok := t.started[job.ID]
 			if !ok {
-				start = lastTime
+				start = maxTime
 			}
 			longest = max(longest, start-at)
 		}
-		hours := t.load.run[job.ID].Hours() * float64(total)
+		hours := t.load.runTimes[job.ID].Hours() * float64(total)
 		if t.rows[job.ID].Outcome == api.OutcomeDone && end <= day {
 			work += hours
 		}
@@ -317,10 +317,10 @@
 	b.ReportMetric(took[len(took)*99/100].Minutes(), "p99-min")
 	b.ReportMetric(longest.Minutes(), "gang-wait-min")
 	var sum float64
-	for _, x := range t.blocked {
+	for _, x := range t.fragmentation {
 		sum += x
 	}
-	b.ReportMetric(100*sum/float64(max(1, len(t.blocked))), "blocked-%")
+	b.ReportMetric(100*sum/float64(max(1, len(t.fragmentation))), "blocked-%")
 	b.ReportMetric(work, "acc-h-in-day")
 	b.ReportMetric(all, "acc-h-offered")
 	b.ReportMetric(float64(unfinished), "unfinished")
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -30,7 +30,7 @@
 	workerList      []*worker
 	jobs            map[string]*job
 	config          *api.Config
-	ownership       Ownership
+	ownerStatus     OwnerStatus
 	draining        bool
 	timers          timerQueue
 	queue           *queue
@@ -58,7 +58,7 @@
 	unplacedCount       int    // guaranteed gangs without a placement
 	unplacedSize        int    // sum of their weightedSize
 	waitingReservations []*reservation
-	idleFleet           guaranteedFleet
+	guaranteedFleet     guaranteedFleet
 }
 
 // New returns a core without workers or jobs. It starts no work until it has
@@ -110,8 +110,8 @@
 		c.handleSaveResult(e)
 	case ConfigUpdate:
 		c.handleConfigUpdate(e.Config)
-	case Ownership:
-		c.ownership = e
+	case OwnerStatus:
+		c.ownerStatus = e
 	case Tick:
 		c.tick()
 	case Drain:
@@ -134,7 +134,7 @@
 
 // mayStart reports whether new attempts may start.
 func (c *Core) mayStart() bool {
-	a := c.ownership
+	a := c.ownerStatus
 	return a.Owner && !a.StoreDown && !c.draining && c.now >= a.StartAfter && c.config != nil
 }
 
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -30,8 +30,8 @@
 	unused := c.unusedGuarantees()
 	for _, set := range c.displacementSets() {
 		moved := append(append([]*reservation{}, set.reservations...), unused...)
-		if places := c.placeTogether(r, moved); places != nil {
-			return c.applyDisplacement(r, j, set.users, moved, places)
+		if newPlacements := c.placeTogether(r, moved); newPlacements != nil {
+			return c.applyDisplacement(r, j, set.users, moved, newPlacements)
 		}
 	}
 	return false
@@ -61,7 +61,7 @@
 
 // applyDisplacement stops the users of the moved reservations, places r and the
 // moved ones anew and claims r's placement for the job.
-func (c *Core) applyDisplacement(r *reservation, j *job, users []*job, moved []*reservation, places [][]placement.Assignment) bool {
+func (c *Core) applyDisplacement(r *reservation, j *job, users []*job, moved []*reservation, newPlacements [][]placement.Assignment) bool {
 	for _, user := range users {
 		c.emitNotice(user, "", ReasonMigrated, j.id())
 		c.preempt(user, checkpointGrace(user), ReasonMigrated)
@@ -70,8 +70,8 @@
 		c.unplaceReservation(m)
 	}
 	for i, m := range append([]*reservation{r}, moved...) {
-		c.preemptNonPreemptible(j, m, places[i])
-		c.placeReservation(m, places[i])
+		c.preemptNonPreemptible(j, m, newPlacements[i])
+		c.placeReservation(m, newPlacements[i])
 	}
 	cl, ok := c.claimInReservation(r, j, c.excludedWorkers(j))
 	if ok {
@@ -142,7 +142,7 @@
 	for _, m := range moved {
 		c.adjustReserved(m.assignments(), m.gang.PerTask, -1)
 	}
-	var places [][]placement.Assignment
+	var newPlacements [][]placement.Assignment
 	all := append([]*reservation{r}, moved...)
 	for _, m := range all {
 		assignments := placement.Find(c.fleet, placement.Request{Gang: m.gang, View: fleet.Restartable})
@@ -150,18 +150,18 @@
 			break
 		}
 		c.adjustReserved(assignments, m.gang.PerTask, 1)
-		places = append(places, assignments)
+		newPlacements = append(newPlacements, assignments)
 	}
-	for i, parts := range places {
+	for i, parts := range newPlacements {
 		c.adjustReserved(parts, all[i].gang.PerTask, -1)
 	}
 	for _, m := range moved {
 		c.adjustReserved(m.assignments(), m.gang.PerTask, 1)
 	}
-	if len(places) < len(all) {
+	if len(newPlacements) < len(all) {
 		return nil
 	}
-	return places
+	return newPlacements
 }
 
 func (c *Core) adjustReserved(assignments []placement.Assignment, perTask api.Resources, sign int) {
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -55,7 +55,7 @@
 // Dump returns the state of the core.
 func (c *Core) Dump() any {
 	d := Dump{
-		Now: c.now.String(), Epoch: c.ownership.Epoch, Owner: c.ownership.Owner,
+		Now: c.now.String(), Epoch: c.ownerStatus.Epoch, Owner: c.ownerStatus.Owner,
 		Draining: c.draining, Queued: c.queue.size, UnplacedGuarantees: c.unplacedCount, Reasons: map[Reason]int{},
 	}
 	if c.config != nil {
--- a/internal/sched/fits.go
+++ b/internal/sched/fits.go
@@ -34,8 +34,8 @@
 	if placement.Find(c.fleet, placement.Request{Gang: gang, View: fleet.FullCapacity}) != nil {
 		return c.blockedByGuarantees(j)
 	}
-	one := api.Shape{Tasks: 1, PerTask: gang.PerTask, Adjacency: api.AdjacentWorker}
-	if placement.Find(c.fleet, placement.Request{Gang: one, View: fleet.FullCapacity}) == nil {
+	singleTask := api.Shape{Tasks: 1, PerTask: gang.PerTask, Adjacency: api.AdjacentWorker}
+	if placement.Find(c.fleet, placement.Request{Gang: singleTask, View: fleet.FullCapacity}) == nil {
 		return fmt.Sprintf("no worker has %d accelerators, %d mCPU and %d MB for one task",
 			gang.PerTask.Accelerators, gang.PerTask.MilliCPU, gang.PerTask.MemoryMB), true
 	}
@@ -58,10 +58,10 @@
 		return "", false
 	}
 	workers := c.knownWorkers()
-	if b := c.idleFleet; b.fleet == nil || b.version != c.config.Version || b.workers != len(workers) {
-		c.idleFleet = guaranteedFleet{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
+	if cached := c.guaranteedFleet; cached.fleet == nil || cached.version != c.config.Version || cached.workers != len(workers) {
+		c.guaranteedFleet = guaranteedFleet{c.config.Version, len(workers), feasibility.FleetWithGuarantees(c.config, workers)}
 	}
-	if placement.Find(c.idleFleet.fleet, placement.Request{Gang: j.gang(), View: fleet.Preemptible}) != nil {
+	if placement.Find(c.guaranteedFleet.fleet, placement.Request{Gang: j.gang(), View: fleet.Preemptible}) != nil {
 		return "", false
 	}
 	return fmt.Sprintf("no %s has room for %d tasks of %d accelerators beside the guaranteed capacity, and profile %q is not preemptible",
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -54,9 +54,9 @@
 }
 
 func (c *Core) claimInReservation(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
-	rooms := r.candidates()
-	rooms = slices.DeleteFunc(rooms, func(room placement.Candidate) bool { return avoid(room.Worker) })
-	assignments := placement.Pack(rooms, j.gang())
+	candidates := r.candidates()
+	candidates = slices.DeleteFunc(candidates, func(candidate placement.Candidate) bool { return avoid(candidate.Worker) })
+	assignments := placement.Pack(candidates, j.gang())
 	if assignments == nil {
 		return claim{}, false
 	}
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -16,29 +16,29 @@
 const (
 	machineZones   = 3
 	machineWorkers = 3 // per zone, in one rack
-	// settleTime is long enough for all leases, probes and retries.
-	settleTime = unplaceableTimeout + time.Hour
-	// claimBound is within which a guaranteed gang must run on a fleet
+	// maxSettleTime is long enough for all leases, probes and retries.
+	maxSettleTime = unplaceableTimeout + time.Hour
+	// maxClaimTime is within which a guaranteed gang must run on a fleet
 	// without faults: grace, lease, hold and save with retries.
-	claimBound = CheckpointGrace + GroupLease + 10*time.Second
+	maxClaimTime = CheckpointGrace + GroupLease + 10*time.Second
 )
 
 // machine is the rapid state machine with the oracle.
 type machine struct {
 	*rig
-	core     *Core
-	rnd      *rand.Rand
-	lossy    bool
-	next     int
-	accepted []string
-	attempts map[string]map[uint32]bool // attempts that an agent has started
-	calmAt   time.Duration              // time of the last fault
-	since    map[string]time.Duration   // start of the wait of guaranteed jobs
-	inUse    map[string]time.Duration   // when a gang of a profile last had its guarantee
-	events   []recorded
+	core         *Core
+	rnd          *rand.Rand
+	lossy        bool
+	next         int
+	accepted     []string
+	attempts     map[string]map[uint32]bool // attempts that an agent has started
+	lastFault    time.Duration              // time of the last fault
+	waitingSince map[string]time.Duration   // start of the wait of guaranteed jobs
+	inUse        map[string]time.Duration   // when a gang of a profile last had its guarantee
+	events       []recordedEvent
 }
 
-type recorded struct {
+type recordedEvent struct {
 	at   time.Duration
 	ev   Event
 	acts string
@@ -65,18 +65,18 @@
 }
 
 func newMachine(t *rapid.T) *machine {
-	m := &machine{rig: newRig(), attempts: map[string]map[uint32]bool{}, since: map[string]time.Duration{}, inUse: map[string]time.Duration{}}
+	m := &machine{rig: newRig(), attempts: map[string]map[uint32]bool{}, waitingSince: map[string]time.Duration{}, inUse: map[string]time.Duration{}}
 	m.fail = t.Fatalf
 	m.rnd = rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
-	m.lost = func() bool { return m.lossy && m.rnd.Intn(5) == 0 }
+	m.dropMessage = func() bool { return m.lossy && m.rnd.Intn(5) == 0 }
 	m.config = machineConfig()
 	// Slow enough for faults to come between the phases of an attempt.
 	m.latency, m.storeLatency = 20*time.Millisecond, 150*time.Millisecond
-	m.onAct = func(a Action) { m.checkAction(t, a) }
-	m.onRun = func(g *agent, f *fakeGroup) { m.checkRun(t, g, f) }
-	m.onEv = func(at time.Duration, ev Event, acts []Action) {
-		m.events = append(m.events, recorded{at, ev, describeActions(acts)})
-		m.noteUse()
+	m.onAction = func(a Action) { m.checkAction(t, a) }
+	m.onGroupStart = func(g *agent, f *fakeGroup) { m.checkGroupStart(t, g, f) }
+	m.onEvent = func(at time.Duration, ev Event, acts []Action) {
+		m.events = append(m.events, recordedEvent{at, ev, describeActions(acts)})
+		m.recordUse()
 	}
 	for z := range machineZones {
 		for w := range machineWorkers {
@@ -85,15 +85,15 @@
 			g.linked = true
 		}
 	}
-	m.replace(0)
+	m.replaceOwner(0)
 	return m
 }
 
-func (m *machine) replace(startAfter time.Duration) {
+func (m *machine) replaceOwner(startAfter time.Duration) {
 	m.core = New(Config{TermStart: time.Unix(0, 0)})
 	m.events = nil
 	m.takeOver(m.core, startAfter)
-	m.tick()
+	m.startTicks()
 }
 
 // checkAction checks what a decision must never do.
@@ -120,8 +120,8 @@
 	}
 }
 
-// checkRun checks each start that an agent carries out.
-func (m *machine) checkRun(t *rapid.T, g *agent, f *fakeGroup) {
+// checkGroupStart checks each start that an agent carries out.
+func (m *machine) checkGroupStart(t *rapid.T, g *agent, f *fakeGroup) {
 	id := f.ref.JobID
 	if m.attempts[id] == nil {
 		m.attempts[id] = map[uint32]bool{}
@@ -130,7 +130,7 @@
 	if !m.rows[id].Job.Idempotent && len(m.attempts[id]) > 1 {
 		t.Fatalf("%s is not idempotent and started in attempts %v", id, m.attempts[id])
 	}
-	for _, name := range m.names {
+	for _, name := range m.agentNames {
 		for _, o := range m.agents[name].groups {
 			if o.ref.JobID == id && o.ref.Attempt != f.ref.Attempt && o.state == GroupRunning {
 				t.Fatalf("%s runs in attempts %d (on %s) and %d at once", id, o.ref.Attempt, name, f.ref.Attempt)
@@ -139,8 +139,8 @@
 	}
 }
 
-// check is run after each step of the machine.
-func (m *machine) check(t *rapid.T) {
+// checkInvariants is run after each step of the machine.
+func (m *machine) checkInvariants(t *rapid.T) {
 	for _, id := range m.accepted {
 		if m.rows[id].State != api.JobFinal && m.core.jobs[id] == nil {
 			t.Fatalf("%s is forgotten", id)
@@ -205,18 +205,18 @@
 
 var guaranteedProfiles = []string{"clinic", "unit", "ward"}
 
-// noteUse notes which guarantees are in use. It runs after each event, as a
+// recordUse notes which guarantees are in use. It runs after each event, as a
 // gang may start and end between two checks.
-func (m *machine) noteUse() {
+func (m *machine) recordUse() {
 	for _, profile := range guaranteedProfiles {
-		if m.active(profile) {
+		if m.hasActiveGang(profile) {
 			m.inUse[profile] = m.now
 		}
 	}
 }
 
-// active reports whether a gang of the profile has its guarantee.
-func (m *machine) active(profile string) bool {
+// hasActiveGang reports whether a gang of the profile has its guarantee.
+func (m *machine) hasActiveGang(profile string) bool {
 	for _, id := range m.accepted {
 		j := m.core.jobs[id]
 		if j == nil || j.rec.Job.Profile != profile {
@@ -234,7 +234,7 @@
 // checkReclaim checks that a guaranteed gang runs within its bound when the
 // guarantee is not in use and nothing has failed for that long.
 func (m *machine) checkReclaim(t *rapid.T, profile string) {
-	active := m.active(profile)
+	active := m.hasActiveGang(profile)
 	for _, id := range m.accepted {
 		j := m.core.jobs[id]
 		if m.rows[id].Job.Profile != profile {
@@ -242,13 +242,13 @@
 		}
 		waits := j != nil && !active && (j.phase == phaseQueued || j.phase == phaseClaiming)
 		if !waits || m.storeDown || m.lossy || !m.feasible() {
-			delete(m.since, id)
+			delete(m.waitingSince, id)
 			continue
 		}
-		if _, ok := m.since[id]; !ok {
-			m.since[id] = m.now
+		if _, ok := m.waitingSince[id]; !ok {
+			m.waitingSince[id] = m.now
 		}
-		if from := max(m.since[id], m.calmAt, m.inUse[profile]); m.now-from > claimBound {
+		if from := max(m.waitingSince[id], m.lastFault, m.inUse[profile]); m.now-from > maxClaimTime {
 			t.Fatalf("%s waits for its guarantee since %v (now %v): %+v\n%+v", id, from, m.now, *j, m.core.Dump())
 		}
 	}
@@ -278,7 +278,7 @@
 	return true
 }
 
-func (m *machine) fault() { m.calmAt = m.now }
+func (m *machine) noteFault() { m.lastFault = m.now }
 
 func (m *machine) randomJob(t *rapid.T) api.Job {
 	m.next++
@@ -306,8 +306,8 @@
 
 func (m *machine) submitRandom(t *rapid.T) {
 	job := m.randomJob(t)
-	m.run[job.ID] = time.Duration(rapid.IntRange(1, 300).Draw(t, "run")) * time.Second
-	m.bad[job.ID] = rapid.IntRange(0, 19).Draw(t, "bad") == 0
+	m.runTimes[job.ID] = time.Duration(rapid.IntRange(1, 300).Draw(t, "run")) * time.Second
+	m.failingJobs[job.ID] = rapid.IntRange(0, 19).Draw(t, "bad") == 0
 	if _, never := m.core.NeverFits(job); never {
 		return
 	}
@@ -315,8 +315,8 @@
 	m.submit(job)
 }
 
-func (m *machine) anyAgent(t *rapid.T) *agent {
-	return m.agents[rapid.SampledFrom(m.names).Draw(t, "worker")]
+func (m *machine) drawAgent(t *rapid.T) *agent {
+	return m.agents[rapid.SampledFrom(m.agentNames).Draw(t, "worker")]
 }
 
 func (m *machine) actions() map[string]func(*rapid.T) {
@@ -345,28 +345,28 @@
 		"pass short": func(t *rapid.T) {
 			m.runUntil(m.now + time.Duration(rapid.IntRange(1, 300).Draw(t, "ms"))*time.Millisecond)
 		},
-		"pass long": func(t *rapid.T) { m.runUntil(m.now + 2*claimBound) },
+		"pass long": func(t *rapid.T) { m.runUntil(m.now + 2*maxClaimTime) },
 		"link": func(t *rapid.T) {
-			m.fault()
-			if g := m.anyAgent(t); g.linked {
-				g.down()
+			m.noteFault()
+			if g := m.drawAgent(t); g.linked {
+				g.disconnect()
 			} else {
-				g.up()
+				g.connect()
 			}
 		},
-		"crash":  func(t *rapid.T) { m.fault(); m.anyAgent(t).crash() },
-		"faulty": func(t *rapid.T) { m.fault(); g := m.anyAgent(t); g.faulty = !g.faulty },
-		"lossy":  func(t *rapid.T) { m.fault(); m.lossy = !m.lossy },
-		"store":  func(t *rapid.T) { m.fault(); m.storeDown = !m.storeDown },
+		"crash":  func(t *rapid.T) { m.noteFault(); m.drawAgent(t).crash() },
+		"faulty": func(t *rapid.T) { m.noteFault(); g := m.drawAgent(t); g.faulty = !g.faulty },
+		"lossy":  func(t *rapid.T) { m.noteFault(); m.lossy = !m.lossy },
+		"store":  func(t *rapid.T) { m.noteFault(); m.storeDown = !m.storeDown },
 		"leaving": func(t *rapid.T) {
-			m.fault()
-			g := m.anyAgent(t)
+			m.noteFault()
+			g := m.drawAgent(t)
 			if g.linked {
 				m.step(WorkerStatus{Worker: g.name, Healthy: true, Leaving: !m.core.workers[g.name].Leaving})
 			}
 		},
 		"zone": func(t *rapid.T) {
-			m.fault()
+			m.noteFault()
 			zone := fmt.Sprintf("z%d", rapid.IntRange(0, machineZones-1).Draw(t, "zone"))
 			state := api.ZoneOut
 			if m.config.ZoneOut(zone) {
@@ -375,11 +375,11 @@
 			m.setZone(zone, state)
 		},
 		"take over": func(t *rapid.T) {
-			m.fault()
+			m.noteFault()
 			m.replay(t)
-			m.replace(HoldLease + DefaultLeaseMargin)
+			m.replaceOwner(HoldLease + DefaultLeaseMargin)
 		},
-		"": m.check,
+		"": m.checkInvariants,
 	}
 }
 
@@ -393,7 +393,7 @@
 	}
 }
 
-func (m *machine) unanswered() bool {
+func (m *machine) hasUnansweredJob() bool {
 	for _, id := range m.accepted {
 		if m.rows[id].State != api.JobFinal {
 			return true
@@ -402,26 +402,26 @@
 	return false
 }
 
-// heal ends all faults and expects an answer to every job.
-func (m *machine) heal(t *rapid.T) {
-	m.fault()
+// healAndExpectAnswers ends all faults and expects an answer to every job.
+func (m *machine) healAndExpectAnswers(t *rapid.T) {
+	m.noteFault()
 	m.lossy, m.storeDown, m.tickEvery = false, false, RenewInterval
 	for z := range machineZones {
 		if zone := fmt.Sprintf("z%d", z); m.config.ZoneOut(zone) {
 			m.setZone(zone, api.ZoneIn)
 		}
 	}
-	for _, name := range m.names {
+	for _, name := range m.agentNames {
 		g := m.agents[name]
 		g.faulty = false
 		if !g.linked {
-			g.up()
+			g.connect()
 		}
 		m.step(WorkerStatus{Worker: name, Healthy: true})
 	}
-	for waited := time.Duration(0); waited < settleTime && m.unanswered(); waited += time.Minute {
+	for waited := time.Duration(0); waited < maxSettleTime && m.hasUnansweredJob(); waited += time.Minute {
 		m.runUntil(m.now + time.Minute)
-		m.check(t)
+		m.checkInvariants(t)
 	}
 	m.runUntil(m.now + time.Minute)
 	for _, id := range m.accepted {
@@ -440,7 +440,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		t.Repeat(m.actions())
-		m.heal(t)
+		m.healAndExpectAnswers(t)
 		m.replay(t)
 	})
 }
--- a/internal/sched/placement/placement.go
+++ b/internal/sched/placement/placement.go
@@ -196,30 +196,30 @@
 
 // packInZone spreads a gang over as few racks of the zone as possible.
 func packInZone(f *fleet.Fleet, zone string, req Request) []Assignment {
-	type rackRoom struct {
-		rooms []Candidate
-		tasks int
+	type rackCapacity struct {
+		candidates []Candidate
+		tasks      int
 	}
-	var racks []rackRoom
+	var racks []rackCapacity
 	total := 0
 	for _, r := range f.Racks(zone) {
 		if !req.Gang.PerTask.Fits(r.Total[req.View]) {
 			continue
 		}
-		rs := candidates(r.Workers, &req)
+		found := candidates(r.Workers, &req)
 		n := 0
-		for _, room := range rs {
-			n += TasksThatFit(room.Available, req.Gang.PerTask)
+		for _, candidate := range found {
+			n += TasksThatFit(candidate.Available, req.Gang.PerTask)
 		}
 		if n > 0 {
-			racks = append(racks, rackRoom{rs, n})
+			racks = append(racks, rackCapacity{found, n})
 			total += n
 		}
 	}
 	if total < req.Gang.Tasks {
 		return nil
 	}
-	slices.SortStableFunc(racks, func(a, b rackRoom) int { return cmp.Compare(b.tasks, a.tasks) })
+	slices.SortStableFunc(racks, func(a, b rackCapacity) int { return cmp.Compare(b.tasks, a.tasks) })
 	var assignments []Assignment
 	for remaining := req.Gang.Tasks; remaining > 0; {
 		// The last rack is the tightest one that holds the remaining tasks.
@@ -230,7 +230,7 @@
 			}
 		}
 		take := min(remaining, racks[pick].tasks)
-		assignments = append(assignments, assign(racks[pick].rooms, req.Gang.PerTask, take)...)
+		assignments = append(assignments, assign(racks[pick].candidates, req.Gang.PerTask, take)...)
 		racks = slices.Delete(racks, pick, pick+1)
 		remaining -= take
 	}
@@ -239,26 +239,26 @@
 
 // Pack places a gang on the candidates. These already satisfy the gang's adjacency,
 // unless the gang needs a single worker. It returns nil if the gang does not fit.
-func Pack(in []Candidate, gang api.Shape) []Assignment {
+func Pack(candidates []Candidate, gang api.Shape) []Assignment {
 	if gang.Adjacency == api.AdjacentWorker {
-		return packOnOneWorker(in, gang)
+		return packOnOneWorker(candidates, gang)
 	}
 	total := 0
-	for _, r := range in {
+	for _, r := range candidates {
 		total += TasksThatFit(r.Available, gang.PerTask)
 	}
 	if total < gang.Tasks {
 		return nil
 	}
-	return assign(in, gang.PerTask, gang.Tasks)
+	return assign(candidates, gang.PerTask, gang.Tasks)
 }
 
-func packOnOneWorker(in []Candidate, gang api.Shape) []Assignment {
+func packOnOneWorker(candidates []Candidate, gang api.Shape) []Assignment {
 	var best *Candidate
-	for i := range in {
-		n := TasksThatFit(in[i].Available, gang.PerTask)
+	for i := range candidates {
+		n := TasksThatFit(candidates[i].Available, gang.PerTask)
 		if n >= gang.Tasks && (best == nil || n < TasksThatFit(best.Available, gang.PerTask)) {
-			best = &in[i]
+			best = &candidates[i]
 		}
 	}
 	if best == nil {
@@ -269,31 +269,31 @@
 
 // assign uses the largest candidates first and the tightest one for the rest. The
 // candidates must hold at least the given number of tasks.
-func assign(in []Candidate, perTask api.Resources, tasks int) []Assignment {
-	type slot struct {
+func assign(candidates []Candidate, perTask api.Resources, tasks int) []Assignment {
+	type workerTasks struct {
 		worker *fleet.Worker
 		tasks  int
 	}
-	slots := make([]slot, 0, len(in))
-	for _, r := range in {
+	workers := make([]workerTasks, 0, len(candidates))
+	for _, r := range candidates {
 		if n := TasksThatFit(r.Available, perTask); n > 0 {
-			slots = append(slots, slot{r.Worker, n})
+			workers = append(workers, workerTasks{r.Worker, n})
 		}
 	}
-	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(b.tasks, a.tasks) })
+	slices.SortStableFunc(workers, func(a, b workerTasks) int { return cmp.Compare(b.tasks, a.tasks) })
 	var assignments []Assignment
 	for remaining, i := tasks, 0; remaining > 0; {
-		if slots[i].tasks <= remaining {
-			assignments = append(assignments, Assignment{slots[i].worker, slots[i].tasks})
-			remaining -= slots[i].tasks
+		if workers[i].tasks <= remaining {
+			assignments = append(assignments, Assignment{workers[i].worker, workers[i].tasks})
+			remaining -= workers[i].tasks
 			i++
 			continue
 		}
 		last := i
-		for last+1 < len(slots) && slots[last+1].tasks >= remaining {
+		for last+1 < len(workers) && workers[last+1].tasks >= remaining {
 			last++
 		}
-		assignments = append(assignments, Assignment{slots[last].worker, remaining})
+		assignments = append(assignments, Assignment{workers[last].worker, remaining})
 		remaining = 0
 	}
 	return assignments
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -238,17 +238,17 @@
 
 // weightedShare returns the account's dominant share of the fleet outside of its
 // guarantees, divided by the weight.
-func (a *account) weightedShare(fleet api.Resources, weight int) float64 {
-	part := func(used, all int) float64 {
-		if all == 0 {
+func (a *account) weightedShare(capacity api.Resources, weight int) float64 {
+	fraction := func(used, total int) float64 {
+		if total == 0 {
 			return 0
 		}
-		return float64(used) / float64(all)
+		return float64(used) / float64(total)
 	}
 	dominant := max(
-		part(a.unguaranteed.Accelerators, fleet.Accelerators),
-		part(a.unguaranteed.MilliCPU, fleet.MilliCPU),
-		part(a.unguaranteed.MemoryMB, fleet.MemoryMB))
+		fraction(a.unguaranteed.Accelerators, capacity.Accelerators),
+		fraction(a.unguaranteed.MilliCPU, capacity.MilliCPU),
+		fraction(a.unguaranteed.MemoryMB, capacity.MemoryMB))
 	return dominant / float64(max(1, weight))
 }
 
--- a/internal/sched/renew.go
+++ b/internal/sched/renew.go
@@ -13,7 +13,7 @@
 func (c *Core) renewDueLeases() {
 	last := c.lastRenewTick
 	c.lastRenewTick = int64(c.now / TickInterval)
-	if !c.ownership.Owner {
+	if !c.ownerStatus.Owner {
 		return
 	}
 	from := max(last+1, c.lastRenewTick-renewBuckets+1)
--- a/internal/sched/reports.go
+++ b/internal/sched/reports.go
@@ -102,7 +102,7 @@
 		g.state = groupHeld
 		c.renewHeld(g)
 		c.continueAdopted(g.job)
-	case g.state == groupStarting && c.ownership.Owner && !g.worker.ZoneOut:
+	case g.state == groupStarting && c.ownerStatus.Owner && !g.worker.ZoneOut:
 		c.startGroup(g)
 	}
 }
--- a/internal/sched/reservations.go
+++ b/internal/sched/reservations.go
@@ -147,9 +147,9 @@
 // are unplaced, or as many but smaller ones: for smaller ones, work outside of
 // guarantees is stopped more easily.
 func (c *Core) repack() {
-	missing, lacking := c.unplacedCount, c.unplacedSize
+	countBefore, sizeBefore := c.unplacedCount, c.unplacedSize
 	c.rearrange(func() bool {
-		return c.unplacedCount < missing || c.unplacedCount == missing && c.unplacedSize < lacking
+		return c.unplacedCount < countBefore || c.unplacedCount == countBefore && c.unplacedSize < sizeBefore
 	})
 }
 
@@ -175,15 +175,15 @@
 
 // rearrange places all unused guarantees anew and undoes that unless it helps.
 func (c *Core) rearrange(helps func() bool) {
-	type kept struct {
-		r           *reservation
+	type previousPlacement struct {
+		reservation *reservation
 		assignments []placement.Assignment
 	}
-	missing, lacking := c.unplacedCount, c.unplacedSize
-	var old []kept
+	countBefore, sizeBefore := c.unplacedCount, c.unplacedSize
+	var previous []previousPlacement
 	for _, r := range c.guarantees {
 		if r.placed() && r.unused() {
-			old = append(old, kept{r, r.assignments()})
+			previous = append(previous, previousPlacement{r, r.assignments()})
 			c.unplaceReservation(r)
 		}
 	}
@@ -191,18 +191,18 @@
 	if helps() {
 		return
 	}
-	for _, k := range old {
-		c.unplaceReservation(k.r)
+	for _, k := range previous {
+		c.unplaceReservation(k.reservation)
 	}
 	for _, r := range c.guarantees {
 		if r.placed() && r.unused() {
 			c.unplaceReservation(r)
 		}
 	}
-	for _, k := range old {
-		c.placeReservation(k.r, k.assignments)
+	for _, k := range previous {
+		c.placeReservation(k.reservation, k.assignments)
 	}
-	c.unplacedCount, c.unplacedSize = missing, lacking
+	c.unplacedCount, c.unplacedSize = countBefore, sizeBefore
 }
 
 func (r *reservation) assignments() []placement.Assignment {
--- a/internal/sched/rig_test.go
+++ b/internal/sched/rig_test.go
@@ -17,13 +17,13 @@
 
 // rig drives a scheduler on a virtual clock with fake agents and a fake table.
 type rig struct {
-	sched  scheduler
-	now    time.Duration
-	queue  timerQueue
-	agents map[string]*agent
-	names  []string
-	rows   map[string]api.JobRecord
-	config *api.Config
+	sched      scheduler
+	now        time.Duration
+	timers     timerQueue
+	agents     map[string]*agent
+	agentNames []string
+	rows       map[string]api.JobRecord
+	config     *api.Config
 	// term counts owners; messages and answers of former terms are dropped.
 	term         int
 	termStart    time.Duration
@@ -32,72 +32,72 @@
 	tickEvery    time.Duration
 	storeDown    bool
 	noLeases     bool
-	// run is the true run time of each job; usage the true memory per task.
-	run   map[string]time.Duration
-	usage map[string]int
-	bad   map[string]bool // jobs whose tasks always fail
-	// lost decides whether a message to an agent is lost.
-	lost  func() bool
-	onAct func(Action)
-	onRun func(*agent, *fakeGroup)
+	// runTimes is the true runTimes time of each job; usage the true memory per task.
+	runTimes      map[string]time.Duration
+	memoryPerTask map[string]int
+	failingJobs   map[string]bool // jobs whose tasks always fail
+	// dropMessage decides whether a message to an agent is dropMessage.
+	dropMessage  func() bool
+	onAction     func(Action)
+	onGroupStart func(*agent, *fakeGroup)
 	// heldBy and stopped are by attempt: the workers that have held it, and
 	// whether a stop was sent to any of them.
 	heldBy  map[GroupRef]map[string]bool
 	stopped map[GroupRef]bool
-	onEv    func(time.Duration, Event, []Action)
+	onEvent func(time.Duration, Event, []Action)
 	fail    func(format string, args ...any)
 }
 
 func newRig() *rig {
 	return &rig{
-		agents: map[string]*agent{}, rows: map[string]api.JobRecord{}, run: map[string]time.Duration{},
+		agents: map[string]*agent{}, rows: map[string]api.JobRecord{}, runTimes: map[string]time.Duration{},
 		heldBy: map[GroupRef]map[string]bool{}, stopped: map[GroupRef]bool{},
-		usage: map[string]int{}, bad: map[string]bool{}, latency: time.Millisecond, storeLatency: 5 * time.Millisecond, tickEvery: TickInterval,
+		memoryPerTask: map[string]int{}, failingJobs: map[string]bool{}, latency: time.Millisecond, storeLatency: 5 * time.Millisecond, tickEvery: TickInterval,
 		fail: func(f string, a ...any) { panic(fmt.Sprintf(f, a...)) },
 	}
 }
 
-func (r *rig) after(d time.Duration, run func()) { r.queue.add(r.now+d, run) }
+func (r *rig) after(d time.Duration, run func()) { r.timers.add(r.now+d, run) }
 
 // coreTime is the time since the start of the owner's term.
 func (r *rig) coreTime() time.Duration { return r.now - r.termStart }
 
 func (r *rig) step(ev Event) {
 	acts := r.sched.Step(r.coreTime(), ev)
-	if r.onEv != nil {
-		r.onEv(r.coreTime(), ev, acts)
+	if r.onEvent != nil {
+		r.onEvent(r.coreTime(), ev, acts)
 	}
 	for _, a := range acts {
-		if r.onAct != nil {
-			r.onAct(a)
+		if r.onAction != nil {
+			r.onAction(a)
 		}
-		r.act(a)
+		r.apply(a)
 	}
 }
 
-// tick sends ticks from now on, each tickEvery.
-func (r *rig) tick() {
+// startTicks sends ticks from now on, each tickEvery.
+func (r *rig) startTicks() {
 	term := r.term
 	r.after(r.tickEvery, func() {
 		if term == r.term {
 			r.step(Tick{})
-			r.tick()
+			r.startTicks()
 		}
 	})
 }
 
 // runUntil lets the virtual time pass.
 func (r *rig) runUntil(at time.Duration) {
-	for len(r.queue.items) > 0 && r.queue.items[0].at <= at {
-		r.now = max(r.now, r.queue.items[0].at)
-		r.queue.runOne()
+	for len(r.timers.items) > 0 && r.timers.items[0].at <= at {
+		r.now = max(r.now, r.timers.items[0].at)
+		r.timers.runOne()
 	}
 	r.now = at
 }
 
 func (q *timerQueue) runOne() { heap.Pop(q).(timer).run() }
 
-func (r *rig) act(a Action) {
+func (r *rig) apply(a Action) {
 	switch a := a.(type) {
 	case Hold:
 		r.send(a.Worker, func(g *agent) { g.hold(a) })
@@ -117,7 +117,7 @@
 
 func (r *rig) send(name string, handle func(*agent)) {
 	g := r.agents[name]
-	if !g.linked || g.deaf || (r.lost != nil && r.lost()) {
+	if !g.linked || g.dropsMessages || (r.dropMessage != nil && r.dropMessage()) {
 		return
 	}
 	term, link := r.term, g.link
@@ -174,9 +174,9 @@
 	r.termStart = r.now
 	r.sched = next
 	r.step(ConfigUpdate{r.config})
-	for _, name := range r.names {
+	for _, name := range r.agentNames {
 		if g := r.agents[name]; g.linked {
-			g.hello()
+			g.announce()
 		}
 	}
 	for _, id := range sortedKeys(r.rows) {
@@ -184,7 +184,7 @@
 			r.step(Submit{r.rows[id]})
 		}
 	}
-	r.step(Ownership{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
+	r.step(OwnerStatus{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
 }
 
 // agent is a fake worker agent that keeps the group protocol.
@@ -193,44 +193,44 @@
 	name, zone, rack string
 	capacity         api.Resources
 	groups           []*fakeGroup
-	dead             map[GroupRef]bool
+	endedGroups      map[GroupRef]bool
 	linked, faulty   bool
-	deaf             bool // gets no messages
+	dropsMessages    bool // gets no messages
 	link             int
 }
 
 type fakeGroup struct {
-	ref     GroupRef
-	first   int
-	tasks   int
-	amount  api.Resources
-	state   GroupState
-	lease   time.Duration
-	started time.Duration
-	base    time.Duration // progress of the checkpoint it resumed from
+	ref             GroupRef
+	first           int
+	tasks           int
+	amount          api.Resources
+	state           GroupState
+	lease           time.Duration
+	started         time.Duration
+	resumedProgress time.Duration // progress of the checkpoint it resumed from
 }
 
 func (r *rig) addAgent(name, zone, rack string, capacity api.Resources) *agent {
-	g := &agent{r: r, name: name, zone: zone, rack: rack, capacity: capacity, dead: map[GroupRef]bool{}}
+	g := &agent{r: r, name: name, zone: zone, rack: rack, capacity: capacity, endedGroups: map[GroupRef]bool{}}
 	r.agents[name] = g
-	r.names = append(r.names, name)
+	r.agentNames = append(r.agentNames, name)
 	return g
 }
 
-func (g *agent) up() {
+func (g *agent) connect() {
 	g.linked = true
 	g.link++
-	g.hello()
+	g.announce()
 }
 
-func (g *agent) hello() {
+func (g *agent) announce() {
 	g.r.step(WorkerUp{g.name, g.zone, g.rack, g.capacity})
 	for _, f := range slices.Clone(g.groups) {
 		g.r.step(g.reportOf(f))
 	}
 }
 
-func (g *agent) down() {
+func (g *agent) disconnect() {
 	g.linked = false
 	g.r.step(WorkerDown{g.name})
 }
@@ -241,15 +241,15 @@
 		f.state = GroupAbsent
 	}
 	g.groups = nil
-	g.dead = map[GroupRef]bool{}
+	g.endedGroups = map[GroupRef]bool{}
 	if g.linked {
-		g.down()
+		g.disconnect()
 	}
 }
 
 func (f *fakeGroup) live() bool { return f.state == GroupHeld || f.state == GroupRunning }
 
-func (g *agent) find(ref GroupRef) *fakeGroup {
+func (g *agent) findGroup(ref GroupRef) *fakeGroup {
 	for _, f := range g.groups {
 		if f.ref == ref {
 			return f
@@ -262,7 +262,7 @@
 	rep := GroupReport{Worker: g.name, JobID: f.ref.JobID, Attempt: f.ref.Attempt, State: f.state}
 	if f.state == GroupRunning {
 		rep.Progress = f.progress(g.r.now)
-		rep.Usage.MemoryMB = g.r.usage[f.ref.JobID] * f.tasks
+		rep.Usage.MemoryMB = g.r.memoryPerTask[f.ref.JobID] * f.tasks
 	}
 	if f.state == GroupDone {
 		rep.Result = json.RawMessage(`"ok"`)
@@ -270,9 +270,11 @@
 	return rep
 }
 
-func (f *fakeGroup) progress(now time.Duration) time.Duration { return f.base + now - f.started }
+func (f *fakeGroup) progress(now time.Duration) time.Duration {
+	return f.resumedProgress + now - f.started
+}
 
-func (g *agent) tell(rep GroupReport) {
+func (g *agent) sendReport(rep GroupReport) {
 	rep.Worker = g.name
 	link, term := g.link, g.r.term
 	g.r.after(g.r.latency, func() {
@@ -294,17 +296,17 @@
 	if !f.amount.Fits(free) {
 		g.r.fail("capacity of %s used twice by %v: %s", g.name, ref, g.describe())
 	}
-	if g.dead[ref] || g.find(ref) != nil {
-		g.tell(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupRefused})
+	if g.endedGroups[ref] || g.findGroup(ref) != nil {
+		g.sendReport(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupRefused})
 		return
 	}
 	g.groups = append(g.groups, f)
-	g.lease(f, HoldLease)
+	g.renewLease(f, HoldLease)
 	if g.r.heldBy[ref] == nil {
 		g.r.heldBy[ref] = map[string]bool{}
 	}
 	g.r.heldBy[ref][g.name] = true
-	g.tell(g.reportOf(f))
+	g.sendReport(g.reportOf(f))
 }
 
 func (g *agent) describe() string {
@@ -315,56 +317,56 @@
 	return strings.Join(out, " ")
 }
 
-func (g *agent) lease(f *fakeGroup, d time.Duration) {
+func (g *agent) renewLease(f *fakeGroup, d time.Duration) {
 	if g.r.noLeases {
 		return
 	}
 	f.lease = g.r.now + d
 	g.r.after(d, func() {
 		if f.live() && f.lease <= g.r.now {
-			g.end(f, GroupStopped, "")
+			g.endGroup(f, GroupStopped, "")
 		}
 	})
 }
 
-func (g *agent) end(f *fakeGroup, state GroupState, checkpoint string) {
+func (g *agent) endGroup(f *fakeGroup, state GroupState, checkpoint string) {
 	f.state = state
 	if state != GroupDone {
 		g.groups = slices.DeleteFunc(g.groups, func(o *fakeGroup) bool { return o == f })
-		g.dead[f.ref] = true
+		g.endedGroups[f.ref] = true
 	}
 	rep := g.reportOf(f)
 	rep.Checkpoint = checkpoint
-	g.tell(rep)
+	g.sendReport(rep)
 }
 
 func (g *agent) start(a Start) {
 	ref := GroupRef{a.JobID, a.Attempt}
-	f := g.find(ref)
+	f := g.findGroup(ref)
 	if f == nil {
-		g.tell(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupRefused})
+		g.sendReport(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupRefused})
 		return
 	}
 	if f.state != GroupHeld {
 		return
 	}
 	f.state, f.started, f.first = GroupRunning, g.r.now, a.FirstTask
-	f.base = checkpointProgress(a.Checkpoint)
-	g.lease(f, GroupLease)
-	if g.r.onRun != nil {
-		g.r.onRun(g, f)
+	f.resumedProgress = checkpointProgress(a.Checkpoint)
+	g.renewLease(f, GroupLease)
+	if g.r.onGroupStart != nil {
+		g.r.onGroupStart(g, f)
 	}
-	g.tell(g.reportOf(f))
-	if g.faulty || g.r.bad[ref.JobID] {
-		g.r.after(time.Second, func() { g.fail(f) })
+	g.sendReport(g.reportOf(f))
+	if g.faulty || g.r.failingJobs[ref.JobID] {
+		g.r.after(time.Second, func() { g.failGroup(f) })
 		return
 	}
-	g.r.after(max(0, g.r.run[ref.JobID]-f.base), func() {
+	g.r.after(max(0, g.r.runTimes[ref.JobID]-f.resumedProgress), func() {
 		if f.state == GroupRunning {
-			g.end(f, GroupDone, "")
+			g.endGroup(f, GroupDone, "")
 		}
 	})
-	if g.r.usage[ref.JobID] > 0 {
+	if g.r.memoryPerTask[ref.JobID] > 0 {
 		g.reportUsage(f)
 	}
 }
@@ -372,15 +374,15 @@
 func (g *agent) reportUsage(f *fakeGroup) {
 	g.r.after(5*time.Second, func() {
 		if f.state == GroupRunning {
-			g.tell(g.reportOf(f))
+			g.sendReport(g.reportOf(f))
 			g.reportUsage(f)
 		}
 	})
 }
 
-func (g *agent) fail(f *fakeGroup) {
+func (g *agent) failGroup(f *fakeGroup) {
 	if f.state == GroupRunning {
-		g.end(f, GroupFailed, "")
+		g.endGroup(f, GroupFailed, "")
 	}
 }
 
@@ -398,34 +400,34 @@
 
 func (g *agent) stop(a Stop) {
 	ref := GroupRef{a.JobID, a.Attempt}
-	f := g.find(ref)
+	f := g.findGroup(ref)
 	switch {
 	case f == nil:
-		g.dead[ref] = true
-		g.tell(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupAbsent})
+		g.endedGroups[ref] = true
+		g.sendReport(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupAbsent})
 	case f.state == GroupDone:
 		g.groups = slices.DeleteFunc(g.groups, func(o *fakeGroup) bool { return o == f })
-		g.dead[ref] = true
+		g.endedGroups[ref] = true
 	case f.state == GroupRunning && a.Grace > 0:
 		g.r.after(min(a.Grace, time.Second), func() {
 			if f.state == GroupRunning {
-				g.end(f, GroupCheckpointed, f.progress(g.r.now).String())
+				g.endGroup(f, GroupCheckpointed, f.progress(g.r.now).String())
 			}
 		})
 	default:
-		g.end(f, GroupStopped, "")
+		g.endGroup(f, GroupStopped, "")
 	}
 }
 
 func (g *agent) renew(a Renew) {
 	for _, ref := range a.Groups {
-		f := g.find(ref)
+		f := g.findGroup(ref)
 		if f == nil {
-			g.tell(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupAbsent})
+			g.sendReport(GroupReport{JobID: ref.JobID, Attempt: ref.Attempt, State: GroupAbsent})
 			continue
 		}
 		if f.live() {
-			g.lease(f, GroupLease)
+			g.renewLease(f, GroupLease)
 		}
 	}
 }
--- a/internal/sched/scenario_test.go
+++ b/internal/sched/scenario_test.go
@@ -19,8 +19,8 @@
 		s := &scenario{rig: newRig(), answered: map[string]bool{}}
 		s.fail = t.Fatalf
 		s.config = &api.Config{Version: 1, Profiles: map[string]api.Profile{}, Zones: map[string]api.AvailabilityZone{}}
-		s.onEv = func(at time.Duration, ev Event, acts []Action) { s.record(acts) }
-		s.own(0)
+		s.onEvent = func(at time.Duration, ev Event, acts []Action) { s.record(acts) }
+		s.takeOwnership(0)
 		datadriven.RunTest(t, path, s.command)
 	})
 }
@@ -33,10 +33,10 @@
 	answered map[string]bool
 }
 
-func (s *scenario) own(startAfter time.Duration) {
+func (s *scenario) takeOwnership(startAfter time.Duration) {
 	s.core = New(Config{TermStart: time.Unix(0, 0).Add(s.now)})
 	s.takeOver(s.core, startAfter)
-	s.tick()
+	s.startTicks()
 }
 
 func (s *scenario) logf(format string, args ...any) {
@@ -48,7 +48,7 @@
 	for i := 0; i < len(acts); i++ {
 		switch a := acts[i].(type) {
 		case Start:
-			s.logf("start %s on %s%s", a.JobID, s.places(a.JobID), resume(a.Checkpoint))
+			s.logf("start %s on %s%s", a.JobID, s.places(a.JobID), formatResume(a.Checkpoint))
 			for i+1 < len(acts) && isStartOf(acts[i+1], a.JobID) {
 				i++
 			}
@@ -72,7 +72,7 @@
 	return ok && s.JobID == id
 }
 
-func resume(checkpoint string) string {
+func formatResume(checkpoint string) string {
 	if checkpoint == "" {
 		return ""
 	}
@@ -106,11 +106,11 @@
 		s.workerCommand(d.CmdArgs[0].Key, d.CmdArgs[1].Key)
 	case "store":
 		s.storeDown = d.CmdArgs[0].Key != "up"
-		s.step(Ownership{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
+		s.step(OwnerStatus{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
 	case "drain":
 		s.step(Drain{})
 	case "takeover":
-		s.own(HoldLease + DefaultLeaseMargin)
+		s.takeOwnership(HoldLease + DefaultLeaseMargin)
 	case "advance":
 		by, err := time.ParseDuration(d.CmdArgs[0].Key)
 		if err != nil {
@@ -146,7 +146,7 @@
 		for r := range scanInt(t, d, "racks", 1) {
 			for w := range scanInt(t, d, "workers", 1) {
 				name := fmt.Sprintf("z%d-r%d-w%d", z+1, r+1, w+1)
-				s.addAgent(name, fmt.Sprintf("z%d", z+1), fmt.Sprintf("r%d", r+1), capacity).up()
+				s.addAgent(name, fmt.Sprintf("z%d", z+1), fmt.Sprintf("r%d", r+1), capacity).connect()
 			}
 		}
 	}
@@ -203,9 +203,9 @@
 		if deadline, err := time.ParseDuration(scanString(t, d, "deadline", "")); err == nil {
 			job.Deadline = job.Submitted.Add(deadline)
 		}
-		s.run[job.ID] = length
-		s.bad[job.ID] = d.HasArg("bad")
-		s.usage[job.ID] = scanInt(t, d, "uses", 0)
+		s.runTimes[job.ID] = length
+		s.failingJobs[job.ID] = d.HasArg("bad")
+		s.memoryPerTask[job.ID] = scanInt(t, d, "uses", 0)
 		if why, never := s.core.NeverFits(job); never {
 			s.logf("refused %s: %s", job.ID, why)
 			continue
@@ -218,15 +218,15 @@
 	g := s.agents[name]
 	switch what {
 	case "down":
-		g.down()
+		g.disconnect()
 	case "up":
-		g.up()
+		g.connect()
 	case "crash":
 		g.crash()
 	case "faulty", "good":
 		g.faulty = what == "faulty"
 	case "deaf", "hearing":
-		g.deaf = what == "deaf"
+		g.dropsMessages = what == "deaf"
 	case "leaving":
 		s.step(WorkerStatus{Worker: name, Healthy: true, Leaving: true})
 	case "old-lease":
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -17,7 +17,7 @@
 	j.started = true
 	j.startedAt = c.now
 	j.nonPreemptible = !c.mayBorrow(j)
-	until := max(c.now, c.ownership.StartAfter) + GroupLease + c.cfg.LeaseMargin
+	until := max(c.now, c.ownerStatus.StartAfter) + GroupLease + c.cfg.LeaseMargin
 	for _, p := range j.rec.Placements {
 		w := c.workers[p.Worker]
 		if w == nil {
@@ -80,8 +80,8 @@
 	if j.phase != phaseRunning {
 		return
 	}
-	if !c.ownership.Owner || c.now < c.ownership.StartAfter {
-		c.timers.add(max(c.ownership.StartAfter, c.now+TickInterval), func() { c.startAdopted(j) })
+	if !c.ownerStatus.Owner || c.now < c.ownerStatus.StartAfter {
+		c.timers.add(max(c.ownerStatus.StartAfter, c.now+TickInterval), func() { c.startAdopted(j) })
 		return
 	}
 	for _, g := range j.groups {
@@ -99,7 +99,7 @@
 // renewHeld extends the hold of an adopted group at once: it could expire before
 // this owner may start the attempt.
 func (c *Core) renewHeld(g *group) {
-	if c.ownership.Owner && renewable(g) {
+	if c.ownerStatus.Owner && renewable(g) {
 		c.emit(Renew{Worker: g.worker.Name, Groups: []GroupRef{{g.job.id(), g.attempt}}})
 	}
 }
@@ -112,12 +112,12 @@
 	}
 	c.earlyReports = append(c.earlyReports, r)
 	// The group's resources are not accounted for yet.
-	c.pauseWorker(c.workers[r.Worker], max(0, c.ownership.StartAfter-c.now)+earlyReportPeriod)
+	c.pauseWorker(c.workers[r.Worker], max(0, c.ownerStatus.StartAfter-c.now)+earlyReportPeriod)
 	return true
 }
 
 func (c *Core) rowsComplete() bool {
-	return c.ownership.Owner && c.now >= c.ownership.StartAfter+earlyReportPeriod
+	return c.ownerStatus.Owner && c.now >= c.ownerStatus.StartAfter+earlyReportPeriod
 }
 
 // replayEarlyReports handles the reports that arrived before the job's row.
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -88,10 +88,10 @@
 // current configuration is ignored.
 type ConfigUpdate struct{ Config *api.Config }
 
-// Ownership tells whether this process is the owner now, and the epoch of its
+// OwnerStatus tells whether this process is the owner now, and the epoch of its
 // term. A core that is not the owner starts no work. Until StartAfter the
 // permissions of the previous owner may still be in use.
-type Ownership struct {
+type OwnerStatus struct {
 	Owner      bool
 	Epoch      uint64
 	StartAfter time.Duration
@@ -112,7 +112,7 @@
 func (GroupReport) event()  {}
 func (SaveResult) event()   {}
 func (ConfigUpdate) event() {}
-func (Ownership) event()    {}
+func (OwnerStatus) event()  {}
 func (Tick) event()         {}
 func (Drain) event()        {}
 
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -175,25 +175,25 @@
 
 func (c *Core) soonestInDomain(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
 	avoid := c.excludedWorkers(j)
-	var all []freeingWorker
+	var freeing []freeingWorker
 	for _, w := range domain {
 		if !w.Schedulable() || avoid(w) {
 			continue
 		}
 		avail := w.Capacity.Sub(w.Reserved)
 		if placement.TasksThatFit(avail, j.perTask) > 0 {
-			all = append(all, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.nonPreemptibleWait(c.workers[w.Name])})
+			freeing = append(freeing, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.nonPreemptibleWait(c.workers[w.Name])})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b freeingWorker) int { return cmp.Compare(a.timeToFree, b.timeToFree) })
-	var rooms []placement.Candidate
+	slices.SortStableFunc(freeing, func(a, b freeingWorker) int { return cmp.Compare(a.timeToFree, b.timeToFree) })
+	var candidates []placement.Candidate
 	gang := j.gang()
-	for _, f := range all {
-		rooms = append(rooms, f.candidate)
+	for _, f := range freeing {
+		candidates = append(candidates, f.candidate)
 		if gang.Adjacency == api.AdjacentWorker {
-			rooms = rooms[len(rooms)-1:]
+			candidates = candidates[len(candidates)-1:]
 		}
-		if assignments := placement.Pack(rooms, gang); assignments != nil {
+		if assignments := placement.Pack(candidates, gang); assignments != nil {
 			return assignments, f.timeToFree
 		}
 	}
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -141,7 +141,7 @@
 
 // movePendingJobs moves the next pending jobs, those within guarantees first.
 func (c *Core) movePendingJobs() {
-	if len(c.pendingMoves) == 0 || !c.ownership.Owner {
+	if len(c.pendingMoves) == 0 || !c.ownerStatus.Owner {
 		return
 	}
 	slices.SortStableFunc(c.pendingMoves, func(a, b *job) int {
