--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -23,7 +23,7 @@
 
 // beginAttempt allocates the capacity of a placement and sends the holds.
 func (c *Core) beginAttempt(j *job, assignments []placement.Assignment, firm bool) {
-	c.dropReservation(j)
+	c.dropWaitingReservation(j)
 	c.createGroups(j, claim{assignments: assignments}, firm, groupHolding)
 	c.sendHolds(j)
 }
--- a/internal/sched/baseline_test.go
+++ b/internal/sched/baseline_test.go
@@ -7,8 +7,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// baseline is the scheduler to compare with: first come first served, first
-// fit, no lending, no migration. It starts nothing in a zone that is out.
+// baseline is the scheduler that the core is compared with: first come first
+// served, first fit, no borrowing, no migration. It starts nothing in a zone that
+// is out.
 type baseline struct {
 	workers []*baseWorker
 	byName  map[string]*baseWorker
@@ -16,7 +17,8 @@
 	queue   []*baseJob
 	config  *api.Config
 	out     []Action
-	// headBlocked says that the first job found no room and none became free since.
+	// headBlocked is true if the first job found no room and no capacity became
+	// free since.
 	headBlocked bool
 }
 
@@ -28,7 +30,7 @@
 
 type baseJob struct {
 	rec            api.JobRecord
-	pendingReports int // reports that are still to come: held, then done
+	pendingReports int // reports still expected: held, then done
 	running        bool
 }
 
@@ -76,7 +78,8 @@
 	*w = baseWorker{up: e, free: e.Capacity}
 }
 
-// workerDown runs the jobs of the worker again, from the start, in their old order.
+// workerDown queues the worker's jobs again in order of submission; they run from
+// the start.
 func (b *baseline) workerDown(name string) {
 	b.byName[name].down = true
 	b.headBlocked = false
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// bench drives a core with agents and a table that answer at once.
+// bench drives a core with agents and a table that answer immediately.
 type bench struct {
 	core        *Core
 	now         time.Duration
@@ -103,7 +103,7 @@
 	b.tasks -= rec.Job.Gang.Tasks
 }
 
-// apply gives an event to the core, and the answers to its actions.
+// apply passes an event, and then the answers to its actions, to the core.
 func (b *bench) apply(ev Event) {
 	b.events = append(b.events[:0], ev)
 	for i := 0; i < len(b.events); i++ {
@@ -144,7 +144,7 @@
 	}
 }
 
-// running returns the jobs that run, in order.
+// running returns the IDs of the running jobs, sorted.
 func (b *bench) running() []string {
 	var ids []string
 	for _, id := range sortedKeys(b.rows) {
@@ -193,7 +193,8 @@
 	}
 }
 
-// submitAndFinish measures one of the two; the other runs off the clock.
+// submitAndFinish measures either the submission or the end of a job; the other
+// one runs with the timer stopped.
 func submitAndFinish(t *testing.B, tasks int, measureSubmit bool) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
@@ -218,7 +219,8 @@
 func BenchmarkSubmitGang128(b *testing.B) { submitAndFinish(b, 128, true) }
 func BenchmarkFinish(b *testing.B)        { submitAndFinish(b, 4, false) }
 
-// BenchmarkFinishWithQueue is the end of a job while gangs of 50 profiles wait.
+// BenchmarkFinishWithQueue measures the end of a job while gangs of 50 profiles
+// wait.
 func BenchmarkFinishWithQueue(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		t.StopTimer()
@@ -238,8 +240,8 @@
 	})
 }
 
-// BenchmarkWorkerLoss is the loss of a worker, 12 s of ticks until its gangs
-// run elsewhere included.
+// BenchmarkWorkerLoss measures the loss of a worker, including 12 s of ticks until
+// its gangs run elsewhere.
 func BenchmarkWorkerLoss(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for i := range t.N {
@@ -264,7 +266,8 @@
 	})
 }
 
-// BenchmarkZoneOut is 40 s from a zone out on: all of its gangs move.
+// BenchmarkZoneOut measures the first 40 s after a zone is taken out, in which all
+// of its gangs are moved.
 func BenchmarkZoneOut(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
@@ -276,7 +279,8 @@
 	})
 }
 
-// BenchmarkConfigure is a configuration that changes no zone and no guarantee.
+// BenchmarkConfigure measures a configuration update that changes no zone and no
+// guarantee.
 func BenchmarkConfigure(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
@@ -295,7 +299,7 @@
 	})
 }
 
-// BenchmarkReport is a progress report of a running group.
+// BenchmarkReport measures a progress report of a running group.
 func BenchmarkReport(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		var reports []GroupReport
@@ -312,7 +316,7 @@
 	})
 }
 
-// BenchmarkSecond is one second of ticks: renewals and reviews.
+// BenchmarkSecond measures one second of ticks, with renewals and reviews.
 func BenchmarkSecond(t *testing.B) {
 	perSize(t, func(t *testing.B, b *bench) {
 		for range t.N {
@@ -321,7 +325,7 @@
 	})
 }
 
-// BenchmarkState reports the memory of the core's state by worker and by job.
+// BenchmarkState reports the memory of the core's state per worker and per job.
 func BenchmarkState(t *testing.B) {
 	for _, n := range benchSizes {
 		t.Run(fmt.Sprintf("workers=%d", n), func(t *testing.B) {
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -161,7 +161,7 @@
 // startClaim allocates the claimed capacity to the job and preempts the victims.
 // The job continues when all of the capacity is free.
 func (c *Core) startClaim(j *job, cl claim, grace time.Duration) {
-	c.dropReservation(j)
+	c.dropWaitingReservation(j)
 	reason := ReasonPreempted
 	if cl.reservation != nil {
 		reason = ReasonReclaimed
@@ -256,9 +256,9 @@
 	}
 }
 
-func (c *Core) dropReservationClaims(s *reservationPart) {
-	for _, g := range slices.Clone(s.worker.groups) {
-		if g.reservedPart == s && g.job.phase == phaseClaiming && !g.detached {
+func (c *Core) dropReservationClaims(part *reservationPart) {
+	for _, g := range slices.Clone(part.worker.groups) {
+		if g.reservedPart == part && g.job.phase == phaseClaiming && !g.detached {
 			c.dropClaim(g.job)
 			c.enqueue(g.job)
 		}
--- a/internal/sched/compare_test.go
+++ b/internal/sched/compare_test.go
@@ -12,9 +12,9 @@
 )
 
 // BenchmarkCompare runs the same seeded day of jobs through the core and the
-// baseline, on an undisturbed fleet, with a zone out and back for three hours
-// (its running work may go on), and with that zone's hosts switched off two
-// minutes after it was taken out. Run it with -benchtime 1x.
+// baseline: on an undisturbed fleet, with a zone out for three hours (its running
+// work may continue), and with that zone's hosts switched off two minutes after
+// the zone was taken out. Run it with -benchtime 1x.
 func BenchmarkCompare(b *testing.B) {
 	for _, load := range []workload{maraval(), institute(), target()} {
 		for _, event := range []string{"undisturbed", "zone-out", "zone-off"} {
@@ -31,8 +31,8 @@
 
 const (
 	day           = 24 * time.Hour
-	zoneOutAt     = 10 * time.Hour // the zone leaves
-	zoneInAt      = 13 * time.Hour // the zone returns
+	zoneOutAt     = 10 * time.Hour // the zone is taken out
+	zoneInAt      = 13 * time.Hour // the zone is taken in again
 	powerOffDelay = 2 * time.Minute
 	maxTime       = 48 * time.Hour
 )
@@ -45,10 +45,10 @@
 	runTimes  map[string]time.Duration
 	tick      time.Duration
 	shape     api.Shape // the largest guaranteed shape
-	largeGang int       // accelerators of a gang above half a rack
+	largeGang int       // accelerators of a gang larger than half a rack
 }
 
-// jobKind is a jobKind of work in a load.
+// jobKind is one kind of job in a workload.
 type jobKind struct {
 	profile    string
 	share      float64 // of all jobs
@@ -182,13 +182,13 @@
 	return l
 }
 
-// trial is one run of a load.
+// trial is one run of a workload.
 type trial struct {
 	*rig
 	load          workload
 	started       map[string]time.Duration
 	done          map[string]time.Duration
-	fragmentation []float64 // share of free accelerators without room for the shape
+	fragmentation []float64 // fraction of free accelerators in domains without room for shape
 }
 
 func newTrial(load workload, event, name string) *trial {
@@ -257,7 +257,7 @@
 	}
 }
 
-// sample takes the fragmentation every ten minutes of the day.
+// sample records the fragmentation every ten minutes of the day.
 func (t *trial) sample() {
 	if t.now >= day {
 		return
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -70,7 +70,7 @@
 		c.unplaceReservation(m)
 	}
 	for i, m := range append([]*reservation{r}, moved...) {
-		c.preemptNonPreemptible(j, m, newPlacements[i])
+		c.clearPlacement(j, m, newPlacements[i])
 		c.placeReservation(m, newPlacements[i])
 	}
 	cl, ok := c.claimInReservation(r, j, c.excludedWorkers(j))
@@ -80,9 +80,9 @@
 	return ok
 }
 
-// preemptNonPreemptible stops non-preemptible work outside of guarantees that
-// occupies the new placement of a reservation.
-func (c *Core) preemptNonPreemptible(j *job, m *reservation, assignments []placement.Assignment) {
+// clearPlacement stops non-preemptible work outside of guarantees that occupies the
+// new placement of a reservation.
+func (c *Core) clearPlacement(j *job, m *reservation, assignments []placement.Assignment) {
 	for _, p := range assignments {
 		c.dropNonPreemptibleClaims(c.workers[p.Worker.Name])
 	}
@@ -111,9 +111,9 @@
 // users returns the jobs that run in a reservation. ok is false if there are none
 // or if one of them must not be stopped.
 func (r *reservation) users() (users []*job, ok bool) {
-	for _, s := range r.parts {
-		for _, g := range s.worker.groups {
-			if g.reservedPart != s || g.stopping {
+	for _, part := range r.parts {
+		for _, g := range part.worker.groups {
+			if g.reservedPart != part || g.stopping {
 				continue
 			}
 			if !g.job.restartable() || g.job.phase != phaseRunning {
@@ -152,8 +152,8 @@
 		c.adjustReserved(assignments, m.gang.PerTask, 1)
 		newPlacements = append(newPlacements, assignments)
 	}
-	for i, parts := range newPlacements {
-		c.adjustReserved(parts, all[i].gang.PerTask, -1)
+	for i, assignments := range newPlacements {
+		c.adjustReserved(assignments, all[i].gang.PerTask, -1)
 	}
 	for _, m := range moved {
 		c.adjustReserved(m.assignments(), m.gang.PerTask, 1)
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -88,8 +88,8 @@
 	if r.job != nil {
 		d.Job = r.job.id()
 	}
-	for _, s := range r.parts {
-		d.Workers = append(d.Workers, s.worker.Name)
+	for _, part := range r.parts {
+		d.Workers = append(d.Workers, part.worker.Name)
 	}
 	return d
 }
--- a/internal/sched/fleet/worker.go
+++ b/internal/sched/fleet/worker.go
@@ -34,7 +34,7 @@
 	// ended.
 	Used api.Resources
 	// NonPreemptible is the part of Used and Claimed that belongs to work outside
-	// of reservations which must not be preempted.
+	// of reservations that must not be preempted, except to place a guarantee.
 	NonPreemptible api.Resources
 	// NonRestartable is the part of NonPreemptible that must not be stopped at all.
 	NonRestartable api.Resources
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -27,10 +27,10 @@
 	return true
 }
 
-func (c *Core) cheapestGuaranteedClaim(j *job, avoid func(*fleet.Worker) bool) claim {
+func (c *Core) cheapestGuaranteedClaim(j *job, exclude func(*fleet.Worker) bool) claim {
 	var best claim
 	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
-		cl, ok := c.claimInReservation(r, j, avoid)
+		cl, ok := c.claimInReservation(r, j, exclude)
 		if ok && (best.reservation == nil || cl.lostWork < best.lostWork) {
 			best = cl
 		}
@@ -53,9 +53,9 @@
 	return c.cheapestGuaranteedClaim(j, excludesProbation(j))
 }
 
-func (c *Core) claimInReservation(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
+func (c *Core) claimInReservation(r *reservation, j *job, exclude func(*fleet.Worker) bool) (claim, bool) {
 	candidates := r.candidates()
-	candidates = slices.DeleteFunc(candidates, func(candidate placement.Candidate) bool { return avoid(candidate.Worker) })
+	candidates = slices.DeleteFunc(candidates, func(candidate placement.Candidate) bool { return exclude(candidate.Worker) })
 	assignments := placement.Pack(candidates, j.gang())
 	if assignments == nil {
 		return claim{}, false
@@ -73,7 +73,7 @@
 		return false
 	}
 	// Guarantees take precedence over reservations of waiting gangs.
-	c.dropAllReservations()
+	c.dropWaitingReservations()
 	req := c.placementRequest(j, fleet.Restartable)
 	req.Gang = r.gang
 	guaranteeJob := &job{rec: j.rec, perTask: r.gang.PerTask}
@@ -118,9 +118,9 @@
 
 func (r *reservation) candidates() []placement.Candidate {
 	out := make([]placement.Candidate, 0, len(r.parts))
-	for _, s := range r.parts {
-		if s.worker.InService() && !s.worker.Paused {
-			out = append(out, placement.Candidate{Worker: s.worker.Worker, Available: s.resources.Sub(s.used)})
+	for _, part := range r.parts {
+		if part.worker.InService() && !part.worker.Paused {
+			out = append(out, placement.Candidate{Worker: part.worker.Worker, Available: part.resources.Sub(part.used)})
 		}
 	}
 	return out
@@ -130,8 +130,8 @@
 // task.
 func (c *Core) hasOpenGuarantee(profile string, perTask api.Resources) bool {
 	for _, r := range c.guaranteesOf[profile] {
-		for _, s := range r.parts {
-			if perTask.Fits(s.resources.Sub(s.used)) {
+		for _, part := range r.parts {
+			if perTask.Fits(part.resources.Sub(part.used)) {
 				return true
 			}
 		}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -72,7 +72,7 @@
 		c.dropClaim(j)
 	}
 	c.queue.remove(j)
-	c.dropReservation(j)
+	c.dropWaitingReservation(j)
 }
 
 func (c *Core) cancel(id string) {
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -18,12 +18,12 @@
 	machineWorkers = 3 // per zone, in one rack
 	// maxSettleTime is long enough for all leases, probes and retries.
 	maxSettleTime = unplaceableTimeout + time.Hour
-	// maxClaimTime is within which a guaranteed gang must run on a fleet
-	// without faults: grace, lease, hold and save with retries.
+	// maxClaimTime is the time within which a guaranteed gang must run on a
+	// fleet without faults: grace, lease, hold and save with retries.
 	maxClaimTime = CheckpointGrace + GroupLease + 10*time.Second
 )
 
-// machine is the rapid state machine with the oracle.
+// machine is the rapid state machine and its oracle.
 type machine struct {
 	*rig
 	core         *Core
@@ -32,9 +32,9 @@
 	next         int
 	accepted     []string
 	attempts     map[string]map[uint32]bool // attempts that an agent has started
-	lastFault    time.Duration              // time of the last fault
-	waitingSince map[string]time.Duration   // start of the wait of guaranteed jobs
-	inUse        map[string]time.Duration   // when a gang of a profile last had its guarantee
+	lastFault    time.Duration
+	waitingSince map[string]time.Duration // since when guaranteed jobs have waited
+	inUse        map[string]time.Duration // when a gang of a profile last used its guarantee
 	events       []recordedEvent
 }
 
@@ -70,7 +70,7 @@
 	m.rnd = rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 	m.dropMessage = func() bool { return m.lossy && m.rnd.Intn(5) == 0 }
 	m.config = machineConfig()
-	// Slow enough for faults to come between the phases of an attempt.
+	// Slow enough for faults to occur between the phases of an attempt.
 	m.latency, m.storeLatency = 20*time.Millisecond, 150*time.Millisecond
 	m.onAction = func(a Action) { m.checkAction(t, a) }
 	m.onGroupStart = func(g *agent, f *fakeGroup) { m.checkGroupStart(t, g, f) }
@@ -96,7 +96,8 @@
 	m.startTicks()
 }
 
-// checkAction checks what a decision must never do.
+// checkAction checks that a start has a saved row, is outside of zones that are
+// out, and starts the whole gang.
 func (m *machine) checkAction(t *rapid.T, a Action) {
 	s, ok := a.(Start)
 	if !ok {
@@ -120,7 +121,8 @@
 	}
 }
 
-// checkGroupStart checks each start that an agent carries out.
+// checkGroupStart checks each start that an agent carries out: attempts of a job
+// never overlap, and a job that is not idempotent starts in one attempt only.
 func (m *machine) checkGroupStart(t *rapid.T, g *agent, f *fakeGroup) {
 	id := f.ref.JobID
 	if m.attempts[id] == nil {
@@ -139,11 +141,11 @@
 	}
 }
 
-// checkInvariants is run after each step of the machine.
+// checkInvariants runs after each step of the machine.
 func (m *machine) checkInvariants(t *rapid.T) {
 	for _, id := range m.accepted {
 		if m.rows[id].State != api.JobFinal && m.core.jobs[id] == nil {
-			t.Fatalf("%s is forgotten", id)
+			t.Fatalf("%s is not answered and the core does not know it", id)
 		}
 	}
 	for _, w := range m.core.workerList {
@@ -163,7 +165,7 @@
 		} else {
 			used = used.Add(g.resources)
 		}
-		// A row that was taken over may name workers that its gang has left.
+		// An adopted row may name workers that its gang has left.
 		if g.state != groupUnknown && g.state != groupClaimed {
 			certain = certain.Add(g.resources)
 		}
@@ -172,7 +174,7 @@
 		}
 	}
 	if used != w.Used || claimed != w.Claimed {
-		t.Fatalf("%s: books differ from groups: %+v", w.Name, *w.Worker)
+		t.Fatalf("%s: accounted resources differ from those of its groups: %+v", w.Name, *w.Worker)
 	}
 	if w.InService() && !certain.Fits(w.Capacity) {
 		t.Fatalf("%s: %+v used of %+v", w.Name, certain, w.Capacity)
@@ -205,7 +207,7 @@
 
 var guaranteedProfiles = []string{"clinic", "unit", "ward"}
 
-// recordUse notes which guarantees are in use. It runs after each event, as a
+// recordUse records which guarantees are in use. It runs after each event because a
 // gang may start and end between two checks.
 func (m *machine) recordUse() {
 	for _, profile := range guaranteedProfiles {
@@ -215,7 +217,7 @@
 	}
 }
 
-// hasActiveGang reports whether a gang of the profile has its guarantee.
+// hasActiveGang reports whether a gang of the profile uses its guarantee.
 func (m *machine) hasActiveGang(profile string) bool {
 	for _, id := range m.accepted {
 		j := m.core.jobs[id]
@@ -231,8 +233,8 @@
 	return false
 }
 
-// checkReclaim checks that a guaranteed gang runs within its bound when the
-// guarantee is not in use and nothing has failed for that long.
+// checkReclaim checks that a guaranteed gang runs within maxClaimTime if the
+// guarantee has not been in use and nothing has failed for that long.
 func (m *machine) checkReclaim(t *rapid.T, profile string) {
 	active := m.hasActiveGang(profile)
 	for _, id := range m.accepted {
@@ -249,13 +251,13 @@
 			m.waitingSince[id] = m.now
 		}
 		if from := max(m.waitingSince[id], m.lastFault, m.inUse[profile]); m.now-from > maxClaimTime {
-			t.Fatalf("%s waits for its guarantee since %v (now %v): %+v\n%+v", id, from, m.now, *j, m.core.Dump())
+			t.Fatalf("%s has waited for its guarantee since %v (now %v): %+v\n%+v", id, from, m.now, *j, m.core.Dump())
 		}
 	}
 }
 
-// feasible reports whether the workers that may run work could hold the
-// guarantee if all work were stopped that may be.
+// feasible reports whether the workers that may run work could hold the guarantees
+// if all work that may be stopped were stopped.
 func (m *machine) feasible() bool {
 	var in []feasibility.Worker
 	for _, w := range m.core.workerList {
@@ -383,12 +385,12 @@
 	}
 }
 
-// replay gives the same events to a new core and compares the actions.
+// replay passes the same events to a new core and compares the actions.
 func (m *machine) replay(t *rapid.T) {
 	again := New(Config{TermStart: time.Unix(0, 0)})
 	for i, e := range m.events {
 		if acts := describeActions(again.Step(e.at, e.ev)); acts != e.acts {
-			t.Fatalf("event %d (%T%+v) is decided differently:\n%s\n%s", i, e.ev, e.ev, e.acts, acts)
+			t.Fatalf("replay of event %d (%T%+v) gives different actions:\n%s\n%s", i, e.ev, e.ev, e.acts, acts)
 		}
 	}
 }
@@ -402,7 +404,7 @@
 	return false
 }
 
-// healAndExpectAnswers ends all faults and expects an answer to every job.
+// healAndExpectAnswers ends all faults and checks that every job is answered.
 func (m *machine) healAndExpectAnswers(t *rapid.T) {
 	m.noteFault()
 	m.lossy, m.storeDown, m.tickEvery = false, false, RenewInterval
@@ -436,6 +438,9 @@
 	}
 }
 
+// TestSchedMachine guards against lost jobs, partial or repeated starts, capacity
+// that is used twice and guarantees that are not honoured, under random sequences
+// of jobs, faults and takeovers.
 func TestSchedMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
--- a/internal/sched/reservations.go
+++ b/internal/sched/reservations.go
@@ -30,8 +30,8 @@
 func (r *reservation) placed() bool { return len(r.parts) > 0 }
 
 func (r *reservation) unused() bool {
-	for _, s := range r.parts {
-		if s.used != (api.Resources{}) {
+	for _, part := range r.parts {
+		if part.used != (api.Resources{}) {
 			return false
 		}
 	}
@@ -43,9 +43,9 @@
 	if r == nil {
 		return nil
 	}
-	for _, s := range r.parts {
-		if s.worker == w {
-			return s
+	for _, part := range r.parts {
+		if part.worker == w {
+			return part
 		}
 	}
 	return nil
@@ -53,8 +53,8 @@
 
 // inService reports whether all workers of the reservation are in service.
 func (r *reservation) inService() bool {
-	for _, s := range r.parts {
-		if !s.worker.InService() {
+	for _, part := range r.parts {
+		if !part.worker.InService() {
 			return false
 		}
 	}
@@ -64,9 +64,9 @@
 func (c *Core) placeReservation(r *reservation, assignments []placement.Assignment) {
 	for _, p := range assignments {
 		w := c.workers[p.Worker.Name]
-		s := &reservationPart{reservation: r, worker: w, resources: r.gang.PerTask.Times(p.Tasks)}
-		r.parts = append(r.parts, s)
-		c.updateWorker(w, func(f *fleet.Worker) { f.Reserved = f.Reserved.Add(s.resources) })
+		part := &reservationPart{reservation: r, worker: w, resources: r.gang.PerTask.Times(p.Tasks)}
+		r.parts = append(r.parts, part)
+		c.updateWorker(w, func(f *fleet.Worker) { f.Reserved = f.Reserved.Add(part.resources) })
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 	c.placeGuarantees()
 	if c.unplacedCount > 0 && len(c.waitingReservations) > 0 {
-		c.dropAllReservations()
+		c.dropWaitingReservations()
 		c.placeGuarantees()
 	}
 	c.repackPending = c.unplacedCount > 0
@@ -207,9 +207,9 @@
 
 func (r *reservation) assignments() []placement.Assignment {
 	out := make([]placement.Assignment, 0, len(r.parts))
-	for _, s := range r.parts {
-		tasks := placement.TasksThatFit(s.resources, r.gang.PerTask)
-		out = append(out, placement.Assignment{Worker: s.worker.Worker, Tasks: tasks})
+	for _, part := range r.parts {
+		tasks := placement.TasksThatFit(part.resources, r.gang.PerTask)
+		out = append(out, placement.Assignment{Worker: part.worker.Worker, Tasks: tasks})
 	}
 	return out
 }
--- a/internal/sched/rig_test.go
+++ b/internal/sched/rig_test.go
@@ -24,7 +24,7 @@
 	agentNames []string
 	rows       map[string]api.JobRecord
 	config     *api.Config
-	// term counts owners; messages and answers of former terms are dropped.
+	// term counts owners; messages and results of former terms are dropped.
 	term         int
 	termStart    time.Duration
 	latency      time.Duration
@@ -32,15 +32,16 @@
 	tickEvery    time.Duration
 	storeDown    bool
 	noLeases     bool
-	// runTimes is the true runTimes time of each job; usage the true memory per task.
+	// runTimes is the true run time of each job, memoryPerTask its true memory per
+	// task in MB.
 	runTimes      map[string]time.Duration
 	memoryPerTask map[string]int
 	failingJobs   map[string]bool // jobs whose tasks always fail
-	// dropMessage decides whether a message to an agent is dropMessage.
+	// dropMessage decides whether a message to an agent is lost.
 	dropMessage  func() bool
 	onAction     func(Action)
 	onGroupStart func(*agent, *fakeGroup)
-	// heldBy and stopped are by attempt: the workers that have held it, and
+	// heldBy and stopped are keyed by attempt: the workers that have held it, and
 	// whether a stop was sent to any of them.
 	heldBy  map[GroupRef]map[string]bool
 	stopped map[GroupRef]bool
@@ -59,7 +60,7 @@
 
 func (r *rig) after(d time.Duration, run func()) { r.timers.add(r.now+d, run) }
 
-// coreTime is the time since the start of the owner's term.
+// coreTime returns the time since the start of the owner's term.
 func (r *rig) coreTime() time.Duration { return r.now - r.termStart }
 
 func (r *rig) step(ev Event) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// startTicks sends ticks from now on, each tickEvery.
+// startTicks sends a tick every tickEvery from now on.
 func (r *rig) startTicks() {
 	term := r.term
 	r.after(r.tickEvery, func() {
@@ -86,7 +87,7 @@
 	})
 }
 
-// runUntil lets the virtual time pass.
+// runUntil advances the virtual time.
 func (r *rig) runUntil(at time.Duration) {
 	for len(r.timers.items) > 0 && r.timers.items[0].at <= at {
 		r.now = max(r.now, r.timers.items[0].at)
@@ -167,7 +168,8 @@
 	r.configure(func(c *api.Config) { c.Zones[zone] = api.AvailabilityZone{Name: zone, State: state} })
 }
 
-// takeOver replaces the owner by a new core that knows the rows and the agents' reports only.
+// takeOver replaces the owner by a new core that knows only the rows and the
+// agents' reports.
 func (r *rig) takeOver(next scheduler, startAfter time.Duration) {
 	r.term++
 	r.stopped = map[GroupRef]bool{}
@@ -187,7 +189,7 @@
 	r.step(OwnerStatus{Owner: true, Epoch: uint64(r.term), StartAfter: startAfter})
 }
 
-// agent is a fake worker agent that keeps the group protocol.
+// agent is a fake worker agent that follows the group protocol.
 type agent struct {
 	r                *rig
 	name, zone, rack string
@@ -195,7 +197,7 @@
 	groups           []*fakeGroup
 	endedGroups      map[GroupRef]bool
 	linked, faulty   bool
-	dropsMessages    bool // gets no messages
+	dropsMessages    bool // receives no messages
 	link             int
 }
 
@@ -235,7 +237,7 @@
 	g.r.step(WorkerDown{g.name})
 }
 
-// crash loses all groups of the agent and what it remembers.
+// crash loses the agent's groups and its memory of ended ones.
 func (g *agent) crash() {
 	for _, f := range g.groups {
 		f.state = GroupAbsent
@@ -386,7 +388,8 @@
 	}
 }
 
-// checkpointProgress reads the progress in fake checkpoint keys, the least of several.
+// checkpointProgress returns the progress recorded in fake checkpoint keys, the
+// least of several.
 func checkpointProgress(keys string) time.Duration {
 	var least time.Duration
 	for i, key := range strings.Fields(keys) {
--- a/internal/sched/scenario_test.go
+++ b/internal/sched/scenario_test.go
@@ -12,8 +12,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// TestScenarios runs the scripts in testdata/scenarios. The output of each
-// command is what the core decided since the last one, by virtual time.
+// TestScenarios runs the scripts in testdata/scenarios. The output of each command
+// is what the core decided since the previous one, with the virtual time.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		s := &scenario{rig: newRig(), answered: map[string]bool{}}
@@ -29,7 +29,7 @@
 	*rig
 	core *Core
 	log  []string
-	// answered is the jobs whose answer is in the log.
+	// answered holds the jobs whose answer is in the log.
 	answered map[string]bool
 }
 
@@ -43,7 +43,7 @@
 	s.log = append(s.log, fmt.Sprintf("%9v  ", s.now.Truncate(10*time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
-// record keeps one line for what a step does for each job.
+// record logs one line per job for the actions of a step.
 func (s *scenario) record(acts []Action) {
 	for i := 0; i < len(acts); i++ {
 		switch a := acts[i].(type) {
@@ -183,7 +183,8 @@
 	}
 }
 
-// submitCommand submits count jobs; run is the true run time, declared what is declared.
+// submitCommand submits count jobs. run is the true run time, declared the declared
+// one.
 func (s *scenario) submitCommand(t *testing.T, d *datadriven.TestData) {
 	id, run := scanString(t, d, "id", ""), scanString(t, d, "run", "1h")
 	length, err := time.ParseDuration(run)
@@ -234,7 +235,7 @@
 	}
 }
 
-// jobs prints the jobs that are not answered yet.
+// jobs prints the jobs that have not been answered yet.
 func (s *scenario) jobs() string {
 	var out []string
 	for _, id := range sortedKeys(s.core.jobs) {
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -63,7 +63,7 @@
 		j.class.noPlacement = false
 	}
 	if j.waitingReservation != nil && !j.waitingReservation.inService() {
-		c.dropReservation(j)
+		c.dropWaitingReservation(j)
 	}
 	if c.now-j.queuedAt < reservationDelay || !withinQuota(j, p) || !c.isLarge(j) {
 		return
@@ -174,10 +174,10 @@
 }
 
 func (c *Core) soonestInDomain(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
-	avoid := c.excludedWorkers(j)
+	exclude := c.excludedWorkers(j)
 	var freeing []freeingWorker
 	for _, w := range domain {
-		if !w.Schedulable() || avoid(w) {
+		if !w.Schedulable() || exclude(w) {
 			continue
 		}
 		avail := w.Capacity.Sub(w.Reserved)
@@ -241,7 +241,8 @@
 	if j.started {
 		ran += c.now - j.startedAt
 	}
-	// A job that has run longer than expected counts as halfway through.
+	// A job is assumed to need at least half of its elapsed run time again,
+	// however long it was expected to run.
 	return max(c.expectedRunTime(j)-ran, ran/2)
 }
 
@@ -251,9 +252,9 @@
 	if r == nil {
 		return false
 	}
-	for _, s := range r.parts {
-		open := s.worker.Capacity.Sub(s.worker.Reserved).Sub(s.worker.NonPreemptible).Add(s.resources)
-		if !s.worker.Schedulable() || !s.resources.Fits(open) {
+	for _, part := range r.parts {
+		open := part.worker.Capacity.Sub(part.worker.Reserved).Sub(part.worker.NonPreemptible).Add(part.resources)
+		if !part.worker.Schedulable() || !part.resources.Fits(open) {
 			return false
 		}
 	}
@@ -265,8 +266,8 @@
 	return true
 }
 
-// dropReservation drops the reservation of a waiting gang, if it has one.
-func (c *Core) dropReservation(j *job) {
+// dropWaitingReservation drops the reservation of a waiting gang, if it has one.
+func (c *Core) dropWaitingReservation(j *job) {
 	r := j.waitingReservation
 	if r == nil {
 		return
@@ -276,26 +277,26 @@
 	c.unplaceReservation(r)
 }
 
-func (c *Core) dropAllReservations() {
+func (c *Core) dropWaitingReservations() {
 	for _, r := range slices.Clone(c.waitingReservations) {
-		c.dropReservation(r.job)
+		c.dropWaitingReservation(r.job)
 	}
 }
 
 // migrateForReservation moves one job that blocks a waiting gang's reservation, if
 // the job fits elsewhere and the gang gains more than the migration costs.
 func (c *Core) migrateForReservation(r *reservation) {
-	for _, s := range r.parts {
-		for _, g := range s.worker.groups {
+	for _, part := range r.parts {
+		for _, g := range part.worker.groups {
 			if g.stopping {
 				return
 			}
 		}
 	}
-	for _, s := range r.parts {
-		for _, g := range slices.Clone(s.worker.groups) {
+	for _, part := range r.parts {
+		for _, g := range slices.Clone(part.worker.groups) {
 			if c.migrationPaysOff(g, r) {
-				c.emitNotice(g.job, s.worker.Name, ReasonMigrated, r.job.id())
+				c.emitNotice(g.job, part.worker.Name, ReasonMigrated, r.job.id())
 				c.endAttempt(g.job, checkpointGrace(g.job), ReasonMigrated)
 				return
 			}
