--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -16,8 +16,9 @@
 	quarantineThreshold = 3
 	// maxJobFailures limits the failures of a job on all workers.
 	maxJobFailures = 8
-	quarantineMin  = time.Minute
-	quarantineMax  = time.Hour
+	// A quarantine lasts quarantineMin and doubles each time, up to quarantineMax.
+	quarantineMin = time.Minute
+	quarantineMax = time.Hour
 	// probationTimeout ends a probation during which no work arrived.
 	probationTimeout = 10 * time.Minute
 )
