--- a/internal/agent/groups/core.go
+++ b/internal/agent/groups/core.go
@@ -8,7 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// Core decides for one worker. It is not safe for concurrent use.
+// Core decides which groups hold capacity and run on one worker. It is not safe
+// for concurrent use.
 type Core struct {
 	cfg      Config
 	now      time.Duration
@@ -21,19 +22,22 @@
 	actions  []Action
 }
 
-// Counters counts what a Core has refused and ended.
+// Counters counts messages refused and groups started, adopted and expired.
+// StaleEpochs counts messages refused for a lower epoch, StrayTasks running
+// tasks stopped because no group accounts for them.
 type Counters struct {
-	LowerEpoch    uint64 `json:"lower_epoch"`
+	StaleEpochs   uint64 `json:"lower_epoch"`
 	HoldsRefused  uint64 `json:"holds_refused"`
 	StartsRefused uint64 `json:"starts_refused"`
-	HoldsLapsed   uint64 `json:"holds_lapsed"`
-	LeasesLapsed  uint64 `json:"leases_lapsed"`
+	HoldsExpired  uint64 `json:"holds_lapsed"`
+	LeasesExpired uint64 `json:"leases_lapsed"`
 	Started       uint64 `json:"started"`
 	Adopted       uint64 `json:"adopted"`
-	Strays        uint64 `json:"strays"`
+	StrayTasks    uint64 `json:"strays"`
 }
 
-// New returns a core without groups. It starts nothing before a Permission.
+// New returns a core without groups. It accepts no hold or start before a
+// Permission event allows work.
 func New(cfg Config) *Core {
 	cfg = cfg.withDefaults()
 	return &Core{
@@ -49,50 +53,51 @@
 // Idle reports whether no capacity is held and no task may be running.
 func (c *Core) Idle() bool { return len(c.groups) == 0 }
 
-// Step applies one event at the time now and returns the actions, in order.
-// Leases that have lapsed are dealt with before the event.
+// Step applies one event at the time now and returns the resulting actions in
+// order. Leases that have expired by now are ended before the event is applied.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(now, c.now)
 	c.actions = nil
-	c.expire()
-	c.apply(ev)
-	c.settle()
+	c.expireLeases()
+	c.handleEvent(ev)
+	c.finishEndedGroups()
 	return c.actions
 }
 
-func (c *Core) apply(ev Event) {
+func (c *Core) handleEvent(ev Event) {
 	switch e := ev.(type) {
 	case Hold:
-		c.hold(e)
+		c.handleHold(e)
 	case Start:
-		c.start(e)
+		c.handleStart(e)
 	case Stop:
-		c.stop(e)
+		c.handleStop(e)
 	case Renew:
-		c.renew(e)
-	case Caretaker:
-		c.caretaker(e)
-	case OwnerSeen:
+		c.handleRenew(e)
+	case StoreDown:
+		c.handleStoreDown(e)
+	case EpochObserved:
 		c.epoch = max(c.epoch, e.Epoch)
 	case Permission:
 		c.allowed = e.Allowed
 	case TaskUpdate:
-		c.taskUpdate(e.Status)
+		c.handleTaskUpdate(e.Status)
 	case TaskLost:
-		c.taskLost(e)
+		c.handleTaskLost(e)
 	case Adopt:
-		c.adopt(e)
+		c.handleAdopt(e)
 	case Leave:
 		c.leaving = true
 	case Tick:
-		c.tick()
+		c.handleTick()
 	}
 }
 
-// obeys reports whether a message of the epoch counts, and notes the epoch.
-func (c *Core) obeys(epoch uint64) bool {
+// acceptEpoch reports whether a message with this epoch is to be obeyed. If so,
+// lower epochs are refused from then on.
+func (c *Core) acceptEpoch(epoch uint64) bool {
 	if epoch < c.epoch {
-		c.counters.LowerEpoch++
+		c.counters.StaleEpochs++
 		return false
 	}
 	c.epoch = epoch
@@ -101,8 +106,8 @@
 
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// free returns the capacity that is neither held nor in use.
-func (c *Core) free() api.Resources {
+// freeCapacity returns the capacity that is neither held nor in use.
+func (c *Core) freeCapacity() api.Resources {
 	free := c.cfg.Capacity
 	for _, g := range c.groups {
 		free = free.Sub(g.resources())
@@ -110,8 +115,8 @@
 	return free
 }
 
-// sorted returns the groups in order of their refs.
-func (c *Core) sorted() []*group {
+// sortedGroups returns the groups ordered by ref.
+func (c *Core) sortedGroups() []*group {
 	list := make([]*group, 0, len(c.groups))
 	for _, g := range c.groups {
 		list = append(list, g)
@@ -124,8 +129,8 @@
 	return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// Reports returns a report on each group that is held, runs, or has ended and
-// is still remembered, in order of their refs.
+// Reports returns the reports on all groups that are held or running, and the
+// final reports that are still kept, ordered by ref.
 func (c *Core) Reports() []Report {
 	list := c.ended.reports()
 	for _, g := range c.groups {
--- a/internal/agent/groups/group.go
+++ b/internal/agent/groups/group.go
@@ -8,46 +8,47 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// phase is the part of its life that a group is in.
+// phase is the lifecycle phase of a group that holds capacity.
 type phase string
 
 const (
 	phaseHeld    phase = "held"
 	phaseRunning phase = "running"
-	phaseEnding  phase = "ending" // tasks are being stopped
+	phaseEnding  phase = "ending" // tasks are being stopped or checkpointed
 )
 
-// cause says why a group ends before its tasks are done.
-type cause string
+// endCause is the reason why a group ends before its tasks are done.
+type endCause string
 
 const (
-	causeNone   cause = ""
-	causeAsked  cause = "asked"
-	causeLapsed cause = "lease lapsed"
-	causeFailed cause = "task failed"
-	causeBroken cause = "task stopped by the worker"
+	causeNone         endCause = ""
+	causeRequested    endCause = "asked"
+	causeLeaseExpired endCause = "lease lapsed"
+	causeTaskFailed   endCause = "task failed"
+	causeTaskStopped  endCause = "task stopped by the worker"
 )
 
-// group is the tasks of one job attempt while they hold capacity.
+// group is the set of tasks of one job attempt while they hold capacity.
 type group struct {
-	ref     Ref
-	phase   phase
-	first   int
-	perTask []api.Resources // of each task
-	tasks   []task
-	leaseBy time.Duration
-	// workerBy is when the worker's own leases have ended for certain.
-	workerBy   time.Duration
-	nextReport time.Duration
-
-	cause       cause
+	ref           Ref
+	phase         phase
+	firstTask     int
+	taskResources []api.Resources // one element for each task
+	tasks         []task
+	leaseEnd      time.Duration
+	// workerLeaseEnd is the latest time at which the worker's own leases of
+	// the tasks expire.
+	workerLeaseEnd time.Duration
+	nextReport     time.Duration
+
+	cause       endCause
 	detail      string
 	workerFault bool
-	graceBy     time.Duration // a checkpoint has until then
+	graceEnd    time.Duration // end of the time for a checkpoint
 	nextStop    time.Duration
 }
 
-// task is one task of a running group.
+// task is one task of a group that has been started.
 type task struct {
 	id       string
 	state    external.TaskState
@@ -60,14 +61,14 @@
 
 func (g *group) resources() api.Resources {
 	var sum api.Resources
-	for _, r := range g.perTask {
+	for _, r := range g.taskResources {
 		sum = sum.Add(r)
 	}
 	return sum
 }
 
-// all reports whether every task is in the state.
-func (g *group) all(state external.TaskState) bool {
+// allTasksIn reports whether every task is in the given state.
+func (g *group) allTasksIn(state external.TaskState) bool {
 	for i := range g.tasks {
 		if g.tasks[i].state != state {
 			return false
@@ -76,7 +77,7 @@
 	return true
 }
 
-func (g *group) ended() bool {
+func (g *group) allTasksEnded() bool {
 	for i := range g.tasks {
 		if !g.tasks[i].ended() {
 			return false
@@ -85,8 +86,8 @@
 	return true
 }
 
-// runningIDs returns the IDs of the tasks that may run.
-func (g *group) runningIDs() []string {
+// runningTaskIDs returns the IDs of the tasks not known to have ended.
+func (g *group) runningTaskIDs() []string {
 	var ids []string
 	for i := range g.tasks {
 		if !g.tasks[i].ended() {
@@ -96,7 +97,7 @@
 	return ids
 }
 
-func (g *group) task(id string) *task {
+func (g *group) findTask(id string) *task {
 	for i := range g.tasks {
 		if g.tasks[i].id == id {
 			return &g.tasks[i]
@@ -105,40 +106,42 @@
 	return nil
 }
 
-// report returns the state of a group that is held or may run.
+// report returns the report on a group that holds capacity.
 func (g *group) report() Report {
-	r := Report{Ref: g.ref, State: Held, Tasks: len(g.perTask)}
+	r := Report{Ref: g.ref, State: Held, Tasks: len(g.taskResources)}
 	if g.phase == phaseHeld {
 		return r
 	}
 	r.State = Running
-	r.Progress, r.Usage = g.progress()
+	r.Progress, r.Usage = g.progressAndUsage()
 	if g.phase == phaseEnding {
 		r.Detail = "stopping: " + g.detail
 	}
 	return r
 }
 
-// finalReport returns the state of a group whose tasks have all ended.
+// finalReport returns the report on a group whose tasks have all ended.
 func (g *group) finalReport() Report {
 	r := Report{Ref: g.ref, State: Stopped, Tasks: len(g.tasks), Detail: g.detail}
-	r.Progress, r.Usage = g.progress()
+	r.Progress, r.Usage = g.progressAndUsage()
 	switch {
-	case g.all(external.TaskDone):
+	case g.allTasksIn(external.TaskDone):
 		r.State = Done
 		r.Detail = ""
-		r.Result = g.result()
-	case g.cause == causeFailed:
+		r.Result = g.resultJSON()
+	case g.cause == causeTaskFailed:
 		r.State = Failed
 		r.WorkerFault = g.workerFault
-	case g.all(external.TaskCheckpointed):
+	case g.allTasksIn(external.TaskCheckpointed):
 		r.State = Checkpointed
 		r.Checkpoint = checkpointName(g.ref)
 	}
 	return r
 }
 
-func (g *group) progress() (time.Duration, api.Resources) {
+// progressAndUsage returns the least progress of the tasks and the sum of their
+// usage.
+func (g *group) progressAndUsage() (time.Duration, api.Resources) {
 	var usage api.Resources
 	progress := g.tasks[0].progress
 	for i := range g.tasks {
@@ -148,9 +151,9 @@
 	return progress, usage
 }
 
-// result returns the tasks' outputs as a JSON array; an output that is not
-// JSON is given as a string.
-func (g *group) result() json.RawMessage {
+// resultJSON returns the tasks' outputs as a JSON array. An output that is not
+// valid JSON is encoded as a JSON string.
+func (g *group) resultJSON() json.RawMessage {
 	outputs := make([]json.RawMessage, len(g.tasks))
 	for i := range g.tasks {
 		out := g.tasks[i].output
--- a/internal/agent/groups/scenario_test.go
+++ b/internal/agent/groups/scenario_test.go
@@ -12,9 +12,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// TestScenarios runs the scripts of testdata. Each command but reports and
-// dump is one event; "at" is the time of the step, other times are its
-// arguments of the same names.
+// TestScenarios runs the scripts in testdata. Each command except new, reports
+// and dump is one event. "at" is the time of the step; other arguments are the
+// fields of the event.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var core *Core
@@ -45,9 +45,9 @@
 	permit := argDuration(t, d, "permit", 1200*time.Millisecond)
 	switch d.Cmd {
 	case "hold":
-		per := api.Resources{Accelerators: argInt(t, d, "accelerators", 1)}
+		perTask := api.Resources{Accelerators: argInt(t, d, "accelerators", 1)}
 		lease := argDuration(t, d, "lease", 3*time.Second)
-		return Hold{epoch, ref, argInt(t, d, "tasks", 1), per, stamp, permit, lease}
+		return Hold{epoch, ref, argInt(t, d, "tasks", 1), perTask, stamp, permit, lease}
 	case "start":
 		return Start{
 			Epoch: epoch, Ref: ref, Stamp: stamp, Permit: permit,
@@ -60,9 +60,9 @@
 	case "renew":
 		return Renew{epoch, stamp, argDuration(t, d, "lease", 10*time.Second), []Ref{ref}}
 	case "caretaker":
-		return Caretaker{stamp, argDuration(t, d, "lease", 10*time.Second)}
+		return StoreDown{stamp, argDuration(t, d, "lease", 10*time.Second)}
 	case "owner-seen":
-		return OwnerSeen{epoch}
+		return EpochObserved{epoch}
 	case "allow", "forbid":
 		return Permission{d.Cmd == "allow"}
 	case "task":
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// scenarioStatuses reads lines "ID STATE [progress in ms] [output]".
+// scenarioStatuses parses lines of the form "ID STATE [progress in ms] [output]".
 func scenarioStatuses(t *testing.T, d *datadriven.TestData) []external.TaskStatus {
 	var list []external.TaskStatus
 	for _, line := range strings.Split(d.Input, "\n") {
@@ -103,20 +103,20 @@
 	return list
 }
 
-func argInt(t *testing.T, d *datadriven.TestData, key string, absent int) int {
-	d.MaybeScanArgs(t, key, &absent)
-	return absent
+func argInt(t *testing.T, d *datadriven.TestData, key string, fallback int) int {
+	d.MaybeScanArgs(t, key, &fallback)
+	return fallback
 }
 
-func argString(t *testing.T, d *datadriven.TestData, key, absent string) string {
-	d.MaybeScanArgs(t, key, &absent)
-	return absent
+func argString(t *testing.T, d *datadriven.TestData, key, fallback string) string {
+	d.MaybeScanArgs(t, key, &fallback)
+	return fallback
 }
 
-func argDuration(t *testing.T, d *datadriven.TestData, key string, absent time.Duration) time.Duration {
+func argDuration(t *testing.T, d *datadriven.TestData, key string, fallback time.Duration) time.Duration {
 	text := argString(t, d, key, "")
 	if text == "" {
-		return absent
+		return fallback
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
@@ -140,7 +140,7 @@
 		case CheckpointTask:
 			fmt.Fprintf(&out, "checkpoint %s\n", a.ID)
 		case RenewTasks:
-			fmt.Fprintf(&out, "renew %s lease=%s by=%s\n", strings.Join(a.IDs, " "), a.Lease, a.By)
+			fmt.Fprintf(&out, "renew %s lease=%s by=%s\n", strings.Join(a.IDs, " "), a.Lease, a.LeaseEnd)
 		case Report:
 			out.WriteString(formatReports([]Report{a}))
 		}
--- a/internal/agent/groups/taskname.go
+++ b/internal/agent/groups/taskname.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// TaskName names one task of a group of Tasks tasks that are numbered from
-// First on. It carries the group's size so that a group of which some tasks
-// were never started can be told from a whole one.
+// TaskName identifies one task of a group with Tasks tasks, whose indexes start
+// at First. It includes the size of the group so that a partly started group can
+// be told from a complete one.
 type TaskName struct {
 	Ref   Ref
 	First int
@@ -21,20 +21,21 @@
 	return fmt.Sprintf("%s/%d/%d+%d/%d", n.Ref.JobID, n.Ref.Attempt, n.First, n.Tasks, n.Index)
 }
 
-// ParseTask is the inverse of TaskName.String.
-func ParseTask(id string) (TaskName, bool) {
-	rest, index, ok1 := cutLast(id)
-	rest, size, ok2 := cutLast(rest)
-	job, attempt, ok3 := cutLast(rest)
-	first, tasks, ok4 := strings.Cut(size, "+")
-	if !ok1 || !ok2 || !ok3 || !ok4 || job == "" {
+// ParseTaskName is the inverse of TaskName.String. It reports false for an ID
+// that String cannot return.
+func ParseTaskName(id string) (TaskName, bool) {
+	rest, index, okIndex := cutLast(id)
+	rest, taskRange, okRange := cutLast(rest)
+	job, attempt, okAttempt := cutLast(rest)
+	first, tasks, okTasks := strings.Cut(taskRange, "+")
+	if !okIndex || !okRange || !okAttempt || !okTasks || job == "" {
 		return TaskName{}, false
 	}
-	number, err := strconv.ParseUint(attempt, 10, 32)
+	attemptNumber, err := strconv.ParseUint(attempt, 10, 32)
 	if err != nil {
 		return TaskName{}, false
 	}
-	n := TaskName{Ref: Ref{JobID: job, Attempt: uint32(number)}}
+	n := TaskName{Ref: Ref{JobID: job, Attempt: uint32(attemptNumber)}}
 	for _, field := range []struct {
 		text  string
 		value *int
@@ -51,6 +52,7 @@
 		n.Index >= n.First && n.Index < n.First+n.Tasks
 }
 
+// cutLast splits s at its last slash.
 func cutLast(s string) (before, after string, ok bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 {
@@ -59,12 +61,14 @@
 	return s[:i], s[i+1:], true
 }
 
-// checkpointName names the checkpoints of all tasks of an attempt.
+// checkpointName returns the name shared by the checkpoints of all tasks of an
+// attempt.
 func checkpointName(r Ref) string {
 	return fmt.Sprintf("checkpoints/%s/%d", r.JobID, r.Attempt)
 }
 
-// checkpointKey is the object store key of one task's checkpoint.
+// checkpointKey returns the object store key of one task's checkpoint, or "" if
+// there is no checkpoint name.
 func checkpointKey(name string, index int) string {
 	if name == "" {
 		return ""
--- a/internal/confstate/edit.go
+++ b/internal/confstate/edit.go
@@ -6,13 +6,14 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// edit changes one item of a configuration. It gets a copy whose Version is
-// already the new one, and returns ErrLostRace if the item is not as expected.
+// edit changes one item of a configuration. It gets a copy that already has the new
+// Version, and returns ErrVersionConflict if the item's version is not the expected
+// one.
 type edit func(c *api.Config) error
 
-// editedFrom returns the configuration that an edit makes of base. The new
-// version is above both base and floor.
-func editedFrom(base *api.Config, floor uint64, e edit) (*api.Config, error) {
+// applyEdit returns the configuration that results from an edit of base. Its version
+// is higher than that of base and higher than floor.
+func applyEdit(base *api.Config, floor uint64, e edit) (*api.Config, error) {
 	next := base.Clone()
 	next.Version = max(base.Version, floor) + 1
 	if err := e(next); err != nil {
@@ -60,5 +61,5 @@
 	if expect == AnyVersion || have == expect {
 		return nil
 	}
-	return errors.Annotatef(ErrLostRace, "%s %q is at version %d, expected %d", kind, name, have, expect)
+	return errors.Annotatef(ErrVersionConflict, "%s %q is at version %d, expected %d", kind, name, have, expect)
 }
--- a/internal/entry/requests/retention.go
+++ b/internal/entry/requests/retention.go
@@ -10,19 +10,20 @@
 	"github.com/juju/errors"
 )
 
-// claimKeep is how long an idempotency key of a request is remembered.
-const claimKeep = 24 * time.Hour
+// claimRetention is how long the idempotency key of a request is remembered.
+const claimRetention = 24 * time.Hour
 
-// Retention removes claims, with their recorded answers, after claimKeep.
+// Retention returns the rule that removes claims and their recorded answers after
+// claimRetention.
 func Retention(objects external.Objects) retention.Rule {
 	return retention.Rule{
 		Name:   "claims",
 		Prefix: claimPrefix,
 		Expired: func(data json.RawMessage, now time.Time) bool {
 			var row claimRow
-			return json.Unmarshal(data, &row) == nil && now.Sub(row.Created) > claimKeep
+			return json.Unmarshal(data, &row) == nil && now.Sub(row.Created) > claimRetention
 		},
-		Before: func(ctx context.Context, data json.RawMessage) error {
+		BeforeDelete: func(ctx context.Context, data json.RawMessage) error {
 			var row claimRow
 			if json.Unmarshal(data, &row) != nil || row.Object == "" {
 				return nil
--- a/internal/ledger/group_machine_test.go
+++ b/internal/ledger/group_machine_test.go
@@ -12,16 +12,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// groupMachine steps the groups of several clients against one table. Answers
-// are lost and transactions arrive late, in any order. The oracle is the
-// table's own history: which part wrote which key, and over which version.
+// groupMachine advances the groups of several clients on one table. Answers are lost
+// and transactions take effect late, in any order. Outcomes are checked against the
+// table's own record: which request wrote which key, and over which version.
 type groupMachine struct {
-	table  *fakeTable
-	groups []*group
-	all    []*part
-	ids    map[*part]string
-	// wrote holds, for each part and key, the versions that were replaced.
-	wrote map[string][]uint64
+	table    *fakeTable
+	groups   []*group
+	requests []*commitRequest
+	ids      map[*commitRequest]string
+	// replacedVersions holds the replaced versions by request ID and key.
+	replacedVersions map[string][]uint64
 }
 
 func (m *groupMachine) apply(txn external.Txn) external.TxnResult {
@@ -35,37 +35,38 @@
 	}
 	for _, p := range txn.Puts {
 		id := writerOf(p)
-		m.wrote[id+" "+p.Key] = append(m.wrote[id+" "+p.Key], replaced[p.Key])
+		m.replacedVersions[id+" "+p.Key] = append(m.replacedVersions[id+" "+p.Key], replaced[p.Key])
 	}
 	return res
 }
 
-// writerOf names the part that wrote a row: by its data, or by its token when
-// it is a tombstone.
+// writerOf returns the ID of the request that wrote a row: its data, or its token if
+// the row is a tombstone.
 func writerOf(r external.Row) string {
 	var e envelope
 	if err := json.Unmarshal(r.Value, &e); err != nil {
 		panic(err)
 	}
 	if e.Deleted {
-		return e.Stamps[len(e.Stamps)-1].Token
+		return e.History[len(e.History)-1].Token
 	}
 	return string(e.Data)
 }
 
 func (m *groupMachine) visible(key string) Row {
-	s, err := open(m.table.get([]string{key})[0])
+	s, err := decodeRow(m.table.get([]string{key})[0])
 	if err != nil {
 		panic(err)
 	}
-	return s.row()
+	return s.visibleRow()
 }
 
-// newPart draws a commit of one to three rows under versions that are mostly
-// the present ones. It knows the rows' tokens, as after a read.
-func (m *groupMachine) newPart(t *rapid.T, used map[string]bool) *part {
+// newCommitRequest draws a commit of up to three rows at their current versions, or
+// nil if all drawn rows are in use. The request has the rows' histories, as after a
+// read.
+func (m *groupMachine) newCommitRequest(t *rapid.T, used map[string]bool) *commitRequest {
 	var writes []Write
-	var stamps [][]stamp
+	var stamps [][]writeRecord
 	var conds []uint64
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 4), 1, 3, rapid.ID).Draw(t, "rows") {
 		key := fmt.Sprintf("k%d", i)
@@ -73,51 +74,51 @@
 			continue
 		}
 		used[key] = true
-		s, err := open(m.table.get([]string{key})[0])
+		s, err := decodeRow(m.table.get([]string{key})[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := Write{Key: key, Version: s.row().Version, Data: json.RawMessage(strconv.Itoa(len(m.all)))}
+		w := Write{Key: key, Version: s.visibleRow().Version, Data: json.RawMessage(strconv.Itoa(len(m.requests)))}
 		w.Delete = w.Version > 0 && rapid.IntRange(0, 4).Draw(t, "delete") == 0
 		if len(writes) > 0 && rapid.IntRange(0, 3).Draw(t, "check") == 0 {
 			w = Write{Key: key, Version: s.version, Check: true}
 		}
-		writes, stamps, conds = append(writes, w), append(stamps, s.Stamps), append(conds, s.version)
+		writes, stamps, conds = append(writes, w), append(stamps, s.History), append(conds, s.version)
 	}
 	if len(writes) == 0 {
 		return nil
 	}
-	p := newPart(strconv.Itoa(len(m.all)), writes)
-	m.ids[p] = p.token
-	p.stamps, p.conds = stamps, conds
-	m.all = append(m.all, p)
-	return p
+	req := newCommitRequest(strconv.Itoa(len(m.requests)), writes)
+	m.ids[req] = req.token
+	req.histories, req.conds = stamps, conds
+	m.requests = append(m.requests, req)
+	return req
 }
 
-func (m *groupMachine) open(t *rapid.T) {
-	var parts []*part
+func (m *groupMachine) openGroup(t *rapid.T) {
+	var requests []*commitRequest
 	used := map[string]bool{}
 	for range rapid.IntRange(1, 4).Draw(t, "parts") {
-		if p := m.newPart(t, used); p != nil {
-			parts = append(parts, p)
+		if p := m.newCommitRequest(t, used); p != nil {
+			requests = append(requests, p)
 		}
 	}
-	if len(parts) > 0 {
-		m.groups = append(m.groups, newGroup(parts))
+	if len(requests) > 0 {
+		m.groups = append(m.groups, newGroup(requests))
 	}
 }
 
-func (m *groupMachine) pick(t *rapid.T) *group {
+func (m *groupMachine) pickGroup(t *rapid.T) *group {
 	if len(m.groups) == 0 {
 		t.Skip("no group")
 	}
 	return m.groups[rapid.IntRange(0, len(m.groups)-1).Draw(t, "group")]
 }
 
-// advance lets a group take its next step, with one of the faults.
+// advance carries out the next step of a group, possibly with a fault.
 func (m *groupMachine) advance(t *rapid.T) {
-	g := m.pick(t)
-	switch g.step() {
+	g := m.pickGroup(t)
+	switch g.nextStep() {
 	case stepSend:
 		m.send(t, g)
 	case stepRead:
@@ -136,37 +137,37 @@
 		m.answer(t, g, m.apply(txn))
 	case faultLost:
 		m.apply(txn)
-		g.lost()
+		g.recordLostAnswer()
 	case faultLate:
 		m.table.late = append(m.table.late, txn)
-		g.lost()
+		g.recordLostAnswer()
 	case faultDown:
-		g.lost()
+		g.recordLostAnswer()
 	}
 }
 
 func (m *groupMachine) answer(t *rapid.T, g *group, res external.TxnResult) {
 	if res.Committed {
-		g.committed(res.Rows)
+		g.recordCommitted(res.Rows)
 		return
 	}
-	m.bring(t, g, res.Rows)
+	m.reconcile(t, g, res.Rows)
 }
 
 func (m *groupMachine) readBack(t *rapid.T, g *group) {
-	m.bring(t, g, m.table.get(g.keys()))
+	m.reconcile(t, g, m.table.get(g.keys()))
 }
 
-func (m *groupMachine) bring(t *rapid.T, g *group, rows []external.Row) {
-	found, err := openAll(rows)
+func (m *groupMachine) reconcile(t *rapid.T, g *group, rows []external.Row) {
+	found, err := decodeRows(rows)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.current(found)
+	g.reconcile(found)
 }
 
-// arrive applies one late transaction.
-func (m *groupMachine) arrive(t *rapid.T) {
+// applyLate applies one of the late transactions.
+func (m *groupMachine) applyLate(t *rapid.T) {
 	if len(m.table.late) == 0 {
 		t.Skip("nothing is late")
 	}
@@ -176,15 +177,15 @@
 	m.apply(txn)
 }
 
-// overwrite lets another client write one row several times.
+// overwrite writes one row several times as another client.
 func (m *groupMachine) overwrite(t *rapid.T) {
 	key := fmt.Sprintf("k%d", rapid.IntRange(0, 4).Draw(t, "row"))
-	for range rapid.IntRange(1, maxTokens+1).Draw(t, "times") {
-		s, err := open(m.table.get([]string{key})[0])
+	for range rapid.IntRange(1, maxHistory+1).Draw(t, "times") {
+		s, err := decodeRow(m.table.get([]string{key})[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := envelope{Stamps: appendStamp(s.Stamps, stamp{"other", s.version}), Data: json.RawMessage(`"other"`)}
+		e := envelope{History: appendRecord(s.History, writeRecord{"other", s.version}), Data: json.RawMessage(`"other"`)}
 		value, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
@@ -193,20 +194,20 @@
 	}
 }
 
-// check compares each outcome with what took effect.
+// check compares the outcome of each request with what took effect in the table.
 func (m *groupMachine) check(t *rapid.T) {
-	for _, p := range m.all {
+	for _, p := range m.requests {
 		for _, w := range p.writes {
 			m.checkWrite(t, p, w)
 		}
 	}
 }
 
-func (m *groupMachine) checkWrite(t *rapid.T, p *part, w Write) {
+func (m *groupMachine) checkWrite(t *rapid.T, p *commitRequest, w Write) {
 	if w.Check {
 		return
 	}
-	replaced := m.wrote[m.ids[p]+" "+w.Key]
+	replaced := m.replacedVersions[m.ids[p]+" "+w.Key]
 	n := len(replaced)
 	switch {
 	case n > 1:
@@ -220,12 +221,11 @@
 	}
 }
 
-// finish lets all groups end without faults and then all late transactions
-// arrive.
+// finish ends all groups without faults and then applies all late transactions.
 func (m *groupMachine) finish(t *rapid.T) {
 	for _, g := range m.groups {
-		for g.step() != stepDone {
-			if g.step() == stepRead {
+		for g.nextStep() != stepDone {
+			if g.nextStep() == stepRead {
 				m.readBack(t, g)
 				continue
 			}
@@ -239,17 +239,17 @@
 	m.check(t)
 }
 
-// TestGroupMachine shows that every acknowledged write takes effect exactly
-// once and every refused one never, whichever answers are lost or late.
+// TestGroupMachine checks that each acknowledged write takes effect exactly once and
+// each rejected write never, whichever answers are lost or transactions are late.
 func TestGroupMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &groupMachine{table: newFakeTable(), ids: map[*part]string{}, wrote: map[string][]uint64{}}
+		m := &groupMachine{table: newFakeTable(), ids: map[*commitRequest]string{}, replacedVersions: map[string][]uint64{}}
 		m.table.oneCounter = rapid.Bool().Draw(t, "one counter")
 		t.Repeat(map[string]func(*rapid.T){
-			"open":      m.open,
+			"open":      m.openGroup,
 			"advance":   m.advance,
 			"advance2":  m.advance,
-			"arrive":    m.arrive,
+			"arrive":    m.applyLate,
 			"overwrite": m.overwrite,
 			"":          m.check,
 		})
--- a/internal/ledger/health_test.go
+++ b/internal/ledger/health_test.go
@@ -8,8 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// TestOutageIsObservedWithoutGaps shows that only failures seen all the time
-// since the last answer count as an outage.
+// TestOutageIsObservedWithoutGaps checks that an outage is reported only if calls
+// have failed continuously since the last answer, and not after a pause.
 func TestOutageIsObservedWithoutGaps(t *testing.T) {
 	sim := &simTime{}
 	table := newFakeTable()
@@ -37,7 +37,7 @@
 	table.down = true
 	fail(3 * time.Second)
 	expect("after failures", 3*time.Second)
-	sim.now += 2 * watchGap
+	sim.now += 2 * maxObservationGap
 	expect("right after a pause", 0)
 	fail(3 * time.Second)
 	expect("after failures with a pause between", 0)
@@ -49,26 +49,27 @@
 	expect("after another answer", 2*time.Second)
 }
 
-// slowTable answers no call, each after the process was paused.
-type slowTable struct {
+// pausingTable answers no call and advances the clock by a minute during each call,
+// as if the process had been paused.
+type pausingTable struct {
 	external.Table
 	sim *simTime
 }
 
-func (s slowTable) Get(context.Context, ...string) ([]external.Row, error) {
+func (s pausingTable) Get(context.Context, ...string) ([]external.Row, error) {
 	s.sim.now += time.Minute
 	return nil, external.ErrUnavailable
 }
 
-// TestPausedCallsTellNothing shows that calls which fail because the process was
-// paused open no breaker.
+// TestPausedCallsTellNothing checks that calls that fail because the process was
+// paused do not open the breaker.
 func TestPausedCallsTellNothing(t *testing.T) {
 	sim := &simTime{}
-	c := New(slowTable{sim: sim}, Config{Budgets: map[Cause]Budget{}, Clock: sim.clock, Sleep: sim.sleep})
+	c := New(pausingTable{sim: sim}, Config{Budgets: map[Cause]Budget{}, Clock: sim.clock, Sleep: sim.sleep})
 	for range 2 * breakerThreshold {
 		_, _ = c.Get(context.Background(), CauseConfig, "a")
 	}
-	if c.Down() {
+	if c.BreakerOpen() {
 		t.Error("breaker is open")
 	}
 }
