--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -16,7 +16,8 @@
 	quarantineThreshold = 3
 	// maxJobFailures limits the failures of a job on all workers.
 	maxJobFailures = 8
-	// A quarantine lasts quarantineMin and doubles each time, up to quarantineMax.
+	// A quarantine lasts quarantineMin, doubled for each consecutive one, up to
+	// quarantineMax.
 	quarantineMin = time.Minute
 	quarantineMax = time.Hour
 	// probationTimeout ends a probation during which no work arrived.
