--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,9 +8,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// try begins an attempt of a queued job if it has a place. After a failure the
-// job's class waits for a change.
-func (c *Core) try(j *job) bool {
+// tryStart begins an attempt of a queued job if it can be placed. After a failure
+// the job's class waits for a change.
+func (c *Core) tryStart(j *job) bool {
 	p, ok := c.config.Profiles[j.rec.Job.Profile]
 	if !ok {
 		return false
@@ -18,53 +18,56 @@
 	if !withinQuota(j, p) {
 		return false
 	}
-	if c.tryGuaranteed(j) || c.tryWaiting(j) || c.tryFree(j) {
+	if c.tryGuaranteed(j) || c.tryReserved(j) || c.tryFree(j) {
 		return true
 	}
 	if p.Urgent {
-		return c.tryEvict(j, victimRule{}, urgentGrace)
+		return c.tryPreempt(j, victimRule{}, urgentGrace)
 	}
-	return c.tryLarge(j)
+	return c.tryPreemptForLarge(j)
 }
 
 func withinQuota(j *job, p api.Profile) bool {
 	if p.QuotaAccelerators == 0 {
 		return true
 	}
-	return j.account.used.Accelerators+j.total().Accelerators <= p.QuotaAccelerators
+	return j.account.used.Accelerators+j.totalResources().Accelerators <= p.QuotaAccelerators
 }
 
-// tryFree uses free capacity: any for preemptible work, that outside of
-// reservations for other work.
+// tryFree places a job on free capacity. Preemptible work may use all of it, other
+// work only what is outside of reservations.
 func (c *Core) tryFree(j *job) bool {
-	lent := c.lent(j)
-	q := c.request(j, fleet.Unreserved)
-	if lent {
-		q.View = fleet.Free
+	borrowing := c.mayBorrow(j)
+	req := c.placementRequest(j, fleet.Unreserved)
+	if borrowing {
+		req.View = fleet.Free
 	}
-	if j.class.failed {
-		q.GainedSince = j.class.since
+	if j.class.noPlacement {
+		req.GainedSince = j.class.fleetGeneration
 	}
-	parts := placement.Find(c.fleet, q)
-	if parts == nil {
-		j.class.since = c.fleet.Generation()
+	assignments := placement.Find(c.fleet, req)
+	if assignments == nil {
+		j.class.fleetGeneration = c.fleet.Generation()
 		return false
 	}
-	c.begin(j, parts, !lent)
+	c.beginAttempt(j, assignments, !borrowing)
 	return true
 }
 
-func (c *Core) request(j *job, v fleet.CapacityView) placement.Request {
-	return placement.Request{Gang: j.gang(), View: v, Exclude: c.avoids(j)}
+func (c *Core) placementRequest(j *job, v fleet.CapacityView) placement.Request {
+	return placement.Request{Gang: j.gang(), View: v, Exclude: c.excludedWorkers(j)}
 }
 
-// avoids returns the workers that a job must not use: those on which it has
-// failed and, unless it may run twice, those that need a probe.
-func (c *Core) avoids(j *job) func(*fleet.Worker) bool {
-	probe := excludesProbes(j)
-	return func(w *fleet.Worker) bool { return w.Paused || probe(w) || slices.Contains(j.avoid, w.Name) }
+// excludedWorkers returns a filter for the workers that a job must not use:
+// paused ones, those on which it has failed and, if it is not restartable, those
+// on probation.
+func (c *Core) excludedWorkers(j *job) func(*fleet.Worker) bool {
+	onProbation := excludesProbation(j)
+	return func(w *fleet.Worker) bool {
+		return w.Paused || onProbation(w) || slices.Contains(j.avoidedWorkers, w.Name)
+	}
 }
 
-func excludesProbes(j *job) func(*fleet.Worker) bool {
-	return func(w *fleet.Worker) bool { return w.Probation && !j.movable() }
+func excludesProbation(j *job) func(*fleet.Worker) bool {
+	return func(w *fleet.Worker) bool { return w.Probation && !j.restartable() }
 }
--- a/internal/sched/timers.go
+++ b/internal/sched/timers.go
@@ -11,7 +11,7 @@
 	run func()
 }
 
-// timerQueue runs functions at their times; ties run in order of creation.
+// timerQueue runs functions when they are due; ties run in order of creation.
 type timerQueue struct {
 	items []timer
 	seq   uint64
@@ -40,7 +40,7 @@
 	heap.Push(q, timer{at, q.seq, run})
 }
 
-func (q *timerQueue) run(now time.Duration) {
+func (q *timerQueue) runDue(now time.Duration) {
 	for len(q.items) > 0 && q.items[0].at <= now {
 		heap.Pop(q).(timer).run()
 	}
