--- a/internal/sched/renew.go
+++ b/internal/sched/renew.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// renewBuckets spreads the renewals of all workers over RenewInterval.
+// renewBuckets is the number of ticks over which the renewals of all workers are
+// spread.
 const renewBuckets = int64(RenewInterval / TickInterval)
 
-// startResend is how long a start may stay without a report.
-const startResend = time.Second
+// startResendInterval is how long a start may remain without a report before it is
+// sent again.
+const startResendInterval = time.Second
 
-func (c *Core) renewDue() {
-	last := c.renewed
-	c.renewed = int64(c.now / TickInterval)
-	if !c.authority.Owner {
+func (c *Core) renewDueLeases() {
+	last := c.lastRenewTick
+	c.lastRenewTick = int64(c.now / TickInterval)
+	if !c.ownerStatus.Owner {
 		return
 	}
-	from := max(last+1, c.renewed-renewBuckets+1)
-	for tick := from; tick <= c.renewed; tick++ {
-		for i := int(tick % renewBuckets); i < len(c.ordered); i += int(renewBuckets) {
-			c.renewWorker(c.ordered[i])
+	from := max(last+1, c.lastRenewTick-renewBuckets+1)
+	for tick := from; tick <= c.lastRenewTick; tick++ {
+		for i := int(tick % renewBuckets); i < len(c.workerList); i += int(renewBuckets) {
+			c.renewWorker(c.workerList[i])
 		}
 	}
 }
@@ -32,7 +34,7 @@
 			continue
 		}
 		g.leaseUntil = c.now + GroupLease + c.cfg.LeaseMargin
-		c.startAgain(g)
+		c.resendStart(g)
 		refs = append(refs, GroupRef{g.job.id(), g.attempt})
 	}
 	if len(refs) > 0 {
@@ -40,28 +42,28 @@
 	}
 }
 
-// startAgain repeats a start that has not been confirmed.
-func (c *Core) startAgain(g *group) {
+// resendStart repeats a start that has not been confirmed.
+func (c *Core) resendStart(g *group) {
 	j := g.job
-	if g.state != groupStarting || c.now < j.startedAt+startResend {
+	if g.state != groupStarting || c.now < j.startedAt+startResendInterval {
 		return
 	}
 	if g.worker.ZoneOut {
-		c.broken(g, ReasonZoneOut)
+		c.groupLost(g, ReasonZoneOut)
 		return
 	}
 	c.startGroup(g)
 }
 
-// renewable reports whether a group's lease may be extended: those of a gang
-// are for all members or for none.
+// renewable reports whether a group's lease may be extended. The leases of a gang
+// are extended for all groups or for none.
 func renewable(g *group) bool {
-	if g.ending || g.detached {
+	if g.stopping || g.detached {
 		return false
 	}
 	j := g.job
 	if j.phase == phaseSaving {
-		return j.lost == 0 && !j.aborted
+		return j.unlinkedGroups == 0 && !j.abortedWhileSaving
 	}
-	return j.phase == phaseRunning && (j.lost == 0 || j.adopting)
+	return j.phase == phaseRunning && (j.unlinkedGroups == 0 || j.adopting)
 }
--- a/internal/sched/waiting.go
+++ b/internal/sched/waiting.go
@@ -12,148 +12,151 @@
 
 const (
 	reviewInterval = time.Second
-	// reserveAfter is how long a gang waits before capacity is reserved for it.
-	reserveAfter = 30 * time.Second
-	// maxWaitingReservations bounds the gangs with a reservation at a time.
+	// reservationDelay is how long a gang waits before capacity is reserved for it.
+	reservationDelay = 30 * time.Second
+	// maxWaitingReservations limits the waiting gangs that hold a reservation.
 	maxWaitingReservations = 8
-	// minRunBeforeEviction protects preemptible work from preemptible gangs.
-	minRunBeforeEviction = 10 * time.Minute
-	// lentReview is the time between two attempts to evict for a preemptible gang.
-	lentReview = 30 * time.Second
-	// unplaceableTime is how long a job waits for workers that the fleet lacks.
-	unplaceableTime = 6 * time.Hour
-	// restartCost is the time that a moved gang loses besides its checkpoint.
+	// minRunBeforePreemption is how long preemptible work runs before a preemptible
+	// gang may preempt it.
+	minRunBeforePreemption = 10 * time.Minute
+	// preemptionRetryInterval is the time between two attempts to preempt for a
+	// waiting preemptible gang.
+	preemptionRetryInterval = 30 * time.Second
+	// unplaceableTimeout is how long a job waits for workers that the fleet lacks.
+	unplaceableTimeout = 6 * time.Hour
+	// restartCost is the time that a migrated gang loses in addition to its
+	// checkpoint.
 	restartCost = 30 * time.Second
-	// defaultRun is expected of a job that declares no run time.
+	// defaultRun is the expected run time of a job that declares none.
 	defaultRun = time.Hour
 )
 
-// review looks at the jobs that wait, once per reviewInterval.
-func (c *Core) review() {
-	if !c.mayStart() || c.now < c.reviewed+reviewInterval {
+// reviewQueue reviews the waiting jobs, once per reviewInterval.
+func (c *Core) reviewQueue() {
+	if !c.mayStart() || c.now < c.lastReview+reviewInterval {
 		return
 	}
-	c.reviewed = c.now
+	c.lastReview = c.now
 	c.forgetWorkers()
-	for _, cl := range slices.Clone(c.queue.ordered) {
-		if j := cl.head(); cl.failed && j != nil {
-			c.reviewWaiting(j)
+	for _, cl := range slices.Clone(c.queue.classList) {
+		if j := cl.head(); cl.noPlacement && j != nil {
+			c.reviewWaitingJob(j)
 		}
 	}
-	for _, r := range slices.Clone(c.waiting) {
-		c.migrateFor(r)
+	for _, r := range slices.Clone(c.waitingReservations) {
+		c.migrateForReservation(r)
 	}
 }
 
-func (c *Core) reviewWaiting(j *job) {
+func (c *Core) reviewWaitingJob(j *job) {
 	p, ok := c.config.Profiles[j.rec.Job.Profile]
 	if !ok {
-		c.missingProfile(j)
+		c.handleMissingProfile(j)
 		return
 	}
-	if c.now-j.queuedAt >= unplaceableTime && c.refuseUnplaceable(j) {
+	if c.now-j.queuedAt >= unplaceableTimeout && c.rejectUnplaceable(j) {
 		return
 	}
-	c.forgiveWorkers(j)
-	if c.missingSlot(j) != nil {
-		// Other guarantees may be moved for it by now.
-		j.class.failed = false
+	c.allowAvoidedWorkers(j)
+	if c.unplacedGuarantee(j) != nil {
+		// Other guarantees may be movable by now.
+		j.class.noPlacement = false
 	}
-	if j.waiting != nil && !j.waiting.whole() {
-		c.dropWaiting(j)
+	if j.waitingReservation != nil && !j.waitingReservation.inService() {
+		c.dropWaitingReservation(j)
 	}
-	if c.now-j.queuedAt < reserveAfter || !withinQuota(j, p) || !c.large(j) {
+	if c.now-j.queuedAt < reservationDelay || !withinQuota(j, p) || !c.isLarge(j) {
 		return
 	}
-	if c.lent(j) {
-		c.reviewLent(j)
-	} else if j.waiting == nil {
+	if c.mayBorrow(j) {
+		c.retryPreemption(j)
+	} else if j.waitingReservation == nil {
 		c.reserve(j)
 	}
 }
 
-// refuseUnplaceable answers a job that the fleet as it has become can not hold.
-func (c *Core) refuseUnplaceable(j *job) bool {
-	why, never := c.neverFits(j)
+// rejectUnplaceable finishes a job that the current fleet could never hold.
+func (c *Core) rejectUnplaceable(j *job) bool {
+	reason, never := c.neverFits(j)
 	if never {
-		c.refuseQueued(j, ReasonNeverFits, why)
+		c.rejectQueued(j, ReasonNeverFits, reason)
 	}
 	return never
 }
 
-// large reports whether a gang needs more than half of the largest worker, so
-// that smaller work could keep it waiting for ever.
-func (c *Core) large(j *job) bool {
-	need, largest := j.total(), c.fleet.LargestCapacity()
+// isLarge reports whether a gang needs more than half of the largest worker, so
+// that smaller work could keep it waiting forever.
+func (c *Core) isLarge(j *job) bool {
+	need, largest := j.totalResources(), c.fleet.LargestCapacity()
 	if need.Accelerators > 0 {
 		return need.Accelerators*2 > largest.Accelerators
 	}
 	return need.MilliCPU*2 > largest.MilliCPU
 }
 
-// reviewLent tries a preemptible gang again: work that may make room for it
-// may have run for long enough by now.
-func (c *Core) reviewLent(j *job) {
-	if c.now < j.reviewedAt+lentReview {
+// retryPreemption lets a waiting preemptible gang try to preempt again: work that
+// blocks it may have run long enough by now.
+func (c *Core) retryPreemption(j *job) {
+	if c.now < j.lastReview+preemptionRetryInterval {
 		return
 	}
-	j.reviewedAt = c.now
-	j.mayEvict = true
-	j.class.failed = false
+	j.lastReview = c.now
+	j.mayPreempt = true
+	j.class.noPlacement = false
 }
 
-// tryLarge starts a large preemptible gang that has waited in the place of
-// smaller preemptible work. Gangs of like size do not evict each other.
-func (c *Core) tryLarge(j *job) bool {
-	if !j.mayEvict || !c.lent(j) {
+// tryPreemptForLarge lets a large preemptible gang that has waited preempt smaller
+// preemptible work. Gangs of similar size do not preempt each other.
+func (c *Core) tryPreemptForLarge(j *job) bool {
+	if !j.mayPreempt || !c.mayBorrow(j) {
 		return false
 	}
-	j.mayEvict = false
-	rule := victimRule{minRun: minRunBeforeEviction, below: (j.total().Accelerators + 1) / 2}
-	return c.tryEvict(j, rule, CheckpointGrace)
+	j.mayPreempt = false
+	rule := victimRule{minRunTime: minRunBeforePreemption, acceleratorLimit: (j.totalResources().Accelerators + 1) / 2}
+	return c.tryPreempt(j, rule, CheckpointGrace)
 }
 
-// reserve sets the place aside that is expected to be free first. Preemptible
-// work may go on using it.
+// reserve reserves the placement that is expected to become free first.
+// Preemptible work may keep using it.
 func (c *Core) reserve(j *job) {
-	if len(c.waiting) >= maxWaitingReservations {
+	if len(c.waitingReservations) >= maxWaitingReservations {
 		return
 	}
-	parts := c.soonestPlace(j)
-	if parts == nil {
-		parts = c.compact(j)
+	assignments := c.soonestPlacement(j)
+	if assignments == nil {
+		assignments = c.compact(j)
 	}
-	if parts == nil {
+	if assignments == nil {
 		return
 	}
 	r := &reservation{job: j, gang: j.gang()}
-	c.place(r, parts)
-	j.waiting = r
-	c.waiting = append(c.waiting, r)
-	c.notice(j, parts[0].Worker.Name, ReasonReserved, "")
+	c.placeReservation(r, assignments)
+	j.waitingReservation = r
+	c.waitingReservations = append(c.waitingReservations, r)
+	c.emitNotice(j, assignments[0].Worker.Name, ReasonReserved, "")
 }
 
-// freeingWorker is a worker with the time until its work outside of
-// reservations that must not be preempted is expected to end.
+// freeingWorker is a worker with the time until its non-preemptible work outside
+// of reservations is expected to end.
 type freeingWorker struct {
-	room placement.Candidate
-	wait time.Duration
+	candidate  placement.Candidate
+	timeToFree time.Duration
 }
 
-func (c *Core) soonestPlace(j *job) []placement.Assignment {
+func (c *Core) soonestPlacement(j *job) []placement.Assignment {
 	var best []placement.Assignment
 	var bestWait time.Duration
-	for _, domain := range c.domains(j.gang().Adjacency) {
-		parts, wait := c.soonestIn(j, domain)
-		if parts != nil && (best == nil || wait < bestWait) {
-			best, bestWait = parts, wait
+	for _, domain := range c.adjacencyDomains(j.gang().Adjacency) {
+		assignments, wait := c.soonestInDomain(j, domain)
+		if assignments != nil && (best == nil || wait < bestWait) {
+			best, bestWait = assignments, wait
 		}
 	}
 	return best
 }
 
-// domains returns the sets of workers that are adjacent enough.
-func (c *Core) domains(adjacency api.Adjacency) [][]*fleet.Worker {
+// adjacencyDomains returns the sets of workers that satisfy an adjacency.
+func (c *Core) adjacencyDomains(adjacency api.Adjacency) [][]*fleet.Worker {
 	var out [][]*fleet.Worker
 	for _, z := range c.fleet.Zones() {
 		var zone []*fleet.Worker
@@ -170,147 +173,148 @@
 	return out
 }
 
-func (c *Core) soonestIn(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
-	avoid := c.avoids(j)
-	var all []freeingWorker
+func (c *Core) soonestInDomain(j *job, domain []*fleet.Worker) ([]placement.Assignment, time.Duration) {
+	exclude := c.excludedWorkers(j)
+	var freeing []freeingWorker
 	for _, w := range domain {
-		if !w.Schedulable() || avoid(w) {
+		if !w.Schedulable() || exclude(w) {
 			continue
 		}
 		avail := w.Capacity.Sub(w.Reserved)
 		if placement.TasksThatFit(avail, j.perTask) > 0 {
-			all = append(all, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.firmWait(c.workers[w.Name])})
+			freeing = append(freeing, freeingWorker{placement.Candidate{Worker: w, Available: avail}, c.nonPreemptibleWait(c.workers[w.Name])})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b freeingWorker) int { return cmp.Compare(a.wait, b.wait) })
-	var rooms []placement.Candidate
+	slices.SortStableFunc(freeing, func(a, b freeingWorker) int { return cmp.Compare(a.timeToFree, b.timeToFree) })
+	var candidates []placement.Candidate
 	gang := j.gang()
-	for _, f := range all {
-		rooms = append(rooms, f.room)
+	for _, f := range freeing {
+		candidates = append(candidates, f.candidate)
 		if gang.Adjacency == api.AdjacentWorker {
-			rooms = rooms[len(rooms)-1:]
+			candidates = candidates[len(candidates)-1:]
 		}
-		if parts := placement.Pack(rooms, gang); parts != nil {
-			return parts, f.wait
+		if assignments := placement.Pack(candidates, gang); assignments != nil {
+			return assignments, f.timeToFree
 		}
 	}
 	return nil, 0
 }
 
-// firmWait is the time until all work that must not be preempted is expected
-// to have ended or to have been moved.
-func (c *Core) firmWait(w *worker) time.Duration {
+// nonPreemptibleWait returns the time until all non-preemptible work on a worker
+// is expected to have ended or to have been moved.
+func (c *Core) nonPreemptibleWait(w *worker) time.Duration {
 	var wait time.Duration
 	for _, g := range w.groups {
-		if g.firm && !g.ending {
-			wait = max(wait, c.clearTime(g))
+		if g.nonPreemptible && !g.stopping {
+			wait = max(wait, c.timeToVacate(g))
 		}
 	}
 	return wait
 }
 
-func (c *Core) clearTime(g *group) time.Duration {
+func (c *Core) timeToVacate(g *group) time.Duration {
 	j := g.job
-	left := c.remaining(j)
-	move := moveCost(j)
-	if move >= left || !c.migratable(g) {
-		return left
+	remaining := c.remainingRunTime(j)
+	move := migrationCost(j)
+	if move >= remaining || !c.migratable(g) {
+		return remaining
 	}
-	away := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool { return w == g.worker.Worker }}
-	if placement.Find(c.fleet, away) == nil {
-		return left
+	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool { return w == g.worker.Worker }}
+	if placement.Find(c.fleet, elsewhere) == nil {
+		return remaining
 	}
 	return move
 }
 
-// moveCost is the accelerator time that a migration loses.
-func moveCost(j *job) time.Duration {
-	return (CheckpointGrace + restartCost) * time.Duration(max(1, j.total().Accelerators))
+// migrationCost returns the accelerator time that a migration loses.
+func migrationCost(j *job) time.Duration {
+	return (CheckpointGrace + restartCost) * time.Duration(max(1, j.totalResources().Accelerators))
 }
 
 func (c *Core) migratable(g *group) bool {
 	j := g.job
-	return g.firm && !g.fixed && !g.detached && j.phase == phaseRunning && j.movable() && j.rec.Job.Checkpointable
+	return g.nonPreemptible && !g.nonRestartable && !g.detached && j.phase == phaseRunning && j.restartable() && j.rec.Job.Checkpointable
 }
 
-func (c *Core) remaining(j *job) time.Duration {
-	ran := j.ranFor
+func (c *Core) remainingRunTime(j *job) time.Duration {
+	ran := j.earlierRunTime
 	if j.started {
 		ran += c.now - j.startedAt
 	}
-	// A job that has outrun its expectation counts as halfway.
-	return max(c.expectedRun(j)-ran, ran/2)
+	// A job is assumed to need at least half of its elapsed run time again,
+	// however long it was expected to run.
+	return max(c.expectedRunTime(j)-ran, ran/2)
 }
 
-// tryWaiting starts a job in the place that is reserved for it.
-func (c *Core) tryWaiting(j *job) bool {
-	r := j.waiting
+// tryReserved starts a job on the capacity reserved for it.
+func (c *Core) tryReserved(j *job) bool {
+	r := j.waitingReservation
 	if r == nil {
 		return false
 	}
-	for _, s := range r.shares {
-		open := s.worker.Capacity.Sub(s.worker.Reserved).Sub(s.worker.NonPreemptible).Add(s.amount)
-		if !s.worker.Schedulable() || !s.amount.Fits(open) {
+	for _, part := range r.parts {
+		open := part.worker.Capacity.Sub(part.worker.Reserved).Sub(part.worker.NonPreemptible).Add(part.resources)
+		if !part.worker.Schedulable() || !part.resources.Fits(open) {
 			return false
 		}
 	}
-	cl, ok := c.plan(j, r.parts(), victimRule{})
+	cl, ok := c.planClaim(j, r.assignments(), victimRule{})
 	if !ok {
 		return false
 	}
-	c.claim(j, cl, CheckpointGrace)
+	c.startClaim(j, cl, CheckpointGrace)
 	return true
 }
 
-// dropWaiting gives up the reservation of a waiting gang, if it has one.
-func (c *Core) dropWaiting(j *job) {
-	r := j.waiting
+// dropWaitingReservation drops the reservation of a waiting gang, if it has one.
+func (c *Core) dropWaitingReservation(j *job) {
+	r := j.waitingReservation
 	if r == nil {
 		return
 	}
-	j.waiting = nil
-	c.waiting = slices.DeleteFunc(c.waiting, func(o *reservation) bool { return o == r })
-	c.lift(r)
+	j.waitingReservation = nil
+	c.waitingReservations = slices.DeleteFunc(c.waitingReservations, func(o *reservation) bool { return o == r })
+	c.unplaceReservation(r)
 }
 
-func (c *Core) dropAllWaiting() {
-	for _, r := range slices.Clone(c.waiting) {
-		c.dropWaiting(r.job)
+func (c *Core) dropWaitingReservations() {
+	for _, r := range slices.Clone(c.waitingReservations) {
+		c.dropWaitingReservation(r.job)
 	}
 }
 
-// migrateFor moves one job that stands in the way of a waiting gang, if it has
-// room elsewhere and the gang's gain repays the move.
-func (c *Core) migrateFor(r *reservation) {
-	for _, s := range r.shares {
-		for _, g := range s.worker.groups {
-			if g.ending {
+// migrateForReservation moves one job that blocks a waiting gang's reservation, if
+// the job fits elsewhere and the gang gains more than the migration costs.
+func (c *Core) migrateForReservation(r *reservation) {
+	for _, part := range r.parts {
+		for _, g := range part.worker.groups {
+			if g.stopping {
 				return
 			}
 		}
 	}
-	for _, s := range r.shares {
-		for _, g := range slices.Clone(s.worker.groups) {
-			if c.repays(g, r) {
-				c.notice(g.job, s.worker.Name, ReasonMigrated, r.job.id())
-				c.end(g.job, grace(g.job), ReasonMigrated)
+	for _, part := range r.parts {
+		for _, g := range slices.Clone(part.worker.groups) {
+			if c.migrationPaysOff(g, r) {
+				c.emitNotice(g.job, part.worker.Name, ReasonMigrated, r.job.id())
+				c.endAttempt(g.job, checkpointGrace(g.job), ReasonMigrated)
 				return
 			}
 		}
 	}
 }
 
-func (c *Core) repays(g *group, r *reservation) bool {
+func (c *Core) migrationPaysOff(g *group, r *reservation) bool {
 	j := g.job
 	if !c.migratable(g) {
 		return false
 	}
-	gain := c.remaining(j) * time.Duration(max(1, r.job.total().Accelerators))
-	if gain <= moveCost(j) {
+	gain := c.remainingRunTime(j) * time.Duration(max(1, r.job.totalResources().Accelerators))
+	if gain <= migrationCost(j) {
 		return false
 	}
 	elsewhere := placement.Request{Gang: j.gang(), View: fleet.Unreserved, Exclude: func(w *fleet.Worker) bool {
-		return r.shareOn(c.workers[w.Name]) != nil
+		return r.partOn(c.workers[w.Name]) != nil
 	}}
 	return placement.Find(c.fleet, elsewhere) != nil
 }
