--- a/internal/sched/compare_test.go
+++ b/internal/sched/compare_test.go
@@ -207,7 +207,7 @@
 		t.addAgent(w.Worker, w.Zone, w.Rack, w.Capacity).connect()
 	}
 	t.step(OwnerStatus{Owner: true, Epoch: 1})
-	t.tick()
+	t.startTicks()
 	t.sample()
 	for _, job := range load.jobs {
 		t.timers.add(job.Submitted.Sub(time.Unix(0, 0)), func() { t.submit(job) })
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -22,27 +22,27 @@
 
 // Core decides which gang runs where. It is not safe for concurrent use.
 type Core struct {
-	cfg       Config
-	now       time.Duration
-	out       []Action
-	fleet     *fleet.Fleet
-	workers   map[string]*worker
-	ordered   []*worker
-	jobs      map[string]*job
-	config    *api.Config
-	authority OwnerStatus
-	draining  bool
-	timers    timerQueue
-	queue     *queue
-	accounts  map[string]*account
-	early     []GroupReport
-	zones     map[string]*zoneReturn
-	moving    []*job
-	learned   map[string]*learnedProfile
-	counts    map[Reason]int
-	renewed   int64
-	reviewed  time.Duration
-	forgotAt  time.Duration
+	cfg             Config
+	now             time.Duration
+	actions         []Action
+	fleet           *fleet.Fleet
+	workers         map[string]*worker
+	workerList      []*worker
+	jobs            map[string]*job
+	config          *api.Config
+	ownerStatus     OwnerStatus
+	draining        bool
+	timers          timerQueue
+	queue           *queue
+	accounts        map[string]*account
+	earlyReports    []GroupReport
+	reopeningZones  map[string]*zoneReopening
+	pendingMoves    []*job
+	learnedProfiles map[string]*learnedProfile
+	reasonCounts    map[Reason]int
+	lastRenewTick   int64
+	lastReview      time.Duration
+	lastForget      time.Duration
 
 	// guarantees holds one reservation per guaranteed gang; guaranteesOf groups
 	// them by profile.
@@ -109,9 +109,9 @@
 	case SaveResult:
 		c.handleSaveResult(e)
 	case ConfigUpdate:
-		c.configured(e.Config)
+		c.handleConfigUpdate(e.Config)
 	case OwnerStatus:
-		c.authority = e
+		c.ownerStatus = e
 	case Tick:
 		c.tick()
 	case Drain:
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -88,9 +88,9 @@
 // current configuration is ignored.
 type ConfigUpdate struct{ Config *api.Config }
 
-// OwnerStatus tells whether this process is the owner at this moment, with the
-// epoch of its term. Without authority the core starts nothing. StartAfter is
-// the time up to which the previous owner's permissions may still be in use.
+// OwnerStatus tells whether this process is the owner now, and the epoch of its
+// term. A core that is not the owner starts no work. Until StartAfter the
+// permissions of the previous owner may still be in use.
 type OwnerStatus struct {
 	Owner      bool
 	Epoch      uint64
