--- a/internal/entry/jobs/store.go
+++ b/internal/entry/jobs/store.go
@@ -1,9 +1,9 @@
-// Package jobs keeps job rows in the platform's table and answers callers that
-// wait for them.
+// Package jobs stores job rows in the platform's table and notifies callers that
+// wait for jobs to become final.
 //
-// Each job has a row job/<id> with its record and, until it is final, a row
-// active/<cell>/<id> in the same transactions, so that a new owner of the cell
-// finds all jobs that it is responsible for with one scan.
+// Each job has a row job/<id> with its record. Until it is final it also has a
+// row active/<cell>/<id>, created and deleted in the same transactions, so that
+// a new owner of the cell finds all of its jobs with one scan.
 package jobs
 
 import (
@@ -22,21 +22,21 @@
 const (
 	jobPrefix    = "job/"
 	activePrefix = "active/"
-	scanPage     = 1000
-	getBatch     = 200
+	scanPageSize = 1000
+	getBatchSize = 200
 )
 
 // Errors of the store.
 const (
-	ErrNoJob     = errors.ConstError("job does not exist")
-	ErrKeyReused = errors.ConstError("idempotency key belongs to a different job")
-	ErrFinal     = errors.ConstError("job is final")
-	// ErrEpoch says that an owner with a higher epoch has written the row.
-	ErrEpoch = errors.ConstError("row was written by a later owner")
+	ErrJobNotFound = errors.ConstError("job does not exist")
+	ErrKeyReused   = errors.ConstError("idempotency key belongs to a different job")
+	ErrJobFinal    = errors.ConstError("job is final")
+	// ErrStaleEpoch means that an owner with a higher epoch has written the row.
+	ErrStaleEpoch = errors.ConstError("row was written by a later owner")
 )
 
-// Row is the table's row of a job. Epoch is that of the owner who wrote it
-// last; 0 before the first owner did.
+// Row is a job's row in the table. Epoch is the epoch of the owner that wrote
+// the row last, or 0 if none has.
 type Row struct {
 	Cell   string        `json:"cell"`
 	Epoch  uint64        `json:"epoch"`
@@ -46,9 +46,9 @@
 	version uint64
 }
 
-// Active is the row that marks a job as not final. Each write of it tells the
-// owner to look at the job again.
-type Active struct {
+// ActiveJob identifies the row that marks a job as not final. A new version of
+// the row tells the owner to read the job again.
+type ActiveJob struct {
 	ID      string
 	Version uint64
 }
@@ -59,11 +59,10 @@
 	cell   string
 }
 
-// NewStore returns a store for the jobs of a cell.
 func NewStore(l ledger.Ledger, cell string) *Store { return &Store{ledger: l, cell: cell} }
 
-// JobID returns the id of a job. The same key of the same client account
-// always gives the same id, through any entry.
+// JobID returns the id of a new job. The same idempotency key of the same client
+// account gives the same id on every entry; without a key the id is random.
 func JobID(account, key string) string {
 	if key == "" {
 		return "j-" + uuid.NewString()
@@ -74,8 +73,9 @@
 
 func (s *Store) activeKey(id string) string { return activePrefix + s.cell + "/" + id }
 
-// Create keeps a new job. With an id that exists already the existing record
-// is returned, or ErrKeyReused when the job differs.
+// Create stores a new job and returns its record and true. If the id exists
+// already, it returns the existing record and false, or ErrKeyReused if that job
+// differs.
 func (s *Store) Create(ctx context.Context, job api.Job) (api.JobRecord, bool, error) {
 	row := Row{
 		Cell:   s.cell,
@@ -91,28 +91,30 @@
 	if !errors.Is(err, ledger.ErrConflict) {
 		return api.JobRecord{}, false, errors.Annotatef(err, "keeping job %q", job.ID)
 	}
-	old, err := decodeRow(rows[0])
+	existing, err := decodeRow(rows[0])
 	if err != nil {
 		return api.JobRecord{}, false, errors.Annotatef(err, "job %q", job.ID)
 	}
-	if old.Digest != row.Digest {
+	if existing.Digest != row.Digest {
 		return api.JobRecord{}, false, errors.Annotatef(ErrKeyReused, "job %q", job.ID)
 	}
-	return old.Record, false, nil
+	return existing.Record, false, nil
 }
 
-// jobDigest covers what the caller submitted, not when.
+// jobDigest returns a digest of a job without its submission time, so that a
+// repeated submission gives the same digest.
 func jobDigest(job api.Job) string {
 	job.Submitted = time.Time{}
 	sum := sha256.Sum256(ledger.Encode(job))
 	return hex.EncodeToString(sum[:8])
 }
 
-// Get returns the rows of the jobs that exist, by id.
-func (s *Store) Get(ctx context.Context, cause ledger.Cause, ids ...string) (map[string]Row, error) {
+// GetRows returns the rows of the given jobs by id; jobs that do not exist are
+// left out.
+func (s *Store) GetRows(ctx context.Context, cause ledger.Cause, ids ...string) (map[string]Row, error) {
 	out := map[string]Row{}
 	for len(ids) > 0 {
-		n := min(len(ids), getBatch)
+		n := min(len(ids), getBatchSize)
 		keys := make([]string, n)
 		for i, id := range ids[:n] {
 			keys[i] = jobPrefix + id
@@ -136,21 +138,22 @@
 	return out, nil
 }
 
-// One returns the record of one job.
-func (s *Store) One(ctx context.Context, id string) (api.JobRecord, error) {
-	rows, err := s.Get(ctx, ledger.CauseJob, id)
+// GetRecord returns the record of a job, or ErrJobNotFound.
+func (s *Store) GetRecord(ctx context.Context, id string) (api.JobRecord, error) {
+	rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 	if err != nil {
 		return api.JobRecord{}, err
 	}
 	row, ok := rows[id]
 	if !ok {
-		return api.JobRecord{}, errors.Annotatef(ErrNoJob, "job %q", id)
+		return api.JobRecord{}, errors.Annotatef(ErrJobNotFound, "job %q", id)
 	}
 	return row.Record, nil
 }
 
-// List returns up to limit records with ids above after.
-func (s *Store) List(ctx context.Context, after string, limit int) ([]api.JobRecord, error) {
+// ListRecords returns up to limit records with ids greater than after, in order
+// of id.
+func (s *Store) ListRecords(ctx context.Context, after string, limit int) ([]api.JobRecord, error) {
 	from := ""
 	if after != "" {
 		from = jobPrefix + after
@@ -170,40 +173,40 @@
 	return out, nil
 }
 
-// Actives returns the marks of all jobs of the cell that are not final.
-func (s *Store) Actives(ctx context.Context, cause ledger.Cause) ([]Active, error) {
+// ListActive returns all jobs of the cell that are not final.
+func (s *Store) ListActive(ctx context.Context, cause ledger.Cause) ([]ActiveJob, error) {
 	prefix := activePrefix + s.cell + "/"
-	var out []Active
+	var out []ActiveJob
 	after := ""
 	for {
-		rows, err := s.ledger.Scan(ctx, cause, prefix, after, scanPage)
+		rows, err := s.ledger.Scan(ctx, cause, prefix, after, scanPageSize)
 		if err != nil {
 			return nil, errors.Annotatef(err, "scanning active jobs of cell %q", s.cell)
 		}
 		for _, r := range rows {
-			out = append(out, Active{ID: r.Key[len(prefix):], Version: r.Version})
+			out = append(out, ActiveJob{ID: r.Key[len(prefix):], Version: r.Version})
 		}
-		if len(rows) < scanPage {
+		if len(rows) < scanPageSize {
 			return out, nil
 		}
 		after = rows[len(rows)-1].Key
 	}
 }
 
-// AskCancel marks a job for its end. It returns the record as it stands; a
-// final one is returned unchanged with ErrFinal.
-func (s *Store) AskCancel(ctx context.Context, id string) (api.JobRecord, error) {
+// RequestCancel records the request to cancel a job and returns the job's
+// record. A final record is returned unchanged with ErrJobFinal.
+func (s *Store) RequestCancel(ctx context.Context, id string) (api.JobRecord, error) {
 	for {
-		rows, err := s.Get(ctx, ledger.CauseJob, id)
+		rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 		if err != nil {
 			return api.JobRecord{}, err
 		}
 		row, ok := rows[id]
 		if !ok {
-			return api.JobRecord{}, errors.Annotatef(ErrNoJob, "job %q", id)
+			return api.JobRecord{}, errors.Annotatef(ErrJobNotFound, "job %q", id)
 		}
 		if row.Record.State == api.JobFinal {
-			return row.Record, errors.Annotatef(ErrFinal, "job %q", id)
+			return row.Record, errors.Annotatef(ErrJobFinal, "job %q", id)
 		}
 		if row.Record.CancelAsked {
 			return row.Record, nil
@@ -228,12 +231,12 @@
 }
 
 // Save writes a record for the owner with the given epoch. A cancellation
-// that came in between is kept. ErrEpoch and ErrFinal mean that another owner
-// has gone on with the job; nothing was written then.
+// requested in the meantime is kept. ErrStaleEpoch and ErrJobFinal mean that
+// another owner has taken over the job; nothing was written in that case.
 func (s *Store) Save(ctx context.Context, epoch uint64, record api.JobRecord) (Row, error) {
 	id := record.Job.ID
 	for {
-		rows, err := s.Get(ctx, ledger.CauseJob, id)
+		rows, err := s.GetRows(ctx, ledger.CauseJob, id)
 		if err != nil {
 			return Row{}, err
 		}
@@ -244,7 +247,7 @@
 		if sameRecord(rows[id].Record, row.Record) && rows[id].Epoch == epoch {
 			return row, nil // an earlier try took effect
 		}
-		err = s.write(ctx, row)
+		err = s.writeRow(ctx, row)
 		if !errors.Is(err, ledger.ErrConflict) {
 			return row, errors.Annotatef(err, "saving job %q", id)
 		}
@@ -255,14 +258,14 @@
 	id := record.Job.ID
 	row, ok := rows[id]
 	if !ok {
-		return Row{}, errors.Annotatef(ErrNoJob, "job %q", id)
+		return Row{}, errors.Annotatef(ErrJobNotFound, "job %q", id)
 	}
 	record.CancelAsked = record.CancelAsked || row.Record.CancelAsked
 	switch {
 	case row.Epoch > epoch:
-		return row, errors.Annotatef(ErrEpoch, "job %q: epoch %d, own %d", id, row.Epoch, epoch)
+		return row, errors.Annotatef(ErrStaleEpoch, "job %q: epoch %d, own %d", id, row.Epoch, epoch)
 	case row.Record.State == api.JobFinal && !sameRecord(row.Record, record):
-		return row, errors.Annotatef(ErrFinal, "job %q", id)
+		return row, errors.Annotatef(ErrJobFinal, "job %q", id)
 	}
 	row.Record = record
 	row.Epoch = epoch
@@ -271,7 +274,7 @@
 
 func sameRecord(a, b api.JobRecord) bool { return string(ledger.Encode(a)) == string(ledger.Encode(b)) }
 
-func (s *Store) write(ctx context.Context, row Row) error {
+func (s *Store) writeRow(ctx context.Context, row Row) error {
 	id := row.Record.Job.ID
 	writes := []ledger.Write{{Key: jobPrefix + id, Version: row.version, Data: ledger.Encode(row)}}
 	if row.Record.State == api.JobFinal {
@@ -290,7 +293,7 @@
 func decodeRow(r ledger.Row) (Row, error) {
 	var row Row
 	if r.Version == 0 {
-		return row, errors.Trace(ErrNoJob)
+		return row, errors.Trace(ErrJobNotFound)
 	}
 	if err := json.Unmarshal(r.Data, &row); err != nil {
 		return row, errors.Annotatef(err, "row %q is damaged", r.Key)
--- a/internal/entry/jobs/waiters.go
+++ b/internal/entry/jobs/waiters.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// watchInterval is the time between two reads of all jobs that callers
-	// wait for; one read serves all of them.
-	watchInterval = 300 * time.Millisecond
-	watchTimeout  = 2 * time.Second
-	maxWaiters    = 20000
+	// pollInterval is the time between two reads of the jobs that callers wait
+	// for. One read covers all of them.
+	pollInterval = 300 * time.Millisecond
+	pollTimeout  = 2 * time.Second
+	maxWaiters   = 20000
 )
 
-// ErrTooManyWaiters says that the entry holds as many waiting callers as it may.
+// ErrTooManyWaiters means that the entry has reached its limit of waiting callers.
 const ErrTooManyWaiters = errors.ConstError("too many callers wait for jobs")
 
-// Waiters lets callers wait for the end of jobs.
+// Waiters lets callers wait until jobs are final.
 type Waiters struct {
 	store *Store
 
@@ -32,41 +32,40 @@
 	loops   kernel.Loops
 }
 
-// NewWaiters returns a service over the store.
 func NewWaiters(s *Store) *Waiters {
 	return &Waiters{store: s, waiting: map[string][]chan api.JobRecord{}}
 }
 
-// Start begins to watch.
+// Start starts polling the store for the jobs that callers wait for.
 func (w *Waiters) Start(context.Context) error {
 	w.loops.Begin()
-	w.loops.Every(watchInterval, w.look)
+	w.loops.Every(pollInterval, w.poll)
 	return nil
 }
 
-// Stop ends the watch; callers still waiting run into their own timeouts.
+// Stop stops polling. Callers that still wait run into their own timeouts.
 func (w *Waiters) Stop(context.Context) error {
 	w.loops.End()
 	return nil
 }
 
-func (w *Waiters) look(ctx context.Context) {
-	ids := w.ids()
+func (w *Waiters) poll(ctx context.Context) {
+	ids := w.waitedJobIDs()
 	if len(ids) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	rows, err := w.store.Get(ctx, ledger.CauseJob, ids...)
+	rows, err := w.store.GetRows(ctx, ledger.CauseJob, ids...)
 	if err != nil {
 		return
 	}
 	for _, row := range rows {
-		w.Final(row.Record)
+		w.NotifyFinal(row.Record)
 	}
 }
 
-func (w *Waiters) ids() []string {
+func (w *Waiters) waitedJobIDs() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make([]string, 0, len(w.waiting))
@@ -76,8 +75,9 @@
 	return out
 }
 
-// Final hands a final record to those who wait for it.
-func (w *Waiters) Final(record api.JobRecord) {
+// NotifyFinal passes a record to the callers that wait for its job. It ignores
+// records that are not final.
+func (w *Waiters) NotifyFinal(record api.JobRecord) {
 	if record.State != api.JobFinal {
 		return
 	}
@@ -90,7 +90,8 @@
 	delete(w.waiting, record.Job.ID)
 }
 
-// Wait returns the job's record once it is final or ctx has ended.
+// Wait returns the job's record once it is final, or the error of ctx once that
+// has ended.
 func (w *Waiters) Wait(ctx context.Context, id string) (api.JobRecord, error) {
 	ch := make(chan api.JobRecord, 1)
 	w.mu.Lock()
@@ -105,12 +106,12 @@
 	case record := <-ch:
 		return record, nil
 	case <-ctx.Done():
-		w.drop(id, ch)
+		w.removeWaiter(id, ch)
 		return api.JobRecord{}, ctx.Err()
 	}
 }
 
-func (w *Waiters) drop(id string, ch chan api.JobRecord) {
+func (w *Waiters) removeWaiter(id string, ch chan api.JobRecord) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := w.waiting[id]
