--- a/cmd/coltsfoot-agent/hosted.go
+++ b/cmd/coltsfoot-agent/hosted.go
@@ -26,7 +26,7 @@
 	if s.WorkerListen == "" {
 		return errors.NotValidf("settings of an agent without a worker")
 	}
-	if s.OrdersInReplies {
+	if s.OrdersInHeartbeatReplies {
 		return errors.NotSupportedf("workers that take orders in the replies to their heartbeats")
 	}
 	err := k.Provide(
@@ -44,7 +44,7 @@
 	}
 	return k.Invoke(func(kept *keeper.Keeper) error {
 		heartbeats := httpx.NewServer(httpx.ServerOptions{Listen: s.WorkerListen, Handler: platform.HeartbeatHandler(kept)})
-		pages := httpx.NewPages(s.IP, h.Flags.MetricsPort, h.Registry, func() any { return k.DumpState() })
+		pages := httpx.NewDebugServer(s.IP, h.Flags.MetricsPort, h.Registry, func() any { return k.DumpState() })
 		return k.RegisterAll(
 			kernel.Registration{Name: "pages", Service: pages},
 			kernel.Registration{Name: "heartbeats", Service: heartbeats},
--- a/cmd/coltsfoot-agent/main.go
+++ b/cmd/coltsfoot-agent/main.go
@@ -78,7 +78,7 @@
 
 func newPages(k *kernel.Kernel, s *settings.Agent, a *agent.Agent, registry metrics.Registry) *httpx.Server {
 	r := httpx.NewRouter(nil)
-	httpx.Debug(r, httpx.DebugDeps{
+	httpx.MountDebugPages(r, httpx.DebugOptions{
 		Ready:    a.Ready,
 		Registry: registry,
 		Dump:     func() any { return k.DumpState() },
--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -125,7 +125,7 @@
 }
 
 func hostedPolicies(store *platform.Store, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *policy.Watcher {
-	return policy.NewWatcher(platform.NewOperator(store), policy.Limits{RevocationTime: s.KeyEnd, ApplyTime: s.ApplyTime}, c, registry, log)
+	return policy.NewWatcher(platform.NewOperator(store), policy.Limits{RevocationTime: s.RevocationTime, ApplyTime: s.ApplyTime}, c, registry, log)
 }
 
 func hostedOwner(l *ledger.Client, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
@@ -189,5 +189,5 @@
 }
 
 func hostedPages(k *kernel.Kernel, s *settings.Hosted, flags procmain.HostedFlags, registry metrics.Registry) *pages {
-	return &pages{httpx.NewPages(s.IP, flags.MetricsPort, registry, func() any { return k.DumpState() })}
+	return &pages{httpx.NewDebugServer(s.IP, flags.MetricsPort, registry, func() any { return k.DumpState() })}
 }
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -239,7 +239,7 @@
 	a.Mount(r)
 	var server *httpx.Server
 	a.Serving = func() context.Context { return server.Serving() }
-	httpx.Debug(r, httpx.DebugDeps{
+	httpx.MountDebugPages(r, httpx.DebugOptions{
 		Ready: func() error {
 			if server.Draining() {
 				return errors.New("stopping")
--- a/cmd/coltsfoot-standin/main.go
+++ b/cmd/coltsfoot-standin/main.go
@@ -67,7 +67,7 @@
 	}
 	registry := metrics.NewRegistry()
 	r := httpx.NewRouter(nil)
-	httpx.Debug(r, httpx.DebugDeps{Registry: registry, Dump: func() any { return k.DumpState() }})
+	httpx.MountDebugPages(r, httpx.DebugOptions{Registry: registry, Dump: func() any { return k.DumpState() }})
 	server := httpx.NewServer(httpx.ServerOptions{Listen: pages, Handler: r.Handler, Registry: registry})
 	return k, k.Register("http", server)
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -124,7 +124,7 @@
 	a.host().leave()
 	a.links.heartbeatNow()
 	kernel.Sleep(ctx, leaveNoticeDelay)
-	finished := kernel.Until(ctx, pollInterval, a.host().readyToStop)
+	finished := kernel.PollUntil(ctx, pollInterval, a.host().readyToStop)
 	a.loops.End()
 	if !finished {
 		return errors.Timeoutf("work in progress on %q did not finish: stop", a.cfg.ID)
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -48,7 +48,7 @@
 		defer k.mu.Unlock()
 		return len(k.absent) > 0 && k.absent[0].Ref.Run == ref.Run && len(k.orders) == 0
 	}
-	if !kernel.Until(bound, 10*time.Millisecond, settled) {
+	if !kernel.PollUntil(bound, 10*time.Millisecond, settled) {
 		t.Fatalf("not settled: absent %v, orders %v", k.absent, k.orders)
 	}
 }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	s.ctx = ctx
 	s.mu.Unlock()
-	kernel.Until(ctx, pollInterval, s.agent.host().readyToLink)
+	kernel.PollUntil(ctx, pollInterval, s.agent.host().readyToLink)
 	for ctx.Err() == nil {
 		s.announce(ctx)
 		s.dropUnlisted()
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -187,7 +187,7 @@
 		Permit:      time.Duration(msg.PermitMs) * time.Millisecond,
 		Timeout:     time.Duration(msg.TimeoutMs) * time.Millisecond,
 		Idempotent:  msg.Idempotent,
-		Corrupt:     !rpc.Intact(msg.Body, msg.Length, msg.Digest),
+		Corrupt:     !rpc.BodyIntact(msg.Body, msg.Length, msg.Digest),
 	})
 	if !h.core.HasRecord(ref) {
 		delete(h.bodies, ref)
--- a/internal/entry/requests/requests.go
+++ b/internal/entry/requests/requests.go
@@ -128,7 +128,7 @@
 // has ended.
 func (s *Service) Stop(ctx context.Context) error {
 	s.step(route.Drain{})
-	idle := kernel.Until(ctx, idlePollInterval, func() bool { return s.waitingCalls() == 0 })
+	idle := kernel.PollUntil(ctx, idlePollInterval, func() bool { return s.waitingCalls() == 0 })
 	s.loops.End()
 	s.claims.waitIdle(ctx)
 	if !idle {
@@ -336,7 +336,7 @@
 // RequestResult handles an agent's result. A result with a corrupt body is
 // dropped; the agent sends it again on its next link.
 func (s *Service) RequestResult(a links.Agent, r *rpc.RequestResult) {
-	if !rpc.Intact(r.Body, r.Length, r.Digest) && r.Status != 0 {
+	if !rpc.BodyIntact(r.Body, r.Length, r.Digest) && r.Status != 0 {
 		metrics.GetOrRegisterCounter("requests.results.corrupt", s.registry).Inc(1)
 		return
 	}
--- a/internal/httpx/debug.go
+++ b/internal/httpx/debug.go
@@ -22,8 +22,8 @@
 	PathState       = "/debug/state"
 )
 
-// DebugDeps is what the pages of a process show.
-type DebugDeps struct {
+// DebugOptions is what the pages of a process show.
+type DebugOptions struct {
 	// Ready returns nil when the process takes new work, otherwise the reason
 	// why not. A nil Ready stands for a process that is always ready.
 	Ready func() error
@@ -38,8 +38,8 @@
 	Status string `json:"status"`
 }
 
-// Debug mounts /healthz, /readyz, /metrics, /metrics.txt and /debug/state.
-func Debug(r *router.Router, deps DebugDeps) {
+// MountDebugPages mounts /healthz, /readyz, /metrics, /metrics.txt and /debug/state.
+func MountDebugPages(r *router.Router, deps DebugOptions) {
 	r.GET(PathHealth, func(ctx *fasthttp.RequestCtx) {
 		WriteJSON(ctx, fasthttp.StatusOK, Health{"ok"})
 	})
--- a/internal/httpx/httpx_test.go
+++ b/internal/httpx/httpx_test.go
@@ -27,7 +27,7 @@
 	metrics.GetOrRegisterGauge("slots", registry).Update(8)
 	metrics.GetOrRegisterTimer("wait", registry).Update(time.Second)
 	r := NewRouter(nil)
-	Debug(r, DebugDeps{Ready: ready, Registry: registry, Dump: func() any { return map[string]int{"version": 7} }})
+	MountDebugPages(r, DebugOptions{Ready: ready, Registry: registry, Dump: func() any { return map[string]int{"version": 7} }})
 	release := make(chan struct{})
 	r.GET("/wait", func(ctx *fasthttp.RequestCtx) {
 		<-release
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -237,10 +237,10 @@
 	}
 }
 
-// NewPages returns a server of a process's own pages on a port; with port 0
+// NewDebugServer returns a server of a process's own pages on a port; with port 0
 // the system chooses one.
-func NewPages(ip string, port int, registry metrics.Registry, dump func() any) *Server {
+func NewDebugServer(ip string, port int, registry metrics.Registry, dump func() any) *Server {
 	r := NewRouter(nil)
-	Debug(r, DebugDeps{Registry: registry, Dump: dump})
+	MountDebugPages(r, DebugOptions{Registry: registry, Dump: dump})
 	return NewServer(ServerOptions{Listen: net.JoinHostPort(ip, strconv.Itoa(port)), Handler: r.Handler})
 }
--- a/internal/kernel/loops.go
+++ b/internal/kernel/loops.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Until polls a condition until it holds or ctx ends, and returns whether it holds.
-func Until(ctx context.Context, interval time.Duration, condition func() bool) bool {
+// PollUntil polls a condition until it holds or ctx ends, and returns whether it holds.
+func PollUntil(ctx context.Context, interval time.Duration, condition func() bool) bool {
 	for !condition() {
 		if ctx.Err() != nil {
 			return false
--- a/internal/owner/service_test.go
+++ b/internal/owner/service_test.go
@@ -48,7 +48,7 @@
 	t.Cleanup(s.loops.End)
 	ctx, cancel := context.WithTimeout(context.Background(), opTimeout/2)
 	defer cancel()
-	if !kernel.Until(ctx, 10*time.Millisecond, func() bool { return s.Current().Owner }) {
+	if !kernel.PollUntil(ctx, 10*time.Millisecond, func() bool { return s.Current().Owner }) {
 		t.Fatalf("no owner within %v", opTimeout/2)
 	}
 }
--- a/internal/procmain/hosted.go
+++ b/internal/procmain/hosted.go
@@ -70,8 +70,8 @@
 	return NewLogger(w, settings.Level(f.LogLevel), settings.Role(role), id)
 }
 
-// DrainTime is how long a planned stop may take.
-func DrainTime(s *settings.Hosted) time.Duration { return s.StopGrace - stopReserve }
+// HostedDrainTimeout is how long a planned stop may take.
+func HostedDrainTimeout(s *settings.Hosted) time.Duration { return s.StopGrace - stopReserve }
 
 // RunHosted runs a hosted process: it loads the settings, wires the services
 // and serves until a signal ends it. It returns the exit code.
@@ -93,7 +93,7 @@
 		_, err := load(path)
 		return err
 	}
-	return Process{Kernel: k, Log: log, DrainTimeout: DrainTime(s), Reload: reload}.Run()
+	return Process{Kernel: k, Log: log, DrainTimeout: HostedDrainTimeout(s), Reload: reload}.Run()
 }
 
 // Hosted is what the services of a hosted process are wired with.
--- a/internal/procmain/procmain.go
+++ b/internal/procmain/procmain.go
@@ -21,10 +21,10 @@
 
 // The exit codes of the processes.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1 // a service could not start, or failed while it ran
-	ExitUsage    = 2 // wrong flags or settings
-	ExitNotClean = 3 // the stop was cut short: work was still in progress
+	ExitOK              = 0
+	ExitFailed          = 1 // a service could not start, or failed while it ran
+	ExitUsage           = 2 // wrong flags or settings
+	ExitDrainIncomplete = 3 // the stop was cut short: work was still in progress
 )
 
 // stopSettleTime is how long services get after the drain timeout to return.
@@ -198,14 +198,14 @@
 		return p.stopped(err)
 	case <-time.After(stopSettleTime):
 		p.Log.Error().Msg("services did not return after the drain timeout")
-		return ExitNotClean
+		return ExitDrainIncomplete
 	}
 }
 
 func (p Process) stopped(err error) int {
 	if err != nil {
 		p.Log.Error().Err(err).Msg("stopped with work in progress")
-		return ExitNotClean
+		return ExitDrainIncomplete
 	}
 	p.Log.Info().Msg("stopped")
 	return ExitOK
--- a/internal/procmain/procmain_test.go
+++ b/internal/procmain/procmain_test.go
@@ -83,7 +83,7 @@
 	t.Run("drain timeout", func(t *testing.T) {
 		signals := make(chan os.Signal, 1)
 		signals <- syscall.SIGTERM
-		if got := process(t, &service{}, time.Millisecond).run(signals); got != ExitNotClean {
+		if got := process(t, &service{}, time.Millisecond).run(signals); got != ExitDrainIncomplete {
 			t.Errorf("exit code %d", got)
 		}
 	})
@@ -91,7 +91,7 @@
 		signals := make(chan os.Signal, 2)
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGINT
-		if got := process(t, &service{}, time.Hour).run(signals); got != ExitNotClean {
+		if got := process(t, &service{}, time.Hour).run(signals); got != ExitDrainIncomplete {
 			t.Errorf("exit code %d", got)
 		}
 	})
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -48,8 +48,8 @@
 	return Outcome_OUTCOME_UNSPECIFIED
 }
 
-// Intact reports whether a body has the announced length and digest.
-func Intact(body []byte, length int64, digest uint64) bool {
+// BodyIntact reports whether a body has the announced length and digest.
+func BodyIntact(body []byte, length int64, digest uint64) bool {
 	return int64(len(body)) == length && Digest(body) == digest
 }
 
--- a/internal/settings/hosted.go
+++ b/internal/settings/hosted.go
@@ -36,18 +36,18 @@
 	// WorkerAddress and Pool are those of the worker beside an agent.
 	WorkerAddress string
 	Pool          string
-	// OrdersInReplies tells that workers take orders only in the replies to
+	// OrdersInHeartbeatReplies tells that workers take orders only in the replies to
 	// their heartbeats.
-	OrdersInReplies bool
+	OrdersInHeartbeatReplies bool
 
 	// MaxLease bounds the lease that a worker grants.
 	MaxLease time.Duration
 	// StopTime bounds how long a worker takes to stop a run.
 	StopTime time.Duration
-	// KeyEnd is within which a key has to end after its removal, and ApplyTime
+	// RevocationTime is within which a key has to end after its removal, and ApplyTime
 	// within which a change of the configuration has to be in force.
-	KeyEnd    time.Duration
-	ApplyTime time.Duration
+	RevocationTime time.Duration
+	ApplyTime      time.Duration
 	// StopGrace is the time between the request to stop and the kill.
 	StopGrace time.Duration
 	MemoryMB  int
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -317,7 +317,7 @@
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	if !kernel.Until(ctx, 10*time.Millisecond, condition) {
+	if !kernel.PollUntil(ctx, 10*time.Millisecond, condition) {
 		f.t.Fatalf("no %s within %v", what, bound)
 	}
 }
