--- a/internal/httpx/debug.go
+++ b/internal/httpx/debug.go
@@ -39,18 +39,18 @@
 }
 
 // MountDebugPages mounts /healthz, /readyz, /metrics, /metrics.txt and /debug/state.
-func MountDebugPages(r *router.Router, deps DebugOptions) {
+func MountDebugPages(r *router.Router, options DebugOptions) {
 	r.GET(PathHealth, func(ctx *fasthttp.RequestCtx) {
 		WriteJSON(ctx, fasthttp.StatusOK, Health{"ok"})
 	})
-	r.GET(PathReady, func(ctx *fasthttp.RequestCtx) { serveReady(ctx, deps.Ready) })
-	r.GET(PathMetrics, func(ctx *fasthttp.RequestCtx) { serveMetrics(ctx, deps.Registry) })
+	r.GET(PathReady, func(ctx *fasthttp.RequestCtx) { serveReady(ctx, options.Ready) })
+	r.GET(PathMetrics, func(ctx *fasthttp.RequestCtx) { serveMetrics(ctx, options.Registry) })
 	r.GET(PathMetricsText, func(ctx *fasthttp.RequestCtx) {
 		ctx.SetContentType(ContentTypeText)
-		ctx.SetBody(metricLines(deps.Registry.GetAll()))
+		ctx.SetBody(metricLines(options.Registry.GetAll()))
 	})
 	r.GET(PathState, func(ctx *fasthttp.RequestCtx) {
-		WriteJSON(ctx, fasthttp.StatusOK, deps.Dump())
+		WriteJSON(ctx, fasthttp.StatusOK, options.Dump())
 	})
 }
 
--- a/internal/httpx/httpx_test.go
+++ b/internal/httpx/httpx_test.go
@@ -49,7 +49,7 @@
 	return s, release
 }
 
-func stop(t *testing.T, s *Server) {
+func stopServer(t *testing.T, s *Server) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-func do(t *testing.T, method, url, accept, body string) (*http.Response, string) {
+func sendRequest(t *testing.T, method, url, accept, body string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -79,7 +79,7 @@
 
 func TestRefusalsAreProblemDocuments(t *testing.T) {
 	s, _ := startServer(t, func() error { return errors.New("configuration is not fresh") })
-	defer stop(t, s)
+	defer stopServer(t, s)
 	cases := []struct {
 		method, path, body string
 		status             int
@@ -98,7 +98,7 @@
 		{"POST", "/json", strings.Repeat("x", 8<<20), 413, "body exceeds the limit"},
 	}
 	for _, c := range cases {
-		resp, body := do(t, c.method, "http://"+s.Addr()+c.path, "", c.body)
+		resp, body := sendRequest(t, c.method, "http://"+s.Addr()+c.path, "", c.body)
 		var p api.Problem
 		if err := json.Unmarshal([]byte(body), &p); err != nil {
 			t.Errorf("%s %s: body %q: %v", c.method, c.path, body, err)
@@ -108,7 +108,7 @@
 			t.Errorf("%s %s: status %d %s, problem %+v", c.method, c.path, resp.StatusCode, resp.Header.Get("Content-Type"), p)
 		}
 	}
-	_, body := do(t, "GET", "http://"+s.Addr()+PathMetrics, "text/plain", "")
+	_, body := sendRequest(t, "GET", "http://"+s.Addr()+PathMetrics, "text/plain", "")
 	for _, line := range []string{"http.4xx 8\n", "http.5xx 2\n", "http.unreadable 1\n"} {
 		if !strings.Contains(body, line) {
 			t.Errorf("no line %q in %s", line, body)
@@ -118,7 +118,7 @@
 
 func TestMalformedRequestGetsProblemDocument(t *testing.T) {
 	s, _ := startServer(t, nil)
-	defer stop(t, s)
+	defer stopServer(t, s)
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -138,20 +138,20 @@
 
 func TestPages(t *testing.T) {
 	s, _ := startServer(t, nil)
-	defer stop(t, s)
+	defer stopServer(t, s)
 	base := "http://" + s.Addr()
-	if resp, body := do(t, "GET", base+PathReady, "", ""); resp.StatusCode != 200 {
+	if resp, body := sendRequest(t, "GET", base+PathReady, "", ""); resp.StatusCode != 200 {
 		t.Errorf("%s: %d %s", PathReady, resp.StatusCode, body)
 	}
-	if _, body := do(t, "GET", base+PathState, "", ""); !strings.Contains(body, `"version": 7`) {
+	if _, body := sendRequest(t, "GET", base+PathState, "", ""); !strings.Contains(body, `"version": 7`) {
 		t.Errorf("%s: %s", PathState, body)
 	}
 	var all map[string]map[string]float64
-	_, body := do(t, "GET", base+PathMetrics, "", "")
+	_, body := sendRequest(t, "GET", base+PathMetrics, "", "")
 	if err := json.Unmarshal([]byte(body), &all); err != nil || all["requests.done"]["count"] != 3 {
 		t.Errorf("%s: %v %s", PathMetrics, err, body)
 	}
-	_, body = do(t, "GET", base+PathMetrics, "text/plain", "")
+	_, body = sendRequest(t, "GET", base+PathMetrics, "text/plain", "")
 	for _, line := range []string{"requests.done 3\n", "slots 8\n", "wait.max 1000000000\n"} {
 		if !strings.Contains(body, line) {
 			t.Errorf("%s: no line %q in %s", PathMetrics, line, body)
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -70,32 +70,32 @@
 
 // Server is an HTTP server with the life of a kernel service.
 type Server struct {
-	options  ServerOptions
-	server   *fasthttp.Server
-	listener net.Listener
-	serving  context.Context // ends when Stop begins
-	drain    context.CancelFunc
-	served   sync.WaitGroup
+	options    ServerOptions
+	server     *fasthttp.Server
+	listener   net.Listener
+	serving    context.Context // ends when Stop begins
+	beginDrain context.CancelFunc
+	serveLoop  sync.WaitGroup
 
 	classes    [6]metrics.Counter // by the first digit of the status
 	unreadable metrics.Counter
 }
 
-// silentLogger drops the library's line for each broken connection; the
+// discardLogger drops the library's line for each broken connection; the
 // counter of unreadable requests stands for them.
-type silentLogger struct{}
+type discardLogger struct{}
 
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // NewServer returns a server that does not listen yet.
 func NewServer(options ServerOptions) *Server {
 	s := &Server{options: options}
-	s.serving, s.drain = context.WithCancel(context.Background())
+	s.serving, s.beginDrain = context.WithCancel(context.Background())
 	s.registerCounters(options.Registry)
 	s.server = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.handleError,
-		Logger:                silentLogger{},
+		Logger:                discardLogger{},
 		MaxRequestBodySize:    options.MaxBodyBytes,
 		ReadBufferSize:        maxHeaderBytes,
 		ReadTimeout:           readTimeout,
@@ -127,9 +127,9 @@
 		return errors.Annotatef(err, "listening on %q", s.options.Listen)
 	}
 	s.listener = listener
-	s.served.Add(1)
+	s.serveLoop.Add(1)
 	go func() {
-		defer s.served.Done()
+		defer s.serveLoop.Done()
 		// Serve returns an error only when the listener is closed.
 		_ = s.server.Serve(lingerListener{listener})
 	}()
@@ -149,7 +149,7 @@
 // Stop waits for the requests in progress. While LameDuck lasts new requests
 // are still served.
 func (s *Server) Stop(ctx context.Context) error {
-	s.drain()
+	s.beginDrain()
 	timer := time.NewTimer(s.options.LameDuck)
 	defer timer.Stop()
 	select {
@@ -159,7 +159,7 @@
 	if err := s.server.ShutdownWithContext(ctx); err != nil {
 		return errors.Annotate(err, "requests still in progress")
 	}
-	s.served.Wait()
+	s.serveLoop.Wait()
 	return nil
 }
 
@@ -218,12 +218,12 @@
 // last request was refused before its end.
 func (c *lingerConn) Close() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.linger.Load() {
-		discardRest(tcp)
+		discardUnread(tcp)
 	}
 	return c.Conn.Close()
 }
 
-func discardRest(conn *net.TCPConn) {
+func discardUnread(conn *net.TCPConn) {
 	if conn.CloseWrite() != nil || conn.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -109,7 +109,7 @@
 // Start starts all services in order of registration. After an error the
 // started ones are stopped again.
 func (k *Kernel) Start(ctx context.Context) error {
-	for i, r := range k.list() {
+	for i, r := range k.snapshot() {
 		if err := r.Service.Start(ctx); err != nil {
 			stopErr := k.Stop(ctx)
 			if stopErr != nil {
@@ -127,24 +127,24 @@
 // Stop stops the started services in reverse order. All are stopped even when
 // some fail; the first error is returned.
 func (k *Kernel) Stop(ctx context.Context) error {
-	services := k.list()
+	services := k.snapshot()
 	k.mu.Lock()
 	n := k.started
 	k.started = 0
 	k.mu.Unlock()
-	var first error
+	var firstErr error
 	for i := n - 1; i >= 0; i-- {
-		if err := services[i].Service.Stop(ctx); err != nil && first == nil {
-			first = errors.Annotatef(err, "stopping service %q", services[i].Name)
+		if err := services[i].Service.Stop(ctx); err != nil && firstErr == nil {
+			firstErr = errors.Annotatef(err, "stopping service %q", services[i].Name)
 		}
 	}
-	return first
+	return firstErr
 }
 
 // DumpState returns the state of each service that has one, by name.
 func (k *Kernel) DumpState() map[string]any {
 	out := map[string]any{}
-	for _, r := range k.list() {
+	for _, r := range k.snapshot() {
 		if d, ok := r.Service.(Dumper); ok {
 			out[r.Name] = d.DumpState()
 		}
@@ -152,7 +152,7 @@
 	return out
 }
 
-func (k *Kernel) list() []Registration {
+func (k *Kernel) snapshot() []Registration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return append([]Registration(nil), k.services...)
--- a/internal/procmain/hosted.go
+++ b/internal/procmain/hosted.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// logBacklog is the number of lines that wait for standard output; further
+	// logBufferLines is the number of lines that wait for standard output; further
 	// ones are dropped and counted.
-	logBacklog = 4096
-	// memoryShare is the part of the host's memory limit up to which the
+	logBufferLines = 4096
+	// memoryLimitFraction is the part of the host's memory limit up to which the
 	// garbage collector lets the heap grow.
-	memoryShare = 0.6
-	// stopReserve is the part of the time before the kill that is left over
+	memoryLimitFraction = 0.6
+	// drainReserve is the part of the time before the kill that is left over
 	// after the drain.
-	stopReserve = 800 * time.Millisecond
+	drainReserve = 800 * time.Millisecond
 )
 
 // HostedFlags are the command line of a process whose host gives its settings.
@@ -59,19 +59,19 @@
 		fmt.Fprintln(stderr, err)
 		return nil, f, ExitUsage
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB) * (1 << 20)))
 	return s, f, ExitOK
 }
 
 // HostedLogger returns a logger that never blocks: lines that the output does
 // not take in time are dropped, and dropped is told how many.
 func HostedLogger(output io.Writer, f HostedFlags, role, id string, dropped func(int)) zerolog.Logger {
-	w := diode.NewWriter(output, logBacklog, 0, dropped)
+	w := diode.NewWriter(output, logBufferLines, 0, dropped)
 	return NewLogger(w, settings.Level(f.LogLevel), settings.Role(role), id)
 }
 
 // HostedDrainTimeout is how long a planned stop may take.
-func HostedDrainTimeout(s *settings.Hosted) time.Duration { return s.StopGrace - stopReserve }
+func HostedDrainTimeout(s *settings.Hosted) time.Duration { return s.StopGrace - drainReserve }
 
 // RunHosted runs a hosted process: it loads the settings, wires the services
 // and serves until a signal ends it. It returns the exit code.
--- a/internal/procmain/hosted_test.go
+++ b/internal/procmain/hosted_test.go
@@ -17,19 +17,19 @@
 	reader, writer := io.Pipe()
 	var dropped atomic.Int64
 	log := HostedLogger(writer, HostedFlags{LogLevel: "info"}, "entry", "e1", func(n int) { dropped.Add(int64(n)) })
-	const lines = 5 * logBacklog
-	begin := time.Now()
+	const lines = 5 * logBufferLines
+	start := time.Now()
 	for n := range lines {
 		log.Info().Int("n", n).Msg("line")
 	}
-	if took := time.Since(begin); took > 5*time.Second {
+	if took := time.Since(start); took > 5*time.Second {
 		t.Fatalf("%d lines took %v while nobody reads", lines, took)
 	}
 	go func() {
 		_, _ = io.Copy(io.Discard, reader) // ends with the test
 	}()
-	for end := time.Now().Add(5 * time.Second); dropped.Load() == 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(5 * time.Second); dropped.Load() == 0; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("no dropped line was counted")
 		}
 	}
--- a/internal/procmain/procmain.go
+++ b/internal/procmain/procmain.go
@@ -27,8 +27,8 @@
 	ExitDrainIncomplete = 3 // the stop was cut short: work was still in progress
 )
 
-// stopSettleTime is how long services get after the drain timeout to return.
-const stopSettleTime = 5 * time.Second
+// stopReturnTimeout is how long services get after the drain timeout to return.
+const stopReturnTimeout = 5 * time.Second
 
 // Load parses the flags of a process, which are -settings FILE, and loads the
 // file. It returns nil and the exit code when the process has to end, after
@@ -89,15 +89,15 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	go p.reloads(hup)
+	go p.handleReloads(hup)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	defer signal.Stop(signals)
 	return p.run(signals)
 }
 
-// reloads reloads the settings on each SIGHUP, which never ends the process.
-func (p Process) reloads(hup <-chan os.Signal) {
+// handleReloads handleReloads the settings on each SIGHUP, which never ends the process.
+func (p Process) handleReloads(hup <-chan os.Signal) {
 	for range hup {
 		if p.Reload == nil {
 			p.Log.Info().Msg("settings are read at the start only")
@@ -141,7 +141,7 @@
 			return err
 		case s := <-signals:
 			if s == syscall.SIGUSR1 {
-				p.dump()
+				p.writeDump()
 				continue
 			}
 			p.Log.Info().Stringer("signal", s).Msg("stopping")
@@ -157,7 +157,7 @@
 		select {
 		case s := <-signals:
 			if s == syscall.SIGUSR1 {
-				p.dump()
+				p.writeDump()
 				continue
 			}
 			p.Log.Info().Stringer("signal", s).Msg("stopping")
@@ -177,32 +177,32 @@
 	for {
 		select {
 		case err := <-stopped:
-			return p.stopped(err)
+			return p.exitCode(err)
 		case s := <-signals:
 			if s == syscall.SIGUSR1 {
-				p.dump()
+				p.writeDump()
 				continue
 			}
 			cancel()
-			return p.settle(stopped)
+			return p.awaitReturn(stopped)
 		case <-ctx.Done():
-			return p.settle(stopped)
+			return p.awaitReturn(stopped)
 		}
 	}
 }
 
-// settle gives the services a last chance to return after ctx has ended.
-func (p Process) settle(stopped <-chan error) int {
+// awaitReturn gives the services a last chance to return after ctx has ended.
+func (p Process) awaitReturn(stopped <-chan error) int {
 	select {
 	case err := <-stopped:
-		return p.stopped(err)
-	case <-time.After(stopSettleTime):
+		return p.exitCode(err)
+	case <-time.After(stopReturnTimeout):
 		p.Log.Error().Msg("services did not return after the drain timeout")
 		return ExitDrainIncomplete
 	}
 }
 
-func (p Process) stopped(err error) int {
+func (p Process) exitCode(err error) int {
 	if err != nil {
 		p.Log.Error().Err(err).Msg("stopped with work in progress")
 		return ExitDrainIncomplete
@@ -211,7 +211,7 @@
 	return ExitOK
 }
 
-func (p Process) dump() {
+func (p Process) writeDump() {
 	w := p.Dump
 	if w == nil {
 		w = os.Stderr
--- a/internal/procmain/procmain_test.go
+++ b/internal/procmain/procmain_test.go
@@ -16,25 +16,25 @@
 	"github.com/rs/zerolog"
 )
 
-// service stops when work is closed or the drain timeout has passed.
-type service struct {
-	work  chan struct{}
-	fails bool
-	// endless lets Start wait for the end of its context, and then succeed.
-	endless bool
+// fakeService stops when work is closed or the drain timeout has passed.
+type fakeService struct {
+	work      chan struct{}
+	failStart bool
+	// blockStart lets Start wait for the end of its context, and then succeed.
+	blockStart bool
 }
 
-func (s *service) Start(ctx context.Context) error {
-	if s.fails {
+func (s *fakeService) Start(ctx context.Context) error {
+	if s.failStart {
 		return errors.New("port in use")
 	}
-	if s.endless {
+	if s.blockStart {
 		<-ctx.Done()
 	}
 	return nil
 }
 
-func (s *service) Stop(ctx context.Context) error {
+func (s *fakeService) Stop(ctx context.Context) error {
 	select {
 	case <-s.work:
 		return nil
@@ -43,9 +43,9 @@
 	}
 }
 
-func (s *service) DumpState() any { return "state of the service" }
+func (s *fakeService) DumpState() any { return "state of the service" }
 
-func process(t *testing.T, s *service, drain time.Duration) Process {
+func newProcess(t *testing.T, s *fakeService, drain time.Duration) Process {
 	t.Helper()
 	k := kernel.New()
 	if err := k.Register("service", s); err != nil {
@@ -55,11 +55,11 @@
 }
 
 func TestStopWaitsForWorkAndExitsClean(t *testing.T) {
-	s := &service{work: make(chan struct{})}
+	s := &fakeService{work: make(chan struct{})}
 	signals := make(chan os.Signal)
 	code := make(chan int, 1)
 	var dump bytes.Buffer
-	p := process(t, s, time.Hour)
+	p := newProcess(t, s, time.Hour)
 	p.Dump = &dump
 	go func() { code <- p.run(signals) }()
 	signals <- syscall.SIGUSR1
@@ -76,14 +76,14 @@
 
 func TestExitCodes(t *testing.T) {
 	t.Run("start fails", func(t *testing.T) {
-		if got := process(t, &service{fails: true}, time.Hour).run(nil); got != ExitFailed {
+		if got := newProcess(t, &fakeService{failStart: true}, time.Hour).run(nil); got != ExitFailed {
 			t.Errorf("exit code %d", got)
 		}
 	})
 	t.Run("drain timeout", func(t *testing.T) {
 		signals := make(chan os.Signal, 1)
 		signals <- syscall.SIGTERM
-		if got := process(t, &service{}, time.Millisecond).run(signals); got != ExitDrainIncomplete {
+		if got := newProcess(t, &fakeService{}, time.Millisecond).run(signals); got != ExitDrainIncomplete {
 			t.Errorf("exit code %d", got)
 		}
 	})
@@ -91,25 +91,25 @@
 		signals := make(chan os.Signal, 2)
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGINT
-		if got := process(t, &service{}, time.Hour).run(signals); got != ExitDrainIncomplete {
+		if got := newProcess(t, &fakeService{}, time.Hour).run(signals); got != ExitDrainIncomplete {
 			t.Errorf("exit code %d", got)
 		}
 	})
 	t.Run("signal during the start", func(t *testing.T) {
 		signals := make(chan os.Signal, 1)
 		signals <- syscall.SIGTERM
-		s := &service{work: make(chan struct{}), endless: true}
+		s := &fakeService{work: make(chan struct{}), blockStart: true}
 		close(s.work)
-		if got := process(t, s, time.Hour).run(signals); got != ExitOK {
+		if got := newProcess(t, s, time.Hour).run(signals); got != ExitOK {
 			t.Errorf("exit code %d", got)
 		}
 	})
 	t.Run("service fails", func(t *testing.T) {
 		failed := make(chan error, 1)
 		failed <- errors.New("lost")
-		s := &service{work: make(chan struct{})}
+		s := &fakeService{work: make(chan struct{})}
 		close(s.work)
-		p := process(t, s, time.Hour)
+		p := newProcess(t, s, time.Hour)
 		p.Failed = failed
 		if got := p.run(nil); got != ExitFailed {
 			t.Errorf("exit code %d", got)
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -23,14 +23,14 @@
 // Times of connections that are opened again at once: takeovers have to end
 // within the time in which urgent work starts.
 const (
-	reconnectMin   = 50 * time.Millisecond
-	reconnectMax   = 150 * time.Millisecond
-	connectTimeout = 250 * time.Millisecond
-	reconnectGrow  = 1.6
-	reconnectNoise = 0.2
-	// probeAfter is the shortest time that grpc-go allows.
-	probeAfter   = 10 * time.Second
-	probeTimeout = time.Second
+	reconnectMinDelay   = 50 * time.Millisecond
+	reconnectMaxDelay   = 150 * time.Millisecond
+	connectTimeout      = 250 * time.Millisecond
+	reconnectMultiplier = 1.6
+	reconnectJitter     = 0.2
+	// keepaliveInterval is the shortest time that grpc-go allows.
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = time.Second
 )
 
 // QuickReconnect returns the options of a connection that is opened again soon
@@ -38,9 +38,9 @@
 func QuickReconnect() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: reconnectMin, MaxDelay: reconnectMax, Multiplier: reconnectGrow, Jitter: reconnectNoise},
+			Backoff:           backoff.Config{BaseDelay: reconnectMinDelay, MaxDelay: reconnectMaxDelay, Multiplier: reconnectMultiplier, Jitter: reconnectJitter},
 			MinConnectTimeout: connectTimeout,
 		}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: probeAfter, Timeout: probeTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 	}
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -18,7 +18,7 @@
 
 // decodeTable copies a table into a struct. Fields are named by their toml
 // tag; the option "required" asks for presence, the tags min and max for a range.
-func (d *document) decodeTable(t *table, path string, at *node, out reflect.Value) {
+func (d *document) decodeTable(t *table, path string, tableNode *node, out reflect.Value) {
 	known := map[string]bool{}
 	for i := range out.NumField() {
 		field := out.Type().Field(i)
@@ -27,14 +27,14 @@
 		key := joinKey(path, name)
 		n := t.nodes[name]
 		if n == nil {
-			if options == "required" && !d.broken {
-				d.add(at.line, at.column, key, "is required")
+			if options == "required" && !d.hasSyntaxError {
+				d.addFinding(tableNode.line, tableNode.column, key, "is required")
 			}
 			continue
 		}
-		before := len(d.findings)
+		findingCount := len(d.findings)
 		d.decodeValue(n, key, out.Field(i))
-		if len(d.findings) == before {
+		if len(d.findings) == findingCount {
 			d.checkRange(n, key, field.Tag, out.Field(i))
 		}
 	}
@@ -51,7 +51,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		n := t.nodes[name]
-		d.add(n.line, n.column, joinKey(path, name), "is not a known key")
+		d.addFinding(n.line, n.column, joinKey(path, name), "is not a known key")
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 	var v api.Duration
 	if err := v.UnmarshalText([]byte(text)); err != nil {
-		d.add(n.line, n.column, key, "%q is not a duration with a unit, such as \"1.5s\"", text)
+		d.addFinding(n.line, n.column, key, "%q is not a duration with a unit, such as \"1.5s\"", text)
 		return
 	}
 	out.Set(reflect.ValueOf(v))
@@ -124,23 +124,23 @@
 	}
 	if c, ok := out.Interface().(checker); ok {
 		if err := c.check(); err != nil {
-			d.add(n.line, n.column, key, "%v", err)
+			d.addFinding(n.line, n.column, key, "%v", err)
 		}
 	}
 }
 
 // checkRange applies the tags min and max, which hold a duration or an integer.
 func (d *document) checkRange(n *node, key string, tag reflect.StructTag, out reflect.Value) {
-	if least := tag.Get("min"); least != "" && out.Int() < limit(least) {
-		d.add(n.line, n.column, key, "%v is below the minimum of %s", printable(out), least)
+	if minimum := tag.Get("min"); minimum != "" && out.Int() < parseLimit(minimum) {
+		d.addFinding(n.line, n.column, key, "%v is below the minimum of %s", printable(out), minimum)
 	}
-	if most := tag.Get("max"); most != "" && out.Int() > limit(most) {
-		d.add(n.line, n.column, key, "%v is above the maximum of %s", printable(out), most)
+	if maximum := tag.Get("max"); maximum != "" && out.Int() > parseLimit(maximum) {
+		d.addFinding(n.line, n.column, key, "%v is above the maximum of %s", printable(out), maximum)
 	}
 }
 
-// limit reads a limit from a tag. A malformed tag is a fault of this package.
-func limit(text string) int64 {
+// parseLimit reads a parseLimit from a tag. A malformed tag is a fault of this package.
+func parseLimit(text string) int64 {
 	if d, err := time.ParseDuration(text); err == nil {
 		return int64(d)
 	}
@@ -159,7 +159,7 @@
 }
 
 func (d *document) addWrongType(n *node, key, want string) {
-	d.add(n.line, n.column, key, "is %s, want %s", valueName(n.value), want)
+	d.addFinding(n.line, n.column, key, "is %s, want %s", valueName(n.value), want)
 }
 
 func kindName(k reflect.Kind) string {
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -43,8 +43,8 @@
 	file     string
 	root     *table
 	findings Findings
-	// broken is true after a syntax error: the rest of the file is not known.
-	broken bool
+	// hasSyntaxError is true after a syntax error: the rest of the file is not known.
+	hasSyntaxError bool
 }
 
 func parseDocument(file string, data []byte) *document {
@@ -65,7 +65,7 @@
 	return d
 }
 
-func (d *document) add(line, column int, key, format string, args ...any) {
+func (d *document) addFinding(line, column int, key, format string, args ...any) {
 	d.findings = append(d.findings, Finding{d.file, line, column, key, fmt.Sprintf(format, args...)})
 }
 
@@ -74,14 +74,14 @@
 	if err == nil {
 		return
 	}
-	d.broken = true
-	var perr *unstable.ParserError
-	if !errors.As(err, &perr) {
-		d.add(0, 0, "", "%v", err)
+	d.hasSyntaxError = true
+	var parserErr *unstable.ParserError
+	if !errors.As(err, &parserErr) {
+		d.addFinding(0, 0, "", "%v", err)
 		return
 	}
-	at := p.Shape(p.Range(perr.Highlight)).Start
-	d.add(at.Line, at.Column, "", "syntax error: %s", perr.Message)
+	start := p.Shape(p.Range(parserErr.Highlight)).Start
+	d.addFinding(start.Line, start.Column, "", "syntax error: %s", parserErr.Message)
 }
 
 type keyPart struct {
@@ -94,18 +94,18 @@
 	return &node{line: k.line, column: k.column, value: value}
 }
 
-func keyParts(p *unstable.Parser, n *unstable.Node) []keyPart {
+func parseKeyParts(p *unstable.Parser, n *unstable.Node) []keyPart {
 	var parts []keyPart
 	for it := n.Key(); it.Next(); {
-		at := p.Shape(it.Node().Raw).Start
-		parts = append(parts, keyPart{string(it.Node().Data), at.Line, at.Column})
+		start := p.Shape(it.Node().Raw).Start
+		parts = append(parts, keyPart{string(it.Node().Data), start.Line, start.Column})
 	}
 	return parts
 }
 
 // openTable returns the table that a [header] or [[header]] names, and its path.
 func (d *document) openTable(p *unstable.Parser, expr *unstable.Node) (*table, string) {
-	parts := keyParts(p, expr)
+	parts := parseKeyParts(p, expr)
 	last := len(parts) - 1
 	parent, prefix := d.descend(d.root, "", parts[:last], originPath)
 	part := parts[last]
@@ -155,7 +155,7 @@
 			t.nodes[part.name] = n
 		}
 		prefix = path
-		t = openFor(n, o)
+		t = extendableTable(n, o)
 		if t == nil {
 			d.addDuplicate(part, path, n)
 			t = newTable(o)
@@ -167,10 +167,10 @@
 	return t, prefix
 }
 
-// openFor returns the table that a path goes on in, or nil when the node is
+// extendableTable returns the table that a path goes on in, or nil when the node is
 // closed to it: a dotted key adds only to tables of dotted keys, and a path of
 // a header to all but literals.
-func openFor(n *node, o origin) *table {
+func extendableTable(n *node, o origin) *table {
 	value := n.value
 	if elements, ok := value.([]*node); ok && o == originPath && len(elements) > 0 {
 		value = elements[len(elements)-1].value
@@ -183,7 +183,7 @@
 }
 
 func (d *document) addKeyValue(p *unstable.Parser, t *table, prefix string, expr *unstable.Node) {
-	parts := keyParts(p, expr)
+	parts := parseKeyParts(p, expr)
 	last := len(parts) - 1
 	t, prefix = d.descend(t, prefix, parts[:last], originDotted)
 	part := parts[last]
@@ -192,27 +192,27 @@
 		d.addDuplicate(part, path, existing)
 		return
 	}
-	value := d.value(p, path, part, expr.Value())
+	value := d.parseValue(p, path, part, expr.Value())
 	t.nodes[part.name] = part.node(value)
 	t.nodes[part.name].literal = true
 }
 
 func (d *document) addDuplicate(part keyPart, path string, first *node) {
-	d.add(part.line, part.column, path, "is set twice (first on line %d)", first.line)
+	d.addFinding(part.line, part.column, path, "is set twice (first on line %d)", first.line)
 }
 
-func (d *document) value(p *unstable.Parser, path string, part keyPart, n *unstable.Node) any {
+func (d *document) parseValue(p *unstable.Parser, path string, part keyPart, n *unstable.Node) any {
 	switch n.Kind {
 	case unstable.String:
 		return string(n.Data)
 	case unstable.Bool:
 		return string(n.Data) == "true"
 	case unstable.Integer:
-		return integer(string(n.Data))
+		return parseInteger(string(n.Data))
 	case unstable.Array:
-		return d.array(p, path, part, n)
+		return d.parseArray(p, path, part, n)
 	case unstable.InlineTable:
-		return d.inlineTable(p, path, n)
+		return d.parseInlineTable(p, path, n)
 	case unstable.Float:
 		return unsupported("a floating-point number")
 	default:
@@ -220,8 +220,8 @@
 	}
 }
 
-// integer reads a TOML integer; one that does not fit is unsupported.
-func integer(text string) any {
+// parseInteger reads a TOML parseInteger; one that does not fit is unsupported.
+func parseInteger(text string) any {
 	v, err := strconv.ParseInt(text, 0, 64)
 	if err != nil {
 		return unsupported("an integer out of range")
@@ -229,7 +229,7 @@
 	return v
 }
 
-func (d *document) array(p *unstable.Parser, path string, part keyPart, n *unstable.Node) any {
+func (d *document) parseArray(p *unstable.Parser, path string, part keyPart, n *unstable.Node) any {
 	elements := []*node{}
 	for it := n.Children(); it.Next(); {
 		child := it.Node()
@@ -238,16 +238,16 @@
 		}
 		place := part
 		if child.Raw.Length > 0 {
-			at := p.Shape(child.Raw).Start
-			place.line, place.column = at.Line, at.Column
+			start := p.Shape(child.Raw).Start
+			place.line, place.column = start.Line, start.Column
 		}
-		value := d.value(p, indexKey(path, len(elements)), place, child)
+		value := d.parseValue(p, indexKey(path, len(elements)), place, child)
 		elements = append(elements, place.node(value))
 	}
 	return elements
 }
 
-func (d *document) inlineTable(p *unstable.Parser, path string, n *unstable.Node) any {
+func (d *document) parseInlineTable(p *unstable.Parser, path string, n *unstable.Node) any {
 	t := newTable(originDotted)
 	for it := n.Children(); it.Next(); {
 		if it.Node().Kind == unstable.KeyValue {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,7 @@
 // LoadEntry reads the settings of an entry.
 func LoadEntry(path string) (*Entry, error) {
 	s := defaultEntry()
-	if err := load(path, RoleEntry, s, s.checkTogether); err != nil {
+	if err := load(path, RoleEntry, s, s.checkConsistency); err != nil {
 		return nil, err
 	}
 	if s.RPCAdvertise == "" && !s.RPCListen.anyPort() {
@@ -28,7 +28,7 @@
 // LoadAgent reads the settings of an agent.
 func LoadAgent(path string) (*Agent, error) {
 	s := defaultAgent()
-	if err := load(path, RoleAgent, s, s.checkTogether); err != nil {
+	if err := load(path, RoleAgent, s, s.checkConsistency); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -37,7 +37,7 @@
 // LoadStandin reads the settings of a process of stand-ins.
 func LoadStandin(path string) (*Standin, error) {
 	s := &Standin{}
-	if err := load(path, RoleStandin, s, s.checkTogether); err != nil {
+	if err := load(path, RoleStandin, s, s.checkConsistency); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -45,7 +45,7 @@
 
 // Check reads a settings file of any role; the file's key role tells which.
 func Check(path string) error {
-	data, err := read(path)
+	data, err := readFile(path)
 	if err != nil {
 		return err
 	}
@@ -57,28 +57,28 @@
 	switch d.role() {
 	case RoleEntry:
 		s := defaultEntry()
-		return d.decode(RoleEntry, s, s.checkTogether)
+		return d.decode(RoleEntry, s, s.checkConsistency)
 	case RoleAgent:
 		s := defaultAgent()
-		return d.decode(RoleAgent, s, s.checkTogether)
+		return d.decode(RoleAgent, s, s.checkConsistency)
 	case RoleStandin:
 		s := &Standin{}
-		return d.decode(RoleStandin, s, s.checkTogether)
+		return d.decode(RoleStandin, s, s.checkConsistency)
 	}
 	return d.decode("", &struct {
 		Role Role `toml:"role,required"`
 	}{}, nil)
 }
 
-func load(path string, role Role, out any, checkTogether func(*document)) error {
-	data, err := read(path)
+func load(path string, role Role, out any, checkConsistency func(*document)) error {
+	data, err := readFile(path)
 	if err != nil {
 		return err
 	}
-	return parseDocument(path, data).decode(role, out, checkTogether)
+	return parseDocument(path, data).decode(role, out, checkConsistency)
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Annotatef(ErrRead, "%v", err)
@@ -98,29 +98,29 @@
 
 // decode copies the document into out. A file of another or an unknown role is
 // not looked at further, as all its keys would seem wrong.
-func (d *document) decode(want Role, out any, checkTogether func(*document)) error {
-	top := &node{line: 1, column: 1}
+func (d *document) decode(want Role, out any, checkConsistency func(*document)) error {
+	fileStart := &node{line: 1, column: 1}
 	if role := d.role(); role != "" && role != want {
 		n := d.root.nodes["role"]
-		d.add(n.line, n.column, "role", "is %q, want %q", role, want)
+		d.addFinding(n.line, n.column, "role", "is %q, want %q", role, want)
 		return d.findings.err()
 	}
 	if d.role() == "" {
-		d.decodeRole(top)
+		d.decodeRole(fileStart)
 		return d.findings.err()
 	}
-	d.decodeTable(d.root, "", top, reflect.ValueOf(out).Elem())
-	if checkTogether != nil && !d.broken {
-		checkTogether(d)
+	d.decodeTable(d.root, "", fileStart, reflect.ValueOf(out).Elem())
+	if checkConsistency != nil && !d.hasSyntaxError {
+		checkConsistency(d)
 	}
 	return d.findings.err()
 }
 
-func (d *document) decodeRole(top *node) {
+func (d *document) decodeRole(fileStart *node) {
 	n := d.root.nodes["role"]
 	if n == nil {
-		if !d.broken {
-			d.add(top.line, top.column, "role", "is required: \"entry\", \"agent\" or \"standin\"")
+		if !d.hasSyntaxError {
+			d.addFinding(fileStart.line, fileStart.column, "role", "is required: \"entry\", \"agent\" or \"standin\"")
 		}
 		return
 	}
@@ -128,9 +128,9 @@
 	d.decodeScalar(n, "role", reflect.ValueOf(&role).Elem())
 }
 
-// place returns the node of a top-level key or of a key of a top-level table,
+// lookup returns the node of a top-level key or of a key of a top-level table,
 // and whether the file sets it.
-func (d *document) place(path ...string) (*node, bool) {
+func (d *document) lookup(path ...string) (*node, bool) {
 	t := d.root
 	n := &node{line: 1, column: 1}
 	for _, name := range path {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,8 +35,8 @@
 // the processes.
 func TestBodyLimitFitsProtocol(t *testing.T) {
 	field, _ := reflect.TypeFor[Limits]().FieldByName("MaxBodyBytes")
-	if most := limit(field.Tag.Get("max")); most != rpc.MaxBodyBytes || defaultMaxBodyBytes > most {
-		t.Errorf("maximum %d and default %d, want %d", most, defaultMaxBodyBytes, rpc.MaxBodyBytes)
+	if maximum := parseLimit(field.Tag.Get("max")); maximum != rpc.MaxBodyBytes || defaultMaxBodyBytes > maximum {
+		t.Errorf("maximum %d and default %d, want %d", maximum, defaultMaxBodyBytes, rpc.MaxBodyBytes)
 	}
 }
 
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -58,7 +58,7 @@
 )
 
 func (r Role) check() error {
-	return oneOf(r, RoleEntry, RoleAgent, RoleStandin)
+	return checkOneOf(r, RoleEntry, RoleAgent, RoleStandin)
 }
 
 // EndpointKind is what an agent stands beside.
@@ -71,32 +71,32 @@
 )
 
 func (k EndpointKind) check() error {
-	return oneOf(k, KindMinion, KindWorker)
+	return checkOneOf(k, KindMinion, KindWorker)
 }
 
 // Level is the least level of log lines that are written.
 type Level string
 
 func (l Level) check() error {
-	return oneOf(l, "debug", "info", "warn", "error")
+	return checkOneOf(l, "debug", "info", "warn", "error")
 }
 
 // Name is an identifier that is used in URLs, keys and metrics.
 type Name string
 
 const (
-	maxNameLength = 63
-	nameCharacter = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
+	maxNameLength  = 63
+	nameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 )
 
 func (n Name) check() error {
-	if n == "" || len(n) > maxNameLength || strings.Trim(string(n), nameCharacter) != "" {
+	if n == "" || len(n) > maxNameLength || strings.Trim(string(n), nameCharacters) != "" {
 		return errors.Errorf("%q is not a name of 1 to %d letters, digits, '-', '_' and '.'", string(n), maxNameLength)
 	}
 	return nil
 }
 
-func oneOf[T ~string](v T, allowed ...T) error {
+func checkOneOf[T ~string](v T, allowed ...T) error {
 	if slices.Contains(allowed, v) {
 		return nil
 	}
