--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the types that callers, operators and the services of
-// coltsfootlug share. It has no logic beyond checks of single values.
+// Package api defines the types that callers, operators and the services of
+// coltsfootlug share. It has no logic beyond that of single values.
 package api
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/juju/errors"
 )
 
-// Duration is a time.Duration that reads and writes Go duration strings in
-// JSON and TOML, such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON and TOML as a Go duration
+// string, such as "1.5s".
 type Duration time.Duration
 
-// MarshalText writes the duration in Go's notation.
+// MarshalText encodes the duration as a Go duration string.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration in Go's notation.
+// UnmarshalText parses a Go duration string.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -28,10 +28,10 @@
 	return nil
 }
 
-// D returns the value as a time.Duration.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Resources is an amount of a worker's capacity.
+// Resources is an amount of each resource of a worker.
 type Resources struct {
 	Accelerators int `json:"accelerators" toml:"accelerators"`
 	MilliCPU     int `json:"milli_cpu" toml:"milli_cpu"`
@@ -43,22 +43,22 @@
 	return Resources{r.Accelerators + o.Accelerators, r.MilliCPU + o.MilliCPU, r.MemoryMB + o.MemoryMB}
 }
 
-// Sub returns r less o.
+// Sub returns the difference r - o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.Accelerators - o.Accelerators, r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB}
 }
 
-// Times returns n times r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int) Resources {
 	return Resources{r.Accelerators * n, r.MilliCPU * n, r.MemoryMB * n}
 }
 
-// Fits reports whether r fits into free in every dimension.
+// Fits reports whether r is at most free for every resource.
 func (r Resources) Fits(free Resources) bool {
 	return r.Accelerators <= free.Accelerators && r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB
 }
 
-// Adjacency is the smallest part of the fleet that must hold a whole gang.
+// Adjacency is the topology level within which all tasks of a gang must be placed.
 type Adjacency string
 
 // The levels of adjacency, from the narrowest to the widest.
@@ -68,8 +68,8 @@
 	AdjacentZone   Adjacency = "zone"
 )
 
-// Shape is a gang's form: how many tasks of which size, and how near to each
-// other they have to run.
+// Shape describes a gang: the number of tasks, the resources of each, and how
+// close together they must be placed.
 type Shape struct {
 	Tasks     int       `json:"tasks"`
 	PerTask   Resources `json:"per_task"`
@@ -77,13 +77,14 @@
 }
 
 // Guarantee is the capacity that a client account can always reclaim: Gangs
-// gangs of the given shape at the same time.
+// gangs of the given shape running at the same time.
 type Guarantee struct {
 	Gangs int   `json:"gangs"`
 	Shape Shape `json:"shape"`
 }
 
-// Profile names a kind of work and the guarantee behind it.
+// Profile is a named class of work with its scheduling parameters and the
+// guarantee behind it.
 type Profile struct {
 	Name          string     `json:"name"`
 	ClientAccount string     `json:"client_account"`
@@ -93,13 +94,14 @@
 	MaxQueue      int        `json:"max_queue,omitempty"`
 	Timeout       Duration   `json:"timeout,omitempty"`
 	Guarantee     *Guarantee `json:"guarantee,omitempty"`
-	// QuotaAccelerators bounds what the client account runs at once; 0 is no bound.
+	// QuotaAccelerators bounds the accelerators that the client account uses at
+	// once; 0 means no bound.
 	QuotaAccelerators int `json:"quota_accelerators,omitempty"`
 	// Version is the configuration version that last changed this profile.
 	Version uint64 `json:"version"`
 }
 
-// ZoneState tells whether an availability zone may start work.
+// ZoneState says whether work may be started in an availability zone.
 type ZoneState string
 
 // The states of an availability zone.
@@ -108,27 +110,27 @@
 	ZoneOut ZoneState = "out"
 )
 
-// AvailabilityZone is an operator's decision on one zone.
+// AvailabilityZone is the state that operators have set for one zone.
 type AvailabilityZone struct {
 	Name    string    `json:"name"`
 	State   ZoneState `json:"state"`
 	Version uint64    `json:"version"`
 }
 
-// Config is the whole configuration at one version. A zone that is not listed
-// is in.
+// Config is the complete configuration at one version. A zone that is not listed
+// has the state ZoneIn.
 type Config struct {
 	Version  uint64                      `json:"version"`
 	Profiles map[string]Profile          `json:"profiles"`
 	Zones    map[string]AvailabilityZone `json:"zones"`
 }
 
-// ZoneOut reports whether operators have taken the named zone out.
+// ZoneOut reports whether operators have taken the named zone out of service.
 func (c *Config) ZoneOut(name string) bool {
 	return c.Zones[name].State == ZoneOut
 }
 
-// Zone returns the named zone's state; a zone that is not listed is in.
+// Zone returns the named zone; one that is not listed has the state ZoneIn.
 func (c *Config) Zone(name string) AvailabilityZone {
 	if c != nil {
 		if z, ok := c.Zones[name]; ok {
@@ -138,7 +140,7 @@
 	return AvailabilityZone{Name: name, State: ZoneIn}
 }
 
-// ProfileVersion returns the version of a profile, 0 when it does not exist.
+// ProfileVersion returns the version of a profile, or 0 if it does not exist.
 func (c *Config) ProfileVersion(name string) uint64 {
 	if c == nil {
 		return 0
@@ -158,11 +160,11 @@
 	return out
 }
 
-// Outcome is the one final answer of a request or job.
+// Outcome is the single final result of a request or job.
 type Outcome string
 
-// The outcomes. OutcomeNotRun is said only when the work has not run and
-// never will; OutcomeUnknown only when that cannot be known.
+// The outcomes. OutcomeNotRun is reported only if the work has not run and never
+// will; OutcomeUnknown only if it cannot be known whether it ran.
 const (
 	OutcomeDone      Outcome = "done"
 	OutcomeFailed    Outcome = "failed"
@@ -196,7 +198,7 @@
 	Submitted      time.Time       `json:"submitted"`
 }
 
-// JobState is the lasting state of a job.
+// JobState is the persisted state of a job.
 type JobState string
 
 // The states of a job. A job in JobFinal has an Outcome and never changes.
@@ -206,8 +208,8 @@
 	JobFinal   JobState = "final"
 )
 
-// Placement is the part of a gang on one worker. The tasks are numbered from
-// FirstTask on.
+// Placement is the part of a gang on one worker: tasks FirstTask to
+// FirstTask+Tasks-1.
 type Placement struct {
 	Worker    string `json:"worker"`
 	Zone      string `json:"zone"`
@@ -215,7 +217,7 @@
 	Tasks     int    `json:"tasks"`
 }
 
-// JobRecord is a job's row in the platform's table.
+// JobRecord is the row of a job in the platform's table.
 type JobRecord struct {
 	Job         Job               `json:"job"`
 	State       JobState          `json:"state"`
@@ -236,17 +238,17 @@
 	Output    json.RawMessage `json:"output,omitempty"`
 }
 
-// Problem is an error document as in RFC 9457.
+// Problem is a problem document as defined by RFC 9457.
 type Problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
 	Status     int    `json:"status"`
 	Detail     string `json:"detail"`
 	RetryAfter int    `json:"retry_after,omitempty"` // seconds
-	Version    uint64 `json:"version,omitempty"`     // current version after a lost race
+	Version    uint64 `json:"version,omitempty"`     // current version, after a version conflict
 }
 
-// ProcessConfig is one line of the configuration status.
+// ProcessConfig is the configuration version in force in one process and its age.
 type ProcessConfig struct {
 	Process string `json:"process"`
 	Role    string `json:"role"`
@@ -255,7 +257,7 @@
 	AgeMS   int64  `json:"age_ms"`
 }
 
-// ConfigStatus tells which process has which configuration in force.
+// ConfigStatus lists the configuration version in force in each process.
 type ConfigStatus struct {
 	Version   uint64          `json:"version"`
 	InForce   bool            `json:"in_force"`
--- a/internal/httpx/debug.go
+++ b/internal/httpx/debug.go
@@ -11,34 +11,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Paths of the pages that each process has.
+// Paths of the debug pages that each process serves.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
 	PathMetrics = "/metrics"
-	// PathMetricsText has the metrics as lines of text for clients that ask for
-	// no type.
+	// PathMetricsText serves the metrics as plain text to clients that send no
+	// Accept header.
 	PathMetricsText = "/metrics.txt"
 	PathState       = "/debug/state"
 )
 
-// DebugOptions is what the pages of a process show.
+// DebugOptions configures the debug pages of a process.
 type DebugOptions struct {
-	// Ready returns nil when the process takes new work, otherwise the reason
-	// why not. A nil Ready stands for a process that is always ready.
+	// Ready returns nil if the process accepts new work, otherwise the reason why
+	// not. A nil Ready means that the process is always ready.
 	Ready func() error
 	// Registry holds the metrics.
 	Registry metrics.Registry
-	// Dump returns the state of the process, in a form that has JSON.
+	// Dump returns the state of the process as a value that encodes to JSON.
 	Dump func() any
 }
 
-// Health is the document of /healthz and /readyz.
+// Health is the response body of /healthz and /readyz.
 type Health struct {
 	Status string `json:"status"`
 }
 
-// MountDebugPages mounts /healthz, /readyz, /metrics, /metrics.txt and /debug/state.
+// MountDebugPages adds /healthz, /readyz, /metrics, /metrics.txt and /debug/state
+// to r.
 func MountDebugPages(r *router.Router, options DebugOptions) {
 	r.GET(PathHealth, func(ctx *fasthttp.RequestCtx) {
 		WriteJSON(ctx, fasthttp.StatusOK, Health{"ok"})
@@ -64,8 +65,8 @@
 	WriteJSON(ctx, fasthttp.StatusOK, Health{"ready"})
 }
 
-// serveMetrics answers in JSON, or in lines of "name value" when the client
-// asks for plain text.
+// serveMetrics responds with JSON, or with lines of "name value" if the client
+// accepts plain text.
 func serveMetrics(ctx *fasthttp.RequestCtx, registry metrics.Registry) {
 	all := registry.GetAll()
 	accept := string(ctx.Request.Header.Peek(fasthttp.HeaderAccept))
@@ -92,7 +93,8 @@
 	return b.Bytes()
 }
 
-// metricName leaves out the field of metrics that have a single value.
+// metricName joins a metric's name and field. It omits the field of metrics with
+// a single value.
 func metricName(name, field string) string {
 	if field == "count" || field == "value" {
 		return name
--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -1,6 +1,6 @@
-// Package httpx holds what the HTTP interfaces of all processes share: problem
-// documents, JSON, the health, metrics and state pages, and a server that
-// stops gracefully.
+// Package httpx provides what the HTTP interfaces of all processes share:
+// problem documents, JSON bodies, the health, metrics and state pages, and a
+// server with graceful shutdown.
 package httpx
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Content types of answers.
+// Content types of responses.
 const (
 	ContentTypeJSON    = "application/json"
 	ContentTypeProblem = "application/problem+json"
 	ContentTypeText    = "text/plain; charset=utf-8"
 )
 
-// Names of the headers of the callers' interface.
+// Header names of the API for callers.
 const (
 	HeaderProfile        = "Coltsfoot-Profile"
 	HeaderIdempotent     = "Coltsfoot-Idempotent"
@@ -32,10 +32,11 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// ErrBadBody says that a request's body is not the expected JSON document.
+// ErrBadBody is returned when a request body is not the expected JSON document.
 const ErrBadBody = errors.ConstError("body not valid")
 
-// Problemf returns a problem document with the standard title of its status.
+// Problemf returns a problem document with the standard title of its status and
+// a formatted detail.
 func Problemf(status int, format string, args ...any) api.Problem {
 	return api.Problem{
 		Type:   "about:blank",
@@ -45,8 +46,8 @@
 	}
 }
 
-// WriteProblem answers with a problem document. Missing parts are filled in
-// from the status, which is 500 when p has none.
+// WriteProblem responds with a problem document. A missing type or title is
+// derived from the status, which defaults to 500.
 func WriteProblem(ctx *fasthttp.RequestCtx, p api.Problem) {
 	if p.Status == 0 {
 		p.Status = fasthttp.StatusInternalServerError
@@ -63,7 +64,8 @@
 	writeDocument(ctx, p.Status, ContentTypeProblem, p)
 }
 
-// WriteJSON answers with a JSON document.
+// WriteJSON responds with v encoded as JSON, or with a problem document of
+// status 500 if v cannot be encoded.
 func WriteJSON(ctx *fasthttp.RequestCtx, status int, v any) {
 	writeDocument(ctx, status, ContentTypeJSON, v)
 }
@@ -73,7 +75,7 @@
 	if err != nil {
 		status = fasthttp.StatusInternalServerError
 		contentType = ContentTypeProblem
-		// A problem document always has a JSON form.
+		// Encoding a problem document cannot fail.
 		body, _ = json.MarshalIndent(Problemf(status, "answer has no JSON form: %v", err), "", "  ")
 	}
 	ctx.SetStatusCode(status)
@@ -81,8 +83,8 @@
 	ctx.SetBody(append(body, '\n'))
 }
 
-// ReadJSON reads the request's body into v. Unknown fields, a wrong type and
-// anything after the document are errors of kind ErrBadBody.
+// ReadJSON decodes the request body into v. An empty body, unknown fields, wrong
+// types and data after the document are errors of kind ErrBadBody.
 func ReadJSON(ctx *fasthttp.RequestCtx, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(ctx.PostBody()))
 	decoder.DisallowUnknownFields()
@@ -98,12 +100,12 @@
 	return nil
 }
 
-// ETag returns the entity tag of an item's version.
+// ETag returns the entity tag for a version of an item.
 func ETag(version uint64) string {
 	return strconv.Quote(strconv.FormatUint(version, 10))
 }
 
-// ParseETag returns the version of an entity tag made by ETag.
+// ParseETag returns the version in an entity tag made by ETag.
 func ParseETag(tag string) (uint64, error) {
 	text, err := strconv.Unquote(tag)
 	if err != nil {
--- a/internal/httpx/httpx_test.go
+++ b/internal/httpx/httpx_test.go
@@ -19,7 +19,8 @@
 
 const testMaxBody = 64 << 10
 
-// startServer serves the debug pages and a few test paths.
+// startServer starts a server with the debug pages and a few test paths. A
+// request to /wait completes when the returned channel is closed.
 func startServer(t *testing.T, ready func() error) (*Server, chan struct{}) {
 	t.Helper()
 	registry := metrics.NewRegistry()
@@ -211,7 +212,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/httpx/server.go
+++ b/internal/httpx/server.go
@@ -17,7 +17,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Limits of the HTTP servers.
+// Limits of the HTTP servers. The linger limits bound how much a server reads
+// and discards after it has refused a request (see lingerConn).
 const (
 	readTimeout     = 60 * time.Second
 	writeTimeout    = 60 * time.Second
@@ -28,8 +29,8 @@
 	lingerChunkSize = 32 << 10
 )
 
-// NewRouter returns a router that answers unknown paths, wrong methods and
-// panics with problem documents. onPanic, if not nil, is told of each panic.
+// NewRouter returns a router that responds to unknown paths, wrong methods and
+// panics with problem documents. onPanic, if not nil, is called for each panic.
 func NewRouter(onPanic func(path string, value any)) *router.Router {
 	r := router.New()
 	r.RedirectTrailingSlash = false
@@ -54,26 +55,27 @@
 
 // ServerOptions configures a Server.
 type ServerOptions struct {
-	// Listen is the address to listen on; port 0 lets the system choose.
+	// Listen is the address to listen on; with port 0 the operating system
+	// chooses the port.
 	Listen string
 	// Handler serves the requests.
 	Handler fasthttp.RequestHandler
-	// MaxBodyBytes bounds a request's body; 0 stands for fasthttp's default.
+	// MaxBodyBytes bounds the request body; 0 selects fasthttp's default.
 	MaxBodyBytes int
-	// LameDuck is how long Stop goes on accepting connections, while answers
-	// ask clients to close theirs, before the listener is closed.
+	// LameDuck is how long Stop keeps accepting connections before it closes the
+	// listener. Responses in that time ask clients to close their connections.
 	LameDuck time.Duration
-	// Registry, if not nil, counts answers by class of status ("http.2xx") and
+	// Registry, if not nil, counts responses by status class ("http.2xx") and
 	// requests that could not be read ("http.unreadable").
 	Registry metrics.Registry
 }
 
-// Server is an HTTP server with the life of a kernel service.
+// Server is an HTTP server that is a kernel service.
 type Server struct {
 	options    ServerOptions
 	server     *fasthttp.Server
 	listener   net.Listener
-	serving    context.Context // ends when Stop begins
+	serving    context.Context // cancelled when Stop begins
 	beginDrain context.CancelFunc
 	serveLoop  sync.WaitGroup
 
@@ -81,13 +83,13 @@
 	unreadable metrics.Counter
 }
 
-// discardLogger drops the library's line for each broken connection; the
-// counter of unreadable requests stands for them.
+// discardLogger discards the library's log line for each broken connection; the
+// counter http.unreadable counts them instead.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server that listens once it is started.
 func NewServer(options ServerOptions) *Server {
 	s := &Server{options: options}
 	s.serving, s.beginDrain = context.WithCancel(context.Background())
@@ -120,7 +122,7 @@
 	s.unreadable = metrics.GetOrRegisterCounter("http.unreadable", registry)
 }
 
-// Start listens and serves.
+// Start opens the listener and serves requests in the background.
 func (s *Server) Start(context.Context) error {
 	listener, err := net.Listen("tcp", s.options.Listen)
 	if err != nil {
@@ -130,24 +132,24 @@
 	s.serveLoop.Add(1)
 	go func() {
 		defer s.serveLoop.Done()
-		// Serve returns an error only when the listener is closed.
+		// Serve returns an error only after the listener is closed.
 		_ = s.server.Serve(lingerListener{listener})
 	}()
 	return nil
 }
 
-// Addr returns the address that the server listens on, after Start.
+// Addr returns the address that the server listens on. It is valid after Start.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Draining reports whether Stop has begun.
 func (s *Server) Draining() bool { return s.serving.Err() != nil }
 
-// Serving returns a context that ends when Stop begins, for handlers that wait
-// for something which need not come.
+// Serving returns a context that is cancelled when Stop begins. Handlers use it
+// to end waits for events that may never happen.
 func (s *Server) Serving() context.Context { return s.serving }
 
-// Stop waits for the requests in progress. While LameDuck lasts new requests
-// are still served.
+// Stop shuts the server down and waits for requests in progress. New requests
+// are still served during LameDuck.
 func (s *Server) Stop(ctx context.Context) error {
 	s.beginDrain()
 	timer := time.NewTimer(s.options.LameDuck)
@@ -173,7 +175,7 @@
 	}
 }
 
-// handleError answers requests that could not be read, and so have not run.
+// handleError responds to requests that could not be read and so were not run.
 func (s *Server) handleError(ctx *fasthttp.RequestCtx, err error) {
 	s.unreadable.Inc(1)
 	ctx.Response.Header.Set(HeaderOutcome, string(api.OutcomeNotRun))
@@ -190,15 +192,17 @@
 	case errors.As(err, &netErr) && netErr.Timeout():
 		WriteProblem(ctx, Problemf(fasthttp.StatusRequestTimeout, "request was not complete within %v", readTimeout))
 	default:
-		// The library's text ends with the content of its buffer.
+		// The library's text ends with the content of its buffer; leave that out.
 		text, _, _ := strings.Cut(err.Error(), ": buffer size=")
 		WriteProblem(ctx, Problemf(fasthttp.StatusBadRequest, "request not valid: %s", text))
 	}
 }
 
-// lingerListener wraps connections so that a client which is still sending
-// reads the answer to a refused request. Closing a socket with unread data
-// would reset the connection and discard the answer.
+// lingerListener wraps connections in lingerConn.
+//
+// A client that is still sending must be able to read the response to a refused
+// request. Closing a socket with unread data would reset the connection and
+// discard the response.
 type lingerListener struct{ net.Listener }
 
 func (l lingerListener) Accept() (net.Conn, error) {
@@ -214,8 +218,8 @@
 	linger atomic.Bool
 }
 
-// Close discards what the client still sends, for a bounded time, when the
-// last request was refused before its end.
+// Close first reads and discards what the client still sends if the last request
+// was refused before it was complete. Time and amount are bounded.
 func (c *lingerConn) Close() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.linger.Load() {
 		discardUnread(tcp)
@@ -237,8 +241,8 @@
 	}
 }
 
-// NewDebugServer returns a server of a process's own pages on a port; with port 0
-// the system chooses one.
+// NewDebugServer returns a server that serves only the debug pages of a process.
+// With port 0 the operating system chooses the port.
 func NewDebugServer(ip string, port int, registry metrics.Registry, dump func() any) *Server {
 	r := NewRouter(nil)
 	MountDebugPages(r, DebugOptions{Registry: registry, Dump: dump})
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel is the micro-kernel of each process: services are built by
-// uber/dig, register under a name, find each other by it, start in order of
-// registration and stop in reverse.
+// Package kernel is the service container of each process. Services are
+// constructed by uber/dig and registered under unique names, by which they look
+// each other up. They start in order of registration and stop in reverse order.
 package kernel
 
 import (
@@ -11,23 +11,24 @@
 	"go.uber.org/dig"
 )
 
-// Service is a part of a process with a life of its own.
+// Service is a part of a process that is started and stopped with it.
 type Service interface {
-	// Start returns once the service serves; long work goes on in its own goroutines.
+	// Start returns once the service is ready; long-running work continues in
+	// goroutines of the service.
 	Start(ctx context.Context) error
-	// Stop returns once all work in progress has finished or ctx has ended.
+	// Stop returns once all work in progress has finished or ctx is done.
 	Stop(ctx context.Context) error
 }
 
-// Dumper is a service that can show its state.
+// Dumper is implemented by services that contribute to the state dump.
 type Dumper interface {
 	DumpState() any
 }
 
-// ErrNoService says that no service has the name and type asked for.
+// ErrNoService is returned by Find when no service has the requested name and type.
 const ErrNoService = errors.ConstError("no such service")
 
-// Registration is a service under a name of its own.
+// Registration is a service and the unique name that it is registered under.
 type Registration struct {
 	Name    string
 	Service Service
@@ -45,7 +46,7 @@
 // New returns an empty kernel whose container provides the kernel itself.
 func New() *Kernel {
 	k := &Kernel{container: dig.New()}
-	// Provide of a plain value into an empty container does not fail.
+	// Providing a parameterless constructor to an empty container cannot fail.
 	_ = k.container.Provide(func() *Kernel { return k })
 	return k
 }
@@ -65,7 +66,7 @@
 	return errors.Trace(dig.RootCause(k.container.Invoke(fn)))
 }
 
-// Register adds a service under a name of its own.
+// Register adds a service under a name that no other service has.
 func (k *Kernel) Register(name string, s Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// RegisterAll adds services in the order of their start, up to the first
-// whose name is taken.
+// RegisterAll adds services in start order. It returns an error at the first
+// name that is already taken; the services before it stay registered.
 func (k *Kernel) RegisterAll(all ...Registration) error {
 	for _, r := range all {
 		if err := k.Register(r.Name, r.Service); err != nil {
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// Find returns the service with the name, as a T.
+// Find returns the service with the given name as a T, or an error of kind
+// ErrNoService.
 func Find[T any](k *Kernel, name string) (T, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -106,14 +108,14 @@
 	return zero, errors.Annotatef(ErrNoService, "service %q", name)
 }
 
-// Start starts all services in order of registration. After an error the
-// started ones are stopped again.
+// Start starts all services in order of registration. If one fails, the
+// services already started are stopped and the error is returned.
 func (k *Kernel) Start(ctx context.Context) error {
 	for i, r := range k.snapshot() {
 		if err := r.Service.Start(ctx); err != nil {
 			stopErr := k.Stop(ctx)
 			if stopErr != nil {
-				return errors.Annotatef(err, "starting service %q (and stopping failed: %v)", r.Name, stopErr)
+				return errors.Annotatef(err, "starting service %q (stopping the started services failed too: %v)", r.Name, stopErr)
 			}
 			return errors.Annotatef(err, "starting service %q", r.Name)
 		}
@@ -124,8 +126,8 @@
 	return nil
 }
 
-// Stop stops the started services in reverse order. All are stopped even when
-// some fail; the first error is returned.
+// Stop stops the started services in reverse order. It stops all of them even
+// if some fail, and returns the first error.
 func (k *Kernel) Stop(ctx context.Context) error {
 	services := k.snapshot()
 	k.mu.Lock()
@@ -141,7 +143,7 @@
 	return firstErr
 }
 
-// DumpState returns the state of each service that has one, by name.
+// DumpState returns the state of each service that implements Dumper, by name.
 func (k *Kernel) DumpState() map[string]any {
 	out := map[string]any{}
 	for _, r := range k.snapshot() {
--- a/internal/kernel/loops.go
+++ b/internal/kernel/loops.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Loops are the background goroutines of a service. The zero value is ready
-// for Begin.
+// Loops manages the background goroutines of a service. Begin must be called
+// before goroutines are started; the zero value is ready for it.
 type Loops struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 }
 
-// Begin prepares for goroutines that live until End.
+// Begin creates the context that goroutines run under until End.
 func (l *Loops) Begin() {
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 }
 
-// Context ends when End is called.
+// Context returns the context of the goroutines, which End cancels.
 func (l *Loops) Context() context.Context { return l.ctx }
 
-// Go runs fn in a goroutine; fn returns when its context ends.
+// Go runs fn in a goroutine. fn must return when its context is cancelled.
 func (l *Loops) Go(fn func(ctx context.Context)) {
 	l.group.Add(1)
 	go func() {
@@ -31,7 +31,8 @@
 	}()
 }
 
-// Every runs fn now and at each interval in a goroutine.
+// Every runs fn in a goroutine, once immediately and then at each interval,
+// until End.
 func (l *Loops) Every(interval time.Duration, fn func(ctx context.Context)) {
 	l.Go(func(ctx context.Context) {
 		t := time.NewTicker(interval)
@@ -46,7 +47,8 @@
 	})
 }
 
-// End ends the context and waits for all goroutines. Without Begin it does nothing.
+// End cancels the context and waits for all goroutines to return. It does
+// nothing if Begin has not been called.
 func (l *Loops) End() {
 	if l.cancel == nil {
 		return
@@ -55,7 +57,7 @@
 	l.group.Wait()
 }
 
-// Sleep waits for a duration or the end of ctx.
+// Sleep waits until d has passed or ctx is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -65,7 +67,8 @@
 	}
 }
 
-// PollUntil polls a condition until it holds or ctx ends, and returns whether it holds.
+// PollUntil checks condition immediately and then at each interval until it
+// returns true or ctx is done. It reports whether the condition became true.
 func PollUntil(ctx context.Context, interval time.Duration, condition func() bool) bool {
 	for !condition() {
 		if ctx.Err() != nil {
--- a/internal/procmain/hosted.go
+++ b/internal/procmain/hosted.go
@@ -17,26 +17,28 @@
 )
 
 const (
-	// logBufferLines is the number of lines that wait for standard output; further
-	// ones are dropped and counted.
+	// logBufferLines is how many log lines are buffered for standard output;
+	// further lines are dropped and counted.
 	logBufferLines = 4096
-	// memoryLimitFraction is the part of the host's memory limit up to which the
-	// garbage collector lets the heap grow.
+	// memoryLimitFraction is the Go memory limit, up to which the garbage
+	// collector lets the heap grow, as a fraction of the host's memory limit.
 	memoryLimitFraction = 0.6
-	// drainReserve is the part of the time before the kill that is left over
-	// after the drain.
+	// drainReserve is the time kept free between the end of the drain and the
+	// kill.
 	drainReserve = 800 * time.Millisecond
 )
 
-// HostedFlags are the command line of a process whose host gives its settings.
+// HostedFlags holds the command line flags of a process whose settings are
+// provided by its host.
 type HostedFlags struct {
-	// MetricsPort is the port of the process's own pages.
+	// MetricsPort is the port of the debug pages.
 	MetricsPort int
 	LogLevel    string
 }
 
-// LoadHosted parses the flags of a hosted process and loads the settings of
-// the host. It returns nil and the exit code when the process has to end.
+// LoadHosted parses the flags of a hosted process, loads the settings of the host
+// and sets the Go memory limit. If the process has to exit, it writes the reason
+// to stderr and returns nil and the exit code.
 func LoadHosted(name string, args []string, stderr io.Writer, path string, load func(string) (*settings.Hosted, error)) (*settings.Hosted, HostedFlags, int) {
 	var f HostedFlags
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
@@ -63,18 +65,19 @@
 	return s, f, ExitOK
 }
 
-// HostedLogger returns a logger that never blocks: lines that the output does
-// not take in time are dropped, and dropped is told how many.
+// HostedLogger returns a logger that never blocks. Lines that do not fit into the
+// buffer while the output is slow are dropped, and dropped is called with their
+// number.
 func HostedLogger(output io.Writer, f HostedFlags, role, id string, dropped func(int)) zerolog.Logger {
 	w := diode.NewWriter(output, logBufferLines, 0, dropped)
 	return NewLogger(w, settings.Level(f.LogLevel), settings.Role(role), id)
 }
 
-// HostedDrainTimeout is how long a planned stop may take.
+// HostedDrainTimeout returns how long a graceful stop may take.
 func HostedDrainTimeout(s *settings.Hosted) time.Duration { return s.StopGrace - drainReserve }
 
-// RunHosted runs a hosted process: it loads the settings, wires the services
-// and serves until a signal ends it. It returns the exit code.
+// RunHosted runs a hosted process: it loads the settings, registers the services
+// with wire and serves until a signal ends the process. It returns the exit code.
 func RunHosted(name, role, path string, load func(string) (*settings.Hosted, error), wire func(*kernel.Kernel, Hosted) error) int {
 	s, flags, code := LoadHosted(name, os.Args[1:], os.Stderr, path, load)
 	if s == nil {
@@ -96,7 +99,8 @@
 	return Process{Kernel: k, Log: log, DrainTimeout: HostedDrainTimeout(s), Reload: reload}.Run()
 }
 
-// Hosted is what the services of a hosted process are wired with.
+// Hosted holds the dependencies that the services of a hosted process are built
+// from.
 type Hosted struct {
 	Settings *settings.Hosted
 	Flags    HostedFlags
--- a/internal/procmain/hosted_test.go
+++ b/internal/procmain/hosted_test.go
@@ -11,8 +11,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/settings"
 )
 
-// TestLogsNeverBlock shows that lines which nobody reads are dropped and counted
-// while the process goes on.
+// TestLogsNeverBlock checks that log lines are dropped and counted, without
+// blocking the process, while nobody reads the output.
 func TestLogsNeverBlock(t *testing.T) {
 	reader, writer := io.Pipe()
 	var dropped atomic.Int64
--- a/internal/procmain/procmain.go
+++ b/internal/procmain/procmain.go
@@ -1,5 +1,6 @@
-// Package procmain is the common main part of the processes: settings from
-// the command line, the logger, signals, graceful stop and exit codes.
+// Package procmain holds the parts of main that all processes share: loading
+// settings from the command line, the logger, signal handling, graceful shutdown
+// and exit codes.
 package procmain
 
 import (
@@ -22,17 +23,18 @@
 // The exit codes of the processes.
 const (
 	ExitOK              = 0
-	ExitFailed          = 1 // a service could not start, or failed while it ran
-	ExitUsage           = 2 // wrong flags or settings
-	ExitDrainIncomplete = 3 // the stop was cut short: work was still in progress
+	ExitFailed          = 1 // a service failed to start or failed while running
+	ExitUsage           = 2 // invalid flags or settings
+	ExitDrainIncomplete = 3 // the process stopped with work still in progress
 )
 
-// stopReturnTimeout is how long services get after the drain timeout to return.
+// stopReturnTimeout is how long services have to return from Stop after its
+// context has ended.
 const stopReturnTimeout = 5 * time.Second
 
 // Load parses the flags of a process, which are -settings FILE, and loads the
-// file. It returns nil and the exit code when the process has to end, after
-// writing the reason to stderr.
+// file. If the process has to exit, it writes the reason to stderr and returns
+// nil and the exit code.
 func Load[T any](name string, args []string, stderr io.Writer, load func(path string) (*T, error)) (*T, int) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(stderr)
@@ -58,7 +60,8 @@
 	return s, ExitOK
 }
 
-// NewLogger returns the logger of a process.
+// NewLogger returns a logger that adds the role and id of the process to each
+// line. An empty or unknown level means info.
 func NewLogger(w io.Writer, level settings.Level, role settings.Role, id string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(string(level))
 	if err != nil || level == "" {
@@ -68,23 +71,24 @@
 	return logger.Str("id", id).Logger()
 }
 
-// Process is a kernel that runs until a signal ends it.
+// Process runs a kernel until a signal or the failure of a service ends it.
 type Process struct {
 	Kernel *kernel.Kernel
 	Log    zerolog.Logger
-	// DrainTimeout bounds how long a planned stop waits for work in progress.
+	// DrainTimeout bounds how long a graceful stop waits for work in progress.
 	DrainTimeout time.Duration
-	// Failed, if not nil, ends the process when a service fails while it runs.
+	// Failed, if not nil, receives the error of a service that fails while it
+	// runs, which ends the process.
 	Failed <-chan error
-	// Reload, if not nil, reads the settings again on SIGHUP.
+	// Reload, if not nil, re-reads the settings on SIGHUP.
 	Reload func() error
 	// Dump receives the state dump on SIGUSR1. Default os.Stderr.
 	Dump io.Writer
 }
 
 // Run starts the kernel, serves until SIGTERM or SIGINT, stops gracefully and
-// returns the exit code. A second signal cuts the stop short. SIGUSR1 writes
-// the state dump, SIGHUP reloads the settings.
+// returns the exit code. A second SIGTERM or SIGINT ends the graceful stop early.
+// SIGUSR1 writes the state dump and SIGHUP reloads the settings.
 func (p Process) Run() int {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -96,18 +100,19 @@
 	return p.run(signals)
 }
 
-// handleReloads handleReloads the settings on each SIGHUP, which never ends the process.
+// handleReloads re-reads the settings on each SIGHUP. SIGHUP never ends the
+// process.
 func (p Process) handleReloads(hup <-chan os.Signal) {
 	for range hup {
 		if p.Reload == nil {
-			p.Log.Info().Msg("settings are read at the start only")
+			p.Log.Info().Msg("SIGHUP ignored: settings are read only at start")
 			continue
 		}
 		if err := p.Reload(); err != nil {
-			p.Log.Error().Err(err).Msg("settings not reloaded; the earlier ones stay")
+			p.Log.Error().Err(err).Msg("settings reload failed; keeping the current settings")
 			continue
 		}
-		p.Log.Info().Msg("settings read again; addresses stay until the next start")
+		p.Log.Info().Msg("settings re-read; addresses do not change until the next start")
 	}
 }
 
@@ -130,8 +135,8 @@
 	return code
 }
 
-// start starts the kernel; a signal that asks for the stop cancels it. Further
-// signals are left to the stop.
+// start starts the kernel. SIGTERM or SIGINT cancels the start; later signals
+// stay in the channel for stop.
 func (p Process) start(ctx context.Context, cancel func(), signals <-chan os.Signal) error {
 	done := make(chan error, 1)
 	go func() { done <- p.Kernel.Start(ctx) }()
@@ -151,7 +156,7 @@
 	}
 }
 
-// serve returns nil when a signal asks for the stop, or the failure of a service.
+// serve returns nil on SIGTERM or SIGINT, or the error of a failed service.
 func (p Process) serve(signals <-chan os.Signal) error {
 	for {
 		select {
@@ -191,17 +196,19 @@
 	}
 }
 
-// awaitReturn gives the services a last chance to return after ctx has ended.
+// awaitReturn waits up to stopReturnTimeout for the services to return after the
+// context of the stop has ended, and returns the exit code.
 func (p Process) awaitReturn(stopped <-chan error) int {
 	select {
 	case err := <-stopped:
 		return p.exitCode(err)
 	case <-time.After(stopReturnTimeout):
-		p.Log.Error().Msg("services did not return after the drain timeout")
+		p.Log.Error().Msg("services did not return after the drain ended; exiting")
 		return ExitDrainIncomplete
 	}
 }
 
+// exitCode logs the result of the stop and returns its exit code.
 func (p Process) exitCode(err error) int {
 	if err != nil {
 		p.Log.Error().Err(err).Msg("stopped with work in progress")
@@ -219,6 +226,6 @@
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(p.Kernel.DumpState()); err != nil {
-		p.Log.Error().Err(err).Msg("state dump has no JSON form")
+		p.Log.Error().Err(err).Msg("failed to encode state dump as JSON")
 	}
 }
--- a/internal/procmain/procmain_test.go
+++ b/internal/procmain/procmain_test.go
@@ -16,11 +16,11 @@
 	"github.com/rs/zerolog"
 )
 
-// fakeService stops when work is closed or the drain timeout has passed.
+// fakeService stops when work is closed or its stop context has ended.
 type fakeService struct {
 	work      chan struct{}
 	failStart bool
-	// blockStart lets Start wait for the end of its context, and then succeed.
+	// blockStart makes Start wait until its context is cancelled and then succeed.
 	blockStart bool
 }
 
@@ -64,7 +64,7 @@
 	go func() { code <- p.run(signals) }()
 	signals <- syscall.SIGUSR1
 	signals <- syscall.SIGTERM
-	signals <- syscall.SIGUSR1 // received only while the stop waits
+	signals <- syscall.SIGUSR1 // unbuffered, so received only while the stop waits
 	close(s.work)
 	if got := <-code; got != ExitOK {
 		t.Errorf("exit code %d", got)
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -5,7 +5,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// FromResources converts an amount of resources to its message.
+// FromResources converts resources to their message.
 func FromResources(r api.Resources) *Resources {
 	return &Resources{
 		Accelerators: int32(r.Accelerators),
@@ -14,7 +14,7 @@
 	}
 }
 
-// ToResources converts a message to an amount of resources; nil is none.
+// ToResources converts a message to resources; nil converts to zero.
 func ToResources(r *Resources) api.Resources {
 	return api.Resources{
 		Accelerators: int(r.GetAccelerators()),
@@ -30,7 +30,8 @@
 	Outcome_OUTCOME_UNKNOWN: api.OutcomeUnknown,
 }
 
-// ToOutcome converts an outcome; an unspecified one is unknown.
+// ToOutcome converts an outcome from its message; an unspecified outcome becomes
+// unknown.
 func ToOutcome(o Outcome) api.Outcome {
 	if out, ok := outcomes[o]; ok {
 		return out
@@ -38,7 +39,8 @@
 	return api.OutcomeUnknown
 }
 
-// FromOutcome converts an outcome to its message.
+// FromOutcome converts an outcome to its message; one without a message becomes
+// unspecified.
 func FromOutcome(o api.Outcome) Outcome {
 	for k, v := range outcomes {
 		if v == o {
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// Dial returns a connection to another process of coltsfootlug at an IP
-// address and port. Nothing is sent before the first call.
+// Dial returns a connection to another process of coltsfootlug at an IP address
+// and port. It connects only at the first call.
 func Dial(address string, options ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options = append([]grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -20,21 +20,21 @@
 	return grpc.NewClient("passthrough:///"+address, options...)
 }
 
-// Times of connections that are opened again at once: takeovers have to end
-// within the time in which urgent work starts.
+// Parameters of QuickReconnect. The delays are short because a takeover has to
+// complete within the time in which urgent work must start.
 const (
 	reconnectMinDelay   = 50 * time.Millisecond
 	reconnectMaxDelay   = 150 * time.Millisecond
 	connectTimeout      = 250 * time.Millisecond
 	reconnectMultiplier = 1.6
 	reconnectJitter     = 0.2
-	// keepaliveInterval is the shortest time that grpc-go allows.
+	// keepaliveInterval is the shortest interval that grpc-go allows.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = time.Second
 )
 
-// QuickReconnect returns the options of a connection that is opened again soon
-// after it was lost.
+// QuickReconnect returns dial options with which a lost connection is
+// re-established quickly.
 func QuickReconnect() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithConnectParams(grpc.ConnectParams{
--- a/internal/rpc/fleet.go
+++ b/internal/rpc/fleet.go
@@ -7,12 +7,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph/plan"
 )
 
-// TaskRefOf returns the message that names a run.
+// TaskRefOf returns the message that identifies a run of a task.
 func TaskRefOf(t graph.TaskID, run uint64) *TaskRef {
 	return &TaskRef{Job: string(t.Job), Occurrence: int32(t.Occurrence), Step: int32(t.Step), Index: int32(t.Index), Run: run}
 }
 
-// TaskOf returns the run that a message names.
+// TaskOf returns the task and the run that a message identifies.
 func TaskOf(r *TaskRef) (graph.TaskID, uint64) {
 	id := graph.TaskID{Job: graph.JobID(r.GetJob()), Occurrence: int(r.GetOccurrence()), Step: int(r.GetStep()), Index: int(r.GetIndex())}
 	return id, r.GetRun()
@@ -34,7 +34,8 @@
 	}
 }
 
-// ReportOf returns the message that describes a worker, without its lists.
+// ReportOf returns the report that describes a worker, without the lists of
+// running and ended tasks.
 func ReportOf(w plan.WorkerInfo) *WorkerReport {
 	return &WorkerReport{
 		Worker:       w.ID,
@@ -52,7 +53,7 @@
 	}
 }
 
-// RunStatesOf returns the runs of a report.
+// RunStatesOf converts the running tasks of a report.
 func RunStatesOf(in []*RunningTask) []graph.RunState {
 	out := make([]graph.RunState, len(in))
 	for i, r := range in {
@@ -62,7 +63,7 @@
 	return out
 }
 
-// RunningTasksOf returns the messages for runs.
+// RunningTasksOf converts runs to their messages.
 func RunningTasksOf(in []graph.RunState) []*RunningTask {
 	out := make([]*RunningTask, len(in))
 	for i, r := range in {
@@ -71,7 +72,7 @@
 	return out
 }
 
-// RunEndsOf returns the ends of a report.
+// RunEndsOf converts the ended tasks of a report.
 func RunEndsOf(in []*EndedTask) []graph.RunEnd {
 	out := make([]graph.RunEnd, len(in))
 	for i, e := range in {
@@ -81,7 +82,7 @@
 	return out
 }
 
-// EndedTasksOf returns the messages for ends.
+// EndedTasksOf converts ended runs to their messages.
 func EndedTasksOf(in []graph.RunEnd) []*EndedTask {
 	out := make([]*EndedTask, len(in))
 	for i, e := range in {
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -7,15 +7,15 @@
 	"google.golang.org/grpc"
 )
 
-// Pool keeps one connection for each address, with quick reconnects. The zero
-// value is empty.
+// Pool caches one connection per address, with quick reconnects. The zero value
+// is an empty pool.
 type Pool struct {
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
 }
 
-// Fleet returns a client of the process at an address. Nothing is sent before
-// the first call.
+// Fleet returns a client for the process at an address. It connects only at the
+// first call.
 func (p *Pool) Fleet(address string) (FleetClient, error) {
 	conn, err := p.conn(address)
 	if err != nil {
--- a/internal/settings/consistency.go
+++ b/internal/settings/consistency.go
@@ -1,6 +1,6 @@
 package settings
 
-// checkConsistency finds values that clash with each other.
+// checkConsistency reports values that conflict with each other.
 func (e *Entry) checkConsistency(d *document) {
 	listeners := listenAddresses{d: d, seen: map[Address]string{}}
 	listeners.add(e.HTTPListen, "http_listen")
@@ -19,7 +19,7 @@
 	}
 }
 
-// checkConsistency finds values that clash with each other.
+// checkConsistency reports values that conflict with each other.
 func (a *Agent) checkConsistency(d *document) {
 	n, _ := d.lookup("balancer")
 	d.checkReachable(n, "balancer", a.Balancer)
@@ -45,7 +45,7 @@
 	d.checkMinimum(1, a.Capacity.MemoryMB, "capacity", "memory_mb")
 }
 
-// checkConsistency finds values that clash with each other.
+// checkConsistency reports values that conflict with each other.
 func (s *Standin) checkConsistency(d *document) {
 	listeners := listenAddresses{d: d, seen: map[Address]string{}}
 	listeners.add(s.Table.Listen, "table", "listen")
@@ -82,7 +82,8 @@
 	}
 }
 
-// element returns the place of an element of a top-level array.
+// element returns the node of element i of a top-level array, or the array's
+// node if there is no such element.
 func (d *document) element(key string, i int) *node {
 	n, _ := d.lookup(key)
 	if elements, ok := n.value.([]*node); ok && i < len(elements) {
@@ -91,7 +92,7 @@
 	return n
 }
 
-// checkReachable finds addresses that cannot be connected to.
+// checkReachable reports an address that others cannot connect to.
 func (d *document) checkReachable(n *node, key string, a Address) {
 	if a.unspecified() || a.anyPort() {
 		d.addFinding(n.line, n.column, key, "%q is not an address that others can connect to", string(a))
@@ -137,7 +138,7 @@
 	return key
 }
 
-// listenAddresses finds addresses that two listeners of one file share.
+// listenAddresses reports listen addresses that are used twice in one file.
 type listenAddresses struct {
 	d    *document
 	seen map[Address]string
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -11,13 +11,14 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// checker is a value with a rule of its own.
+// checker is implemented by value types that validate themselves.
 type checker interface{ check() error }
 
 var durationType = reflect.TypeFor[api.Duration]()
 
-// decodeTable copies a table into a struct. Fields are named by their toml
-// tag; the option "required" asks for presence, the tags min and max for a range.
+// decodeTable copies a table into a struct. The toml tag of a field gives its
+// key, with the option "required" if the key must be present; the tags min and
+// max bound its value.
 func (d *document) decodeTable(t *table, path string, tableNode *node, out reflect.Value) {
 	known := map[string]bool{}
 	for i := range out.NumField() {
@@ -129,7 +130,8 @@
 	}
 }
 
-// checkRange applies the tags min and max, which hold a duration or an integer.
+// checkRange checks a value against the tags min and max, each a duration or an
+// integer.
 func (d *document) checkRange(n *node, key string, tag reflect.StructTag, out reflect.Value) {
 	if minimum := tag.Get("min"); minimum != "" && out.Int() < parseLimit(minimum) {
 		d.addFinding(n.line, n.column, key, "%v is below the minimum of %s", printable(out), minimum)
@@ -139,7 +141,8 @@
 	}
 }
 
-// parseLimit reads a parseLimit from a tag. A malformed tag is a fault of this package.
+// parseLimit parses the value of a min or max tag. It panics on a malformed tag,
+// which is a bug in this package.
 func parseLimit(text string) int64 {
 	if d, err := time.ParseDuration(text); err == nil {
 		return int64(d)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -8,25 +8,26 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// node is a key's value with the place of the key. The value is a string,
-// int64, bool, *table, []*node or unsupported.
+// node is a value and the position of its key. The value is a string, int64,
+// bool, *table, []*node or unsupported.
 type node struct {
 	line   int
 	column int
 	value  any
-	// literal is true for a value behind "=", which nothing may add to.
+	// literal marks a value given with "=", which later headers and dotted keys
+	// must not extend.
 	literal bool
 }
 
-// unsupported is a value of a TOML type that no setting has.
+// unsupported describes a value of a TOML type that no setting uses.
 type unsupported string
 
-// origin tells what has defined a table, and so what may add to it.
+// origin is how a table was defined, which determines what may extend it.
 type origin int
 
 const (
 	originPath   origin = iota // part of the path of a [header]
-	originHeader               // a [header] or [[header]] of its own
+	originHeader               // its own [header] or [[header]]
 	originDotted               // a dotted key, or an inline table
 )
 
@@ -37,13 +38,15 @@
 
 func newTable(o origin) *table { return &table{nodes: map[string]*node{}, origin: o} }
 
-// document is a parsed TOML file. Unlike the library's decoder it goes on
-// after a duplicate key or a wrong type, so that all faults are found.
+// document is a parsed TOML file. Unlike the library's decoder, parsing
+// continues after a duplicate key or a wrong type, so that one pass reports all
+// errors of the file.
 type document struct {
 	file     string
 	root     *table
 	findings Findings
-	// hasSyntaxError is true after a syntax error: the rest of the file is not known.
+	// hasSyntaxError is set when parsing stopped at a syntax error. Missing keys
+	// are then not reported, as they may be in the unparsed rest of the file.
 	hasSyntaxError bool
 }
 
@@ -103,7 +106,7 @@
 	return parts
 }
 
-// openTable returns the table that a [header] or [[header]] names, and its path.
+// openTable returns the table that a [header] or [[header]] opens, and its path.
 func (d *document) openTable(p *unstable.Parser, expr *unstable.Node) (*table, string) {
 	parts := parseKeyParts(p, expr)
 	last := len(parts) - 1
@@ -144,8 +147,8 @@
 	return t, indexKey(path, len(elements))
 }
 
-// descend walks down the tables that parts name and creates missing ones. The
-// origin is that of the new ones: originPath or originDotted.
+// descend follows parts from t and creates missing tables with origin o, which
+// is originPath or originDotted. It returns the last table and its path.
 func (d *document) descend(t *table, prefix string, parts []keyPart, o origin) (*table, string) {
 	for _, part := range parts {
 		path := joinKey(prefix, part.name)
@@ -167,9 +170,9 @@
 	return t, prefix
 }
 
-// extendableTable returns the table that a path goes on in, or nil when the node is
-// closed to it: a dotted key adds only to tables of dotted keys, and a path of
-// a header to all but literals.
+// extendableTable returns the table of n that a path of origin o may extend, or
+// nil if it may not. A dotted key may extend only tables defined by dotted keys;
+// the path of a header may extend any table except literals.
 func extendableTable(n *node, o origin) *table {
 	value := n.value
 	if elements, ok := value.([]*node); ok && o == originPath && len(elements) > 0 {
@@ -220,7 +223,7 @@
 	}
 }
 
-// parseInteger reads a TOML parseInteger; one that does not fit is unsupported.
+// parseInteger parses a TOML integer; one that overflows int64 is unsupported.
 func parseInteger(text string) any {
 	v, err := strconv.ParseInt(text, 0, 64)
 	if err != nil {
--- a/internal/settings/findings.go
+++ b/internal/settings/findings.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Finding is one fault of a settings file. Line and Column are 0 when the
-// fault has no place in the file.
+// Finding is one error in a settings file. Line and Column are 0 if the error
+// has no position in the file.
 type Finding struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -31,7 +31,7 @@
 	return b.String()
 }
 
-// Findings are all faults of one or more settings files.
+// Findings are all errors of one or more settings files.
 type Findings []Finding
 
 // Error returns one line for each finding.
@@ -43,7 +43,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// err returns the findings in order of their place, or nil when there are none.
+// err sorts the findings by position and returns them, or nil if there are none.
 func (f Findings) err() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/settings/hosted.go
+++ b/internal/settings/hosted.go
@@ -7,58 +7,61 @@
 )
 
 const (
-	// HostedCell is the cell of a hosted deployment: one owner for all.
+	// HostedCell is the only cell of a hosted deployment, so that one owner
+	// schedules everything.
 	HostedCell = "all"
-	// HostedTableTimeout bounds one call of the table, which answers within a few
-	// milliseconds, or sixty times that when it is slow.
+	// HostedTableTimeout bounds one call to the table service. The table normally
+	// answers within a few milliseconds and, when slow, within sixty times that.
 	HostedTableTimeout = 600 * time.Millisecond
 )
 
-// Hosted are the settings of a process whose host tells it where it runs, in a
-// format of the host's own.
+// Hosted holds the settings of a process that runs on the platform. The host
+// provides them in its own format.
 type Hosted struct {
-	Node string // name of the host
+	Node string // host name
 	Zone string
 	IP   string
-	// ClientsListen, ReadyListen and WorkerListen are the addresses on which
-	// callers, the balancer's probes and the worker of this host call. The last
-	// is an agent's, the first two are an entry's.
+	// ClientsListen and ReadyListen are an entry's listen addresses for callers
+	// and for the load balancer's readiness probes. WorkerListen is an agent's
+	// listen address for the worker of its host.
 	ClientsListen string
 	ReadyListen   string
 	WorkerListen  string
-	// FirstPort and LastPort bound the ports for the processes' own use.
+	// FirstPort and LastPort bound the range of ports for the processes' own use.
 	FirstPort int
 	LastPort  int
-	// SeedHosts are IPs of hosts that may run entries; some may be gone.
+	// SeedHosts are IPs of hosts that may run entries; some may no longer exist.
 	SeedHosts []string
 
 	TableAddress string
-	// WorkerAddress and Pool are those of the worker beside an agent.
+	// WorkerAddress and Pool are the address and pool of the worker beside an agent.
 	WorkerAddress string
 	Pool          string
-	// OrdersInHeartbeatReplies tells that workers take orders only in the replies to
-	// their heartbeats.
+	// OrdersInHeartbeatReplies is set if workers accept orders only in the replies
+	// to their heartbeats.
 	OrdersInHeartbeatReplies bool
 
-	// MaxLease bounds the lease that a worker grants.
+	// MaxLease is the longest lease that a worker grants.
 	MaxLease time.Duration
-	// StopTime bounds how long a worker takes to stop a run.
+	// StopTime is the longest time a worker takes to stop a run.
 	StopTime time.Duration
-	// RevocationTime is within which a key has to end after its removal, and ApplyTime
-	// within which a change of the configuration has to be in force.
+	// RevocationTime is the longest time a key may be valid after its removal.
+	// ApplyTime is the longest time until a configuration change is in force.
 	RevocationTime time.Duration
 	ApplyTime      time.Duration
-	// StopGrace is the time between the request to stop and the kill.
+	// StopGrace is the time from the request to stop the process until the host
+	// kills it.
 	StopGrace time.Duration
 	MemoryMB  int
 }
 
-// EntryAddress is where the entry on a host serves agents and other entries.
+// EntryAddress returns the address at which the entry on a host serves agents
+// and other entries.
 func (h *Hosted) EntryAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(h.FirstPort))
 }
 
-// SeedAddresses are the addresses of the entries on the seed hosts.
+// SeedAddresses returns the addresses of the entries on the seed hosts.
 func (h *Hosted) SeedAddresses() []string {
 	var out []string
 	for _, host := range h.SeedHosts {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the TOML settings of the processes. Reading is
-// strict: unknown keys, wrong types and units, missing and clashing values are
-// all collected with their place and reported together as Findings.
+// Package settings loads and validates the TOML settings files of the
+// processes. Validation is strict: unknown keys, wrong types or units, missing
+// values and conflicting values are collected with their positions in the file
+// and reported together as Findings.
 package settings
 
 import (
@@ -10,10 +11,11 @@
 	"github.com/juju/errors"
 )
 
-// ErrRead says that a settings file could not be read.
+// ErrRead is returned when a settings file cannot be read.
 const ErrRead = errors.ConstError("settings file not readable")
 
-// LoadEntry reads the settings of an entry.
+// LoadEntry loads the settings of an entry. An invalid file is reported as
+// Findings.
 func LoadEntry(path string) (*Entry, error) {
 	s := defaultEntry()
 	if err := load(path, RoleEntry, s, s.checkConsistency); err != nil {
@@ -25,7 +27,8 @@
 	return s, nil
 }
 
-// LoadAgent reads the settings of an agent.
+// LoadAgent loads the settings of an agent. An invalid file is reported as
+// Findings.
 func LoadAgent(path string) (*Agent, error) {
 	s := defaultAgent()
 	if err := load(path, RoleAgent, s, s.checkConsistency); err != nil {
@@ -34,7 +37,8 @@
 	return s, nil
 }
 
-// LoadStandin reads the settings of a process of stand-ins.
+// LoadStandin loads the settings of a process that runs stand-ins. An invalid
+// file is reported as Findings.
 func LoadStandin(path string) (*Standin, error) {
 	s := &Standin{}
 	if err := load(path, RoleStandin, s, s.checkConsistency); err != nil {
@@ -43,7 +47,8 @@
 	return s, nil
 }
 
-// Check reads a settings file of any role; the file's key role tells which.
+// Check validates a settings file of any role; the file's role key selects the
+// schema.
 func Check(path string) error {
 	data, err := readFile(path)
 	if err != nil {
@@ -86,7 +91,7 @@
 	return data, nil
 }
 
-// role returns the file's role, or "" when it has none or an unknown one.
+// role returns the file's role, or "" if it is missing or unknown.
 func (d *document) role() Role {
 	if n := d.root.nodes["role"]; n != nil {
 		if text, ok := n.value.(string); ok && Role(text).check() == nil {
@@ -96,8 +101,9 @@
 	return ""
 }
 
-// decode copies the document into out. A file of another or an unknown role is
-// not looked at further, as all its keys would seem wrong.
+// decode copies the document into out and validates it. If the role is not
+// want, only the role is reported: the other keys belong to a different schema
+// and would all be reported as unknown.
 func (d *document) decode(want Role, out any, checkConsistency func(*document)) error {
 	fileStart := &node{line: 1, column: 1}
 	if role := d.role(); role != "" && role != want {
@@ -128,8 +134,9 @@
 	d.decodeScalar(n, "role", reflect.ValueOf(&role).Elem())
 }
 
-// lookup returns the node of a top-level key or of a key of a top-level table,
-// and whether the file sets it.
+// lookup returns the node at a path of keys and whether the file sets it. If it
+// does not, the node is that of the innermost key that exists, or the start of
+// the file.
 func (d *document) lookup(path ...string) (*node, bool) {
 	t := d.root
 	n := &node{line: 1, column: 1}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TestFindings runs scripts whose input is a settings file and whose output
-// is the list of findings.
+// TestFindings runs the scripts in testdata: the input of each command is a
+// settings file and the output is its list of findings.
 func TestFindings(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestBodyLimitFitsProtocol ties the limit of the settings to the one between
-// the processes.
+// TestBodyLimitFitsProtocol checks that the maximum of limits.max_body_bytes is
+// the limit of the RPC protocol, so that an accepted body can be forwarded.
 func TestBodyLimitFitsProtocol(t *testing.T) {
 	field, _ := reflect.TypeFor[Limits]().FieldByName("MaxBodyBytes")
 	if maximum := parseLimit(field.Tag.Get("max")); maximum != rpc.MaxBodyBytes || defaultMaxBodyBytes > maximum {
@@ -40,9 +40,9 @@
 	}
 }
 
-// FuzzCheck asks of any input that it is judged without a panic, that each
-// finding has a place within the file, and that a file without findings is
-// TOML for the library's decoder too.
+// FuzzCheck checks for any input that validation does not panic, that each
+// finding has a position within the file, and that the library's decoder
+// accepts a file without findings.
 func FuzzCheck(f *testing.F) {
 	f.Add("role = \"standin\"\n[[worker]]\nid = 1\n[worker.x]\n")
 	f.Add("role = \"entry\"\ntable.url = 1\n[table]\n[[table]]\nlimits = {max_queue = 0x1}\n")
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// Address is a TCP address with an IP number and a port, such as
+// Address is a TCP address of an IP address and a port, such as
 // "10.0.0.1:7000" or "[fd00::1]:7000". A listen address may have port 0.
 type Address string
 
@@ -21,19 +21,19 @@
 	return nil
 }
 
-// unspecified reports whether the address stands for all local addresses.
+// unspecified reports whether the IP address is unspecified (0.0.0.0 or ::).
 func (a Address) unspecified() bool {
 	v, err := netip.ParseAddrPort(string(a))
 	return err == nil && v.Addr().IsUnspecified()
 }
 
-// anyPort reports whether the system chooses the port.
+// anyPort reports whether the port is 0, so that the operating system chooses it.
 func (a Address) anyPort() bool {
 	v, err := netip.ParseAddrPort(string(a))
 	return err == nil && v.Port() == 0
 }
 
-// URL is the base URL of an HTTP service, with an IP number as its host.
+// URL is the base URL of an HTTP service, with an IP address as its host.
 type URL string
 
 func (u URL) check() error {
@@ -61,7 +61,7 @@
 	return checkOneOf(r, RoleEntry, RoleAgent, RoleStandin)
 }
 
-// EndpointKind is what an agent stands beside.
+// EndpointKind is the kind of endpoint that an agent runs beside.
 type EndpointKind string
 
 // The kinds of endpoint.
@@ -74,14 +74,14 @@
 	return checkOneOf(k, KindMinion, KindWorker)
 }
 
-// Level is the least level of log lines that are written.
+// Level is the minimum level of log lines that are written.
 type Level string
 
 func (l Level) check() error {
 	return checkOneOf(l, "debug", "info", "warn", "error")
 }
 
-// Name is an identifier that is used in URLs, keys and metrics.
+// Name is an identifier that may appear in URLs, keys and metrics.
 type Name string
 
 const (
