--- a/internal/sched/fleet/worker.go
+++ b/internal/sched/fleet/worker.go
@@ -2,64 +2,67 @@
 
 import "github.com/coltsfootlug/coltsfootlug/internal/api"
 
-// CapacityView selects which part of a worker's capacity a request may use.
+// CapacityView selects the part of a worker's capacity that a request may use.
 type CapacityView int
 
 // The views.
 const (
-	// Free is capacity that nothing uses, also inside reservations.
+	// Free is unused capacity, including capacity inside reservations.
 	Free CapacityView = iota
 	// Unreserved is free capacity outside of reservations.
 	Unreserved
 	// Preemptible is capacity outside of reservations that is free or used by
 	// preemptible work.
 	Preemptible
-	// Restartable is capacity outside of reservations that is free or used by work
-	// that may be stopped and run again elsewhere.
+	// Restartable is capacity outside of reservations that is free or used by
+	// work that may be stopped and run again elsewhere.
 	Restartable
-	// FullCapacity is the capacity of the empty worker, whether it is in service or not.
+	// FullCapacity is the capacity of the worker when empty, whether or not it is
+	// in service.
 	FullCapacity
-	viewCount
+	capacityViewCount
 )
 
-// Worker is the capacity of one worker. Its fields are changed through Fleet.Update.
+// Worker is the capacity and condition of one worker. Its fields are changed
+// through Fleet.Update.
 type Worker struct {
 	Name     string
 	Zone     string
 	Rack     *Rack
 	Capacity api.Resources
-	// Used is taken by groups, whether held, running or not yet confirmed as ended.
+	// Used is allocated to groups that are held, running or not yet confirmed as
+	// ended.
 	Used api.Resources
-	// NonPreemptible is the part of Used by work that must not be preempted and that
-	// runs outside of reservations.
+	// NonPreemptible is the part of Used and Claimed that belongs to work outside
+	// of reservations that must not be preempted, except to place a guarantee.
 	NonPreemptible api.Resources
-	// NonRestartable is the part of Firm that must not be stopped at all.
+	// NonRestartable is the part of NonPreemptible that must not be stopped at all.
 	NonRestartable api.Resources
 	// Reserved belongs to guarantees and to reservations of waiting gangs.
 	Reserved api.Resources
-	// Claimed is free, or about to be, and waits for a chosen gang.
+	// Claimed is free, or becoming free, and allocated to gangs that wait for it.
 	Claimed api.Resources
 
 	Linked      bool
 	Healthy     bool
 	Leaving     bool
 	Quarantined bool
-	// Probation admits one group of idempotent work, as a probe.
+	// Probation limits the worker to one group of idempotent work, as a probe.
 	Probation bool
 	// Paused keeps a worker that refused a hold, or did not answer one, from
-	// being chosen again at once.
+	// being used again at once.
 	Paused bool
-	// ZoneOut says that operators have taken the worker's zone out.
+	// ZoneOut is set while operators have taken the worker's zone out.
 	ZoneOut bool
-	// AwaitingReopen says that the worker's zone returns by steps and that the
-	// worker is not yet open for work outside of guarantees.
+	// AwaitingReopen is set while the worker's zone reopens in steps and the
+	// worker is not yet open to work outside of guarantees.
 	AwaitingReopen bool
 
-	avail   [viewCount]api.Resources
-	indexed bool
+	available [capacityViewCount]api.Resources
+	indexed   bool
 }
 
-// InService reports whether the worker may run work at all.
+// InService reports whether the worker may run any work.
 func (w *Worker) InService() bool {
 	return w.Linked && w.Healthy && !w.Leaving && !w.Quarantined && !w.ZoneOut
 }
@@ -73,9 +76,9 @@
 }
 
 // Available returns what a view offers on the worker.
-func (w *Worker) Available(v CapacityView) api.Resources { return w.avail[v] }
+func (w *Worker) Available(v CapacityView) api.Resources { return w.available[v] }
 
-// Unused is the capacity that no group uses.
+// Unused returns the capacity that no group uses.
 func (w *Worker) Unused() api.Resources { return w.Capacity.Sub(w.Used) }
 
 func (w *Worker) computeAvailable(v CapacityView) api.Resources {
@@ -83,19 +86,19 @@
 	case FullCapacity:
 		return w.Capacity
 	case Preemptible, Restartable:
-		return w.reclaimable(v)
+		return w.computeReclaimable(v)
 	}
 	if !w.Schedulable() {
 		return api.Resources{}
 	}
-	free := positive(w.Unused().Sub(w.Claimed))
+	free := clampNegative(w.Unused().Sub(w.Claimed))
 	if v == Free {
 		return free
 	}
-	return MinResources(free, positive(w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)))
+	return MinResources(free, clampNegative(w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)))
 }
 
-func (w *Worker) reclaimable(v CapacityView) api.Resources {
+func (w *Worker) computeReclaimable(v CapacityView) api.Resources {
 	if !w.InService() || w.Probation {
 		return api.Resources{}
 	}
@@ -103,10 +106,10 @@
 	if v == Restartable {
 		kept = w.NonRestartable
 	}
-	return positive(w.Capacity.Sub(w.Reserved).Sub(kept))
+	return clampNegative(w.Capacity.Sub(w.Reserved).Sub(kept))
 }
 
-func positive(r api.Resources) api.Resources {
+func clampNegative(r api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: max(r.Accelerators, 0),
 		MilliCPU:     max(r.MilliCPU, 0),
@@ -114,7 +117,7 @@
 	}
 }
 
-func most(a, b api.Resources) api.Resources {
+func maxResources(a, b api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: max(a.Accelerators, b.Accelerators),
 		MilliCPU:     max(a.MilliCPU, b.MilliCPU),
@@ -122,7 +125,7 @@
 	}
 }
 
-// MinResources is the smaller of two amounts in each dimension.
+// MinResources returns the smaller of two amounts in each dimension.
 func MinResources(a, b api.Resources) api.Resources {
 	return api.Resources{
 		Accelerators: min(a.Accelerators, b.Accelerators),
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// submit takes in a durable job, also one that ran under the previous owner.
+// submit adds a durable job, which may have run under a previous owner.
 func (c *Core) submit(rec api.JobRecord) {
 	id := rec.Job.ID
 	if old := c.jobs[id]; old != nil {
@@ -23,13 +23,13 @@
 	j.everStarted = rec.Attempt > 0
 	c.jobs[id] = j
 	j.account = c.accountOf(j)
-	defer c.replayEarly(j)
+	defer c.replayEarlyReports(j)
 	if rec.State == api.JobRunning {
 		c.adopt(j)
 		return
 	}
 	if rec.CancelAsked {
-		c.finish(j, api.OutcomeCancelled, "cancelled before a start")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled before a start")
 		return
 	}
 	c.enqueue(j)
@@ -37,41 +37,42 @@
 
 func (c *Core) enqueue(j *job) {
 	j.phase = phaseQueued
-	c.queue.add(j)
+	c.queue.insert(j)
 	c.watchDeadline(j)
 }
 
-// watchDeadline answers a job that is still queued at its deadline.
+// watchDeadline finishes a job that is still queued at its deadline.
 func (c *Core) watchDeadline(j *job) {
-	if j.deadlineOn || j.rec.Job.Deadline.IsZero() {
+	if j.deadlineTimerSet || j.rec.Job.Deadline.IsZero() {
 		return
 	}
-	j.deadlineOn = true
-	c.timers.add(j.rec.Job.Deadline.Sub(c.cfg.TermStart), func() { c.deadline(j) })
+	j.deadlineTimerSet = true
+	c.timers.add(j.rec.Job.Deadline.Sub(c.cfg.TermStart), func() { c.deadlinePassed(j) })
 }
 
-func (c *Core) deadline(j *job) {
-	j.deadlineOn = false
+func (c *Core) deadlinePassed(j *job) {
+	j.deadlineTimerSet = false
 	if j.phase != phaseQueued && j.phase != phaseBackoff && j.phase != phaseClaiming {
 		return
 	}
-	c.notice(j, "", ReasonDeadline, "")
+	c.emitNotice(j, "", ReasonDeadline, "")
 	if j.everStarted {
 		c.leaveQueue(j)
-		c.finish(j, api.OutcomeFailed, "the deadline passed before the job could run again")
+		c.finishJob(j, api.OutcomeFailed, "the deadline passed before the job could run again")
 		return
 	}
 	c.leaveQueue(j)
-	c.finish(j, api.OutcomeNotRun, "the deadline passed before a start")
+	c.finishJob(j, api.OutcomeNotRun, "the deadline passed before a start")
 }
 
-// leaveQueue takes a job that holds nothing yet out of all waiting structures.
+// leaveQueue removes a job that holds no capacity yet from the queue, and drops its
+// claim and its reservation.
 func (c *Core) leaveQueue(j *job) {
 	if j.phase == phaseClaiming {
 		c.dropClaim(j)
 	}
 	c.queue.remove(j)
-	c.dropWaiting(j)
+	c.dropWaitingReservation(j)
 }
 
 func (c *Core) cancel(id string) {
@@ -80,33 +81,33 @@
 		return
 	}
 	j.rec.CancelAsked = true
-	c.notice(j, "", ReasonCancelled, "")
+	c.emitNotice(j, "", ReasonCancelled, "")
 	switch j.phase {
 	case phaseQueued, phaseBackoff, phaseClaiming:
 		c.leaveQueue(j)
-		c.finish(j, api.OutcomeCancelled, "cancelled while queued")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled while queued")
 	case phaseHolding:
 		c.abandonHolds(j, "cancelled")
-		c.finish(j, api.OutcomeCancelled, "cancelled before a start")
+		c.finishJob(j, api.OutcomeCancelled, "cancelled before a start")
 	case phaseSaving:
 		c.abortSaving(j, "cancelled")
 	case phaseRunning:
-		c.end(j, 0, ReasonCancelled)
+		c.endAttempt(j, 0, ReasonCancelled)
 	}
 }
 
-// finish writes the one answer of a job.
-func (c *Core) finish(j *job, outcome api.Outcome, detail string) {
+// finishJob sets a job's outcome and saves its final row.
+func (c *Core) finishJob(j *job, outcome api.Outcome, detail string) {
 	j.phase = phaseFinal
 	j.rec.State = api.JobFinal
 	j.rec.Outcome = outcome
 	j.rec.Detail = detail
-	j.rec.Finished = c.wall()
+	j.rec.Finished = c.wallTime()
 	j.rec.Results = nil
 	if outcome == api.OutcomeDone {
 		j.rec.Results = results(j)
 	}
-	c.learnRun(j)
+	c.learnRunTime(j)
 	c.emit(Save{j.rec})
 }
 
@@ -118,68 +119,69 @@
 	return out
 }
 
-// Retries of a row that could not be written, and of an attempt that got no holds.
+// Retry intervals of a row that could not be written, and of an attempt whose
+// holds failed.
 const (
-	saveRetry    = time.Second
-	holdRetryMin = 200 * time.Millisecond
-	holdRetryMax = 10 * time.Second
+	saveRetryInterval = time.Second
+	holdRetryMin      = 200 * time.Millisecond
+	holdRetryMax      = 10 * time.Second
 )
 
-func (c *Core) saved(e SaveResult) {
+func (c *Core) handleSaveResult(e SaveResult) {
 	j := c.jobs[e.JobID]
 	if j == nil {
 		return
 	}
 	switch {
 	case j.phase == phaseFinal && e.State == api.JobFinal:
-		c.savedFinal(j, e.Failed)
+		c.finalSaved(j, e.Failed)
 	case j.phase == phaseRequeue && e.State == api.JobQueued:
-		c.savedQueued(j, e.Failed)
+		c.queuedSaved(j, e.Failed)
 	case j.phase == phaseSaving && e.State == api.JobRunning && e.Attempt == j.attempt:
-		c.savedAttempt(j, e.Failed)
+		c.attemptSaved(j, e.Failed)
 	}
 }
 
-func (c *Core) savedFinal(j *job, failed bool) {
+func (c *Core) finalSaved(j *job, failed bool) {
 	if failed {
-		c.saveAgain(j)
+		c.retrySave(j)
 		return
 	}
 	for _, g := range j.groups {
-		// Lets the agent forget the group; its result is durable.
+		// Lets the agent discard the group: its result is durable.
 		c.emit(Stop{Worker: g.worker.Name, JobID: j.id(), Attempt: g.attempt, Reason: "answered"})
 	}
 	delete(c.jobs, j.id())
 }
 
-func (c *Core) saveAgain(j *job) {
+func (c *Core) retrySave(j *job) {
 	want := j.phase
-	c.after(saveRetry, func() {
+	c.after(saveRetryInterval, func() {
 		if j.phase == want {
 			c.emit(Save{j.rec})
 		}
 	})
 }
 
-func (c *Core) savedQueued(j *job, failed bool) {
+func (c *Core) queuedSaved(j *job, failed bool) {
 	if failed {
-		c.saveAgain(j)
+		c.retrySave(j)
 		return
 	}
 	if j.rec.CancelAsked {
-		c.finish(j, api.OutcomeCancelled, fmt.Sprintf("cancelled after %d attempts", j.rec.Attempt))
+		c.finishJob(j, api.OutcomeCancelled, fmt.Sprintf("cancelled after %d attempts", j.rec.Attempt))
 		return
 	}
 	c.enqueue(j)
 }
 
-// requeue brings a job back after an attempt whose groups have all ended. The
-// row is written first when it holds something that a takeover must not lose.
+// requeue queues a job again after all groups of its attempt have ended. If a
+// takeover must not lose what the row holds, the row is written first.
 func (c *Core) requeue(j *job) {
-	durable := !j.movable() || len(j.rec.Checkpoints) > 0
+	durable := !j.restartable() || len(j.rec.Checkpoints) > 0
 	j.groups = nil
 	j.started = false
-	j.aborted = false
+	j.abortedWhileSaving = false
 	j.rec.State = api.JobQueued
 	j.rec.Placements = nil
 	if !durable {
@@ -190,11 +192,12 @@
 	c.emit(Save{j.rec})
 }
 
-// backoff queues a job again after a while that grows with each failure.
-func (c *Core) backoff(j *job) {
+// requeueAfterBackoff queues a job again after a delay that grows with each failed
+// hold.
+func (c *Core) requeueAfterBackoff(j *job) {
 	j.phase = phaseBackoff
-	wait := min(holdRetryMin<<min(j.holdFails, 8), holdRetryMax)
-	j.holdFails++
+	wait := min(holdRetryMin<<min(j.holdFailures, 8), holdRetryMax)
+	j.holdFailures++
 	c.after(wait, func() {
 		if j.phase == phaseBackoff {
 			c.enqueue(j)
--- a/internal/sched/machine_test.go
+++ b/internal/sched/machine_test.go
@@ -16,29 +16,29 @@
 const (
 	machineZones   = 3
 	machineWorkers = 3 // per zone, in one rack
-	// settleTime is long enough for all leases, probes and retries.
-	settleTime = unplaceableTime + time.Hour
-	// claimBound is within which a guaranteed gang must run on a fleet
-	// without faults: grace, lease, hold and save with retries.
-	claimBound = CheckpointGrace + GroupLease + 10*time.Second
+	// maxSettleTime is long enough for all leases, probes and retries.
+	maxSettleTime = unplaceableTimeout + time.Hour
+	// maxClaimTime is the time within which a guaranteed gang must run on a
+	// fleet without faults: grace, lease, hold and save with retries.
+	maxClaimTime = CheckpointGrace + GroupLease + 10*time.Second
 )
 
-// machine is the rapid state machine with the oracle.
+// machine is the rapid state machine and its oracle.
 type machine struct {
 	*rig
-	core     *Core
-	rnd      *rand.Rand
-	lossy    bool
-	next     int
-	accepted []string
-	attempts map[string]map[uint32]bool // attempts that an agent has started
-	calmAt   time.Duration              // time of the last fault
-	since    map[string]time.Duration   // start of the wait of guaranteed jobs
-	inUse    map[string]time.Duration   // when a gang of a profile last had its guarantee
-	events   []recorded
+	core         *Core
+	rnd          *rand.Rand
+	lossy        bool
+	next         int
+	accepted     []string
+	attempts     map[string]map[uint32]bool // attempts that an agent has started
+	lastFault    time.Duration
+	waitingSince map[string]time.Duration // since when guaranteed jobs have waited
+	inUse        map[string]time.Duration // when a gang of a profile last used its guarantee
+	events       []recordedEvent
 }
 
-type recorded struct {
+type recordedEvent struct {
 	at   time.Duration
 	ev   Event
 	acts string
@@ -65,18 +65,18 @@
 }
 
 func newMachine(t *rapid.T) *machine {
-	m := &machine{rig: newRig(), attempts: map[string]map[uint32]bool{}, since: map[string]time.Duration{}, inUse: map[string]time.Duration{}}
+	m := &machine{rig: newRig(), attempts: map[string]map[uint32]bool{}, waitingSince: map[string]time.Duration{}, inUse: map[string]time.Duration{}}
 	m.fail = t.Fatalf
 	m.rnd = rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
-	m.lost = func() bool { return m.lossy && m.rnd.Intn(5) == 0 }
+	m.dropMessage = func() bool { return m.lossy && m.rnd.Intn(5) == 0 }
 	m.config = machineConfig()
-	// Slow enough for faults to come between the phases of an attempt.
+	// Slow enough for faults to occur between the phases of an attempt.
 	m.latency, m.storeLatency = 20*time.Millisecond, 150*time.Millisecond
-	m.onAct = func(a Action) { m.checkAction(t, a) }
-	m.onRun = func(g *agent, f *fakeGroup) { m.checkRun(t, g, f) }
-	m.onEv = func(at time.Duration, ev Event, acts []Action) {
-		m.events = append(m.events, recorded{at, ev, describeActions(acts)})
-		m.noteUse()
+	m.onAction = func(a Action) { m.checkAction(t, a) }
+	m.onGroupStart = func(g *agent, f *fakeGroup) { m.checkGroupStart(t, g, f) }
+	m.onEvent = func(at time.Duration, ev Event, acts []Action) {
+		m.events = append(m.events, recordedEvent{at, ev, describeActions(acts)})
+		m.recordUse()
 	}
 	for z := range machineZones {
 		for w := range machineWorkers {
@@ -85,18 +85,19 @@
 			g.linked = true
 		}
 	}
-	m.replace(0)
+	m.replaceOwner(0)
 	return m
 }
 
-func (m *machine) replace(startAfter time.Duration) {
+func (m *machine) replaceOwner(startAfter time.Duration) {
 	m.core = New(Config{TermStart: time.Unix(0, 0)})
 	m.events = nil
 	m.takeOver(m.core, startAfter)
-	m.tick()
+	m.startTicks()
 }
 
-// checkAction checks what a decision must never do.
+// checkAction checks that a start has a saved row, is outside of zones that are
+// out, and starts the whole gang.
 func (m *machine) checkAction(t *rapid.T, a Action) {
 	s, ok := a.(Start)
 	if !ok {
@@ -120,8 +121,9 @@
 	}
 }
 
-// checkRun checks each start that an agent carries out.
-func (m *machine) checkRun(t *rapid.T, g *agent, f *fakeGroup) {
+// checkGroupStart checks each start that an agent carries out: attempts of a job
+// never overlap, and a job that is not idempotent starts in one attempt only.
+func (m *machine) checkGroupStart(t *rapid.T, g *agent, f *fakeGroup) {
 	id := f.ref.JobID
 	if m.attempts[id] == nil {
 		m.attempts[id] = map[uint32]bool{}
@@ -130,7 +132,7 @@
 	if !m.rows[id].Job.Idempotent && len(m.attempts[id]) > 1 {
 		t.Fatalf("%s is not idempotent and started in attempts %v", id, m.attempts[id])
 	}
-	for _, name := range m.names {
+	for _, name := range m.agentNames {
 		for _, o := range m.agents[name].groups {
 			if o.ref.JobID == id && o.ref.Attempt != f.ref.Attempt && o.state == GroupRunning {
 				t.Fatalf("%s runs in attempts %d (on %s) and %d at once", id, o.ref.Attempt, name, f.ref.Attempt)
@@ -139,14 +141,14 @@
 	}
 }
 
-// check is run after each step of the machine.
-func (m *machine) check(t *rapid.T) {
+// checkInvariants runs after each step of the machine.
+func (m *machine) checkInvariants(t *rapid.T) {
 	for _, id := range m.accepted {
 		if m.rows[id].State != api.JobFinal && m.core.jobs[id] == nil {
-			t.Fatalf("%s is forgotten", id)
+			t.Fatalf("%s is not answered and the core does not know it", id)
 		}
 	}
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.workerList {
 		m.checkWorker(t, w)
 	}
 	m.checkAnswers(t)
@@ -159,28 +161,28 @@
 	var used, firm, claimed, certain api.Resources
 	for _, g := range w.groups {
 		if g.state == groupClaimed {
-			claimed = claimed.Add(g.amount)
+			claimed = claimed.Add(g.resources)
 		} else {
-			used = used.Add(g.amount)
+			used = used.Add(g.resources)
 		}
-		// A row that was taken over may name workers that its gang has left.
+		// An adopted row may name workers that its gang has left.
 		if g.state != groupUnknown && g.state != groupClaimed {
-			certain = certain.Add(g.amount)
+			certain = certain.Add(g.resources)
 		}
-		if g.firm && !g.ending {
-			firm = firm.Add(g.amount)
+		if g.nonPreemptible && !g.stopping {
+			firm = firm.Add(g.resources)
 		}
 	}
 	if used != w.Used || claimed != w.Claimed {
-		t.Fatalf("%s: books differ from groups: %+v", w.Name, *w.Worker)
+		t.Fatalf("%s: accounted resources differ from those of its groups: %+v", w.Name, *w.Worker)
 	}
 	if w.InService() && !certain.Fits(w.Capacity) {
 		t.Fatalf("%s: %+v used of %+v", w.Name, certain, w.Capacity)
 	}
 	var reserved api.Resources
-	for _, r := range m.core.slots {
-		if s := r.shareOn(w); s != nil {
-			reserved = reserved.Add(s.amount)
+	for _, r := range m.core.guarantees {
+		if s := r.partOn(w); s != nil {
+			reserved = reserved.Add(s.resources)
 		}
 	}
 	if w.InService() && w.Capacity != (api.Resources{}) && !reserved.Add(firm).Fits(w.Capacity) && reserved != (api.Resources{}) {
@@ -205,18 +207,18 @@
 
 var guaranteedProfiles = []string{"clinic", "unit", "ward"}
 
-// noteUse notes which guarantees are in use. It runs after each event, as a
+// recordUse records which guarantees are in use. It runs after each event because a
 // gang may start and end between two checks.
-func (m *machine) noteUse() {
+func (m *machine) recordUse() {
 	for _, profile := range guaranteedProfiles {
-		if m.active(profile) {
+		if m.hasActiveGang(profile) {
 			m.inUse[profile] = m.now
 		}
 	}
 }
 
-// active reports whether a gang of the profile has its guarantee.
-func (m *machine) active(profile string) bool {
+// hasActiveGang reports whether a gang of the profile uses its guarantee.
+func (m *machine) hasActiveGang(profile string) bool {
 	for _, id := range m.accepted {
 		j := m.core.jobs[id]
 		if j == nil || j.rec.Job.Profile != profile {
@@ -231,10 +233,10 @@
 	return false
 }
 
-// checkReclaim checks that a guaranteed gang runs within its bound when the
-// guarantee is not in use and nothing has failed for that long.
+// checkReclaim checks that a guaranteed gang runs within maxClaimTime if the
+// guarantee has not been in use and nothing has failed for that long.
 func (m *machine) checkReclaim(t *rapid.T, profile string) {
-	active := m.active(profile)
+	active := m.hasActiveGang(profile)
 	for _, id := range m.accepted {
 		j := m.core.jobs[id]
 		if m.rows[id].Job.Profile != profile {
@@ -242,30 +244,30 @@
 		}
 		waits := j != nil && !active && (j.phase == phaseQueued || j.phase == phaseClaiming)
 		if !waits || m.storeDown || m.lossy || !m.feasible() {
-			delete(m.since, id)
+			delete(m.waitingSince, id)
 			continue
 		}
-		if _, ok := m.since[id]; !ok {
-			m.since[id] = m.now
+		if _, ok := m.waitingSince[id]; !ok {
+			m.waitingSince[id] = m.now
 		}
-		if from := max(m.since[id], m.calmAt, m.inUse[profile]); m.now-from > claimBound {
-			t.Fatalf("%s waits for its guarantee since %v (now %v): %+v\n%+v", id, from, m.now, *j, m.core.Dump())
+		if from := max(m.waitingSince[id], m.lastFault, m.inUse[profile]); m.now-from > maxClaimTime {
+			t.Fatalf("%s has waited for its guarantee since %v (now %v): %+v\n%+v", id, from, m.now, *j, m.core.Dump())
 		}
 	}
 }
 
-// feasible reports whether the workers that may run work could hold the
-// guarantee if all work were stopped that may be.
+// feasible reports whether the workers that may run work could hold the guarantees
+// if all work that may be stopped were stopped.
 func (m *machine) feasible() bool {
 	var in []feasibility.Worker
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.workerList {
 		if !w.InService() || w.Probation || w.Paused {
 			continue
 		}
 		left := w.Capacity
 		for _, g := range w.groups {
-			if !g.job.movable() || g.ending {
-				left = left.Sub(g.amount)
+			if !g.job.restartable() || g.stopping {
+				left = left.Sub(g.resources)
 			}
 		}
 		in = append(in, feasibility.Worker{Name: w.Name, Zone: w.Zone, Rack: w.Rack.Label, Capacity: left})
@@ -278,7 +280,7 @@
 	return true
 }
 
-func (m *machine) fault() { m.calmAt = m.now }
+func (m *machine) noteFault() { m.lastFault = m.now }
 
 func (m *machine) randomJob(t *rapid.T) api.Job {
 	m.next++
@@ -306,8 +308,8 @@
 
 func (m *machine) submitRandom(t *rapid.T) {
 	job := m.randomJob(t)
-	m.run[job.ID] = time.Duration(rapid.IntRange(1, 300).Draw(t, "run")) * time.Second
-	m.bad[job.ID] = rapid.IntRange(0, 19).Draw(t, "bad") == 0
+	m.runTimes[job.ID] = time.Duration(rapid.IntRange(1, 300).Draw(t, "run")) * time.Second
+	m.failingJobs[job.ID] = rapid.IntRange(0, 19).Draw(t, "bad") == 0
 	if _, never := m.core.NeverFits(job); never {
 		return
 	}
@@ -315,8 +317,8 @@
 	m.submit(job)
 }
 
-func (m *machine) anyAgent(t *rapid.T) *agent {
-	return m.agents[rapid.SampledFrom(m.names).Draw(t, "worker")]
+func (m *machine) drawAgent(t *rapid.T) *agent {
+	return m.agents[rapid.SampledFrom(m.agentNames).Draw(t, "worker")]
 }
 
 func (m *machine) actions() map[string]func(*rapid.T) {
@@ -345,28 +347,28 @@
 		"pass short": func(t *rapid.T) {
 			m.runUntil(m.now + time.Duration(rapid.IntRange(1, 300).Draw(t, "ms"))*time.Millisecond)
 		},
-		"pass long": func(t *rapid.T) { m.runUntil(m.now + 2*claimBound) },
+		"pass long": func(t *rapid.T) { m.runUntil(m.now + 2*maxClaimTime) },
 		"link": func(t *rapid.T) {
-			m.fault()
-			if g := m.anyAgent(t); g.linked {
-				g.down()
+			m.noteFault()
+			if g := m.drawAgent(t); g.linked {
+				g.disconnect()
 			} else {
-				g.up()
+				g.connect()
 			}
 		},
-		"crash":  func(t *rapid.T) { m.fault(); m.anyAgent(t).crash() },
-		"faulty": func(t *rapid.T) { m.fault(); g := m.anyAgent(t); g.faulty = !g.faulty },
-		"lossy":  func(t *rapid.T) { m.fault(); m.lossy = !m.lossy },
-		"store":  func(t *rapid.T) { m.fault(); m.storeDown = !m.storeDown },
+		"crash":  func(t *rapid.T) { m.noteFault(); m.drawAgent(t).crash() },
+		"faulty": func(t *rapid.T) { m.noteFault(); g := m.drawAgent(t); g.faulty = !g.faulty },
+		"lossy":  func(t *rapid.T) { m.noteFault(); m.lossy = !m.lossy },
+		"store":  func(t *rapid.T) { m.noteFault(); m.storeDown = !m.storeDown },
 		"leaving": func(t *rapid.T) {
-			m.fault()
-			g := m.anyAgent(t)
+			m.noteFault()
+			g := m.drawAgent(t)
 			if g.linked {
 				m.step(WorkerStatus{Worker: g.name, Healthy: true, Leaving: !m.core.workers[g.name].Leaving})
 			}
 		},
 		"zone": func(t *rapid.T) {
-			m.fault()
+			m.noteFault()
 			zone := fmt.Sprintf("z%d", rapid.IntRange(0, machineZones-1).Draw(t, "zone"))
 			state := api.ZoneOut
 			if m.config.ZoneOut(zone) {
@@ -375,25 +377,25 @@
 			m.setZone(zone, state)
 		},
 		"take over": func(t *rapid.T) {
-			m.fault()
+			m.noteFault()
 			m.replay(t)
-			m.replace(HoldLease + DefaultLeaseMargin)
+			m.replaceOwner(HoldLease + DefaultLeaseMargin)
 		},
-		"": m.check,
+		"": m.checkInvariants,
 	}
 }
 
-// replay gives the same events to a new core and compares the actions.
+// replay passes the same events to a new core and compares the actions.
 func (m *machine) replay(t *rapid.T) {
 	again := New(Config{TermStart: time.Unix(0, 0)})
 	for i, e := range m.events {
 		if acts := describeActions(again.Step(e.at, e.ev)); acts != e.acts {
-			t.Fatalf("event %d (%T%+v) is decided differently:\n%s\n%s", i, e.ev, e.ev, e.acts, acts)
+			t.Fatalf("replay of event %d (%T%+v) gives different actions:\n%s\n%s", i, e.ev, e.ev, e.acts, acts)
 		}
 	}
 }
 
-func (m *machine) unanswered() bool {
+func (m *machine) hasUnansweredJob() bool {
 	for _, id := range m.accepted {
 		if m.rows[id].State != api.JobFinal {
 			return true
@@ -402,26 +404,26 @@
 	return false
 }
 
-// heal ends all faults and expects an answer to every job.
-func (m *machine) heal(t *rapid.T) {
-	m.fault()
+// healAndExpectAnswers ends all faults and checks that every job is answered.
+func (m *machine) healAndExpectAnswers(t *rapid.T) {
+	m.noteFault()
 	m.lossy, m.storeDown, m.tickEvery = false, false, RenewInterval
 	for z := range machineZones {
 		if zone := fmt.Sprintf("z%d", z); m.config.ZoneOut(zone) {
 			m.setZone(zone, api.ZoneIn)
 		}
 	}
-	for _, name := range m.names {
+	for _, name := range m.agentNames {
 		g := m.agents[name]
 		g.faulty = false
 		if !g.linked {
-			g.up()
+			g.connect()
 		}
 		m.step(WorkerStatus{Worker: name, Healthy: true})
 	}
-	for waited := time.Duration(0); waited < settleTime && m.unanswered(); waited += time.Minute {
+	for waited := time.Duration(0); waited < maxSettleTime && m.hasUnansweredJob(); waited += time.Minute {
 		m.runUntil(m.now + time.Minute)
-		m.check(t)
+		m.checkInvariants(t)
 	}
 	m.runUntil(m.now + time.Minute)
 	for _, id := range m.accepted {
@@ -429,18 +431,21 @@
 			t.Fatalf("%s is not answered: %+v\n%+v", id, *m.core.jobs[id], m.core.Dump())
 		}
 	}
-	for _, w := range m.core.ordered {
+	for _, w := range m.core.workerList {
 		if len(w.groups) > 0 {
 			t.Fatalf("%s still has %d groups", w.Name, len(w.groups))
 		}
 	}
 }
 
+// TestSchedMachine guards against lost jobs, partial or repeated starts, capacity
+// that is used twice and guarantees that are not honoured, under random sequences
+// of jobs, faults and takeovers.
 func TestSchedMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		t.Repeat(m.actions())
-		m.heal(t)
+		m.healAndExpectAnswers(t)
 		m.replay(t)
 	})
 }
@@ -449,7 +454,7 @@
 	var out []string
 	for _, g := range w.groups {
 		out = append(out, fmt.Sprintf("%s/%d %s %s %+v firm %v fixed %v ending %v detached %v shared %v",
-			g.job.id(), g.attempt, g.job.phase, g.state, g.amount, g.firm, g.fixed, g.ending, g.detached, g.share != nil))
+			g.job.id(), g.attempt, g.job.phase, g.state, g.resources, g.nonPreemptible, g.nonRestartable, g.stopping, g.detached, g.reservedPart != nil))
 	}
 	return strings.Join(out, "\n")
 }
