--- a/cmd/coltsfoot-agent/hosted.go
+++ b/cmd/coltsfoot-agent/hosted.go
@@ -35,7 +35,7 @@
 		func() metrics.Registry { return h.Registry },
 		ledger.NewMonotonicClock,
 		hostedFinder,
-		func(f *keeper.Finder, s *settings.Hosted, clock func() time.Duration) *keeper.Keeper {
+		func(f *keeper.OwnerFinder, s *settings.Hosted, clock func() time.Duration) *keeper.Keeper {
 			return keeper.New(platform.NewRunner(s.WorkerAddress), f, clock, h.Registry, h.Log)
 		},
 	)
@@ -53,7 +53,7 @@
 	})
 }
 
-func hostedFinder(s *settings.Hosted, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *keeper.Finder {
+func hostedFinder(s *settings.Hosted, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *keeper.OwnerFinder {
 	rows := ledger.New(platform.NewStore(s.TableAddress), ledger.Config{Metrics: registry, Log: log, Clock: clock, OpTimeout: settings.HostedTableTimeout})
-	return keeper.NewFinder(rows, settings.HostedCell, s.SeedAddresses(), clock, log)
+	return keeper.NewOwnerFinder(rows, settings.HostedCell, s.SeedAddresses(), clock, log)
 }
--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -157,7 +157,7 @@
 }
 
 func hostedRetention(l *ledger.Client, store *graphs.Store, sch *graphs.Scheduler, registry metrics.Registry, log zerolog.Logger) *retention.Service {
-	return retention.New(l, sch, registry, log, store.Retention())
+	return retention.New(l, sch, registry, log, store.RetentionRule())
 }
 
 func hostedRPC(s *settings.Hosted, sch *graphs.Scheduler, o *owner.Service, f *graphs.Front, h *graphs.Handover) *graphs.Server {
@@ -165,7 +165,7 @@
 }
 
 func hostedFront(p *policy.Watcher, store *graphs.Store, sch *graphs.Scheduler, o *owner.Service, peers *graphs.Peers, registry metrics.Registry, log zerolog.Logger) *graphs.Front {
-	return graphs.NewFront(p, store, graphs.NewRouter(sch, o), peers, time.Now, registry, log)
+	return graphs.NewFront(p, store, graphs.NewOwnerClient(sch, o), peers, time.Now, registry, log)
 }
 
 func hostedCallers(s *settings.Hosted, f *graphs.Front, registry metrics.Registry) *callers {
--- a/internal/agent/keeper/finder.go
+++ b/internal/agent/keeper/finder.go
@@ -28,16 +28,16 @@
 	maxEntries = 16
 )
 
-// Rows reads rows of the table.
-type Rows interface {
+// RowReader reads rows of the table.
+type RowReader interface {
 	Get(ctx context.Context, cause ledger.Cause, keys ...string) ([]ledger.Row, error)
 }
 
-// Finder finds the entry that owns scheduling: it asks the entries that it
+// OwnerFinder finds the entry that owns scheduling: it asks the entries that it
 // knows and, if none of them tells, reads the row of the ownership.
-type Finder struct {
+type OwnerFinder struct {
 	pool  rpc.Pool
-	rows  Rows
+	rows  RowReader
 	key   string
 	clock func() time.Duration
 	log   zerolog.Logger
@@ -49,13 +49,13 @@
 	read    bool
 }
 
-// NewFinder returns a finder that knows some addresses to begin with.
-func NewFinder(rows Rows, cell string, entries []string, clock func() time.Duration, log zerolog.Logger) *Finder {
-	return &Finder{rows: rows, key: owner.RowKey(cell), entries: entries, clock: clock, log: log}
+// NewOwnerFinder returns a finder that knows some addresses to begin with.
+func NewOwnerFinder(rows RowReader, cell string, entries []string, clock func() time.Duration, log zerolog.Logger) *OwnerFinder {
+	return &OwnerFinder{rows: rows, key: owner.RowKey(cell), entries: entries, clock: clock, log: log}
 }
 
 // Find returns a client of the owner and its address, nil if there is none now.
-func (f *Finder) Find(ctx context.Context) (rpc.FleetClient, string) {
+func (f *OwnerFinder) Find(ctx context.Context) (rpc.FleetClient, string) {
 	owner := f.ask(ctx, "")
 	if owner == nil {
 		owner = f.readRow(ctx)
@@ -69,7 +69,7 @@
 
 // Successor returns the address of an owner with a higher epoch than the one that
 // was found last, as the entries besides it know; empty if they know of none.
-func (f *Finder) Successor(ctx context.Context, present string) string {
+func (f *OwnerFinder) Successor(ctx context.Context, present string) string {
 	owner := f.ask(ctx, present)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +81,7 @@
 
 // ask asks all known entries but one at once and takes the answer with the
 // highest epoch, nil if none names an owner.
-func (f *Finder) ask(ctx context.Context, except string) *rpc.LocateReply {
+func (f *OwnerFinder) ask(ctx context.Context, except string) *rpc.LocateReply {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	f.mu.Lock()
@@ -117,7 +117,7 @@
 	return best
 }
 
-func (f *Finder) locate(ctx context.Context, address string) *rpc.LocateReply {
+func (f *OwnerFinder) locate(ctx context.Context, address string) *rpc.LocateReply {
 	client := f.client(address)
 	if client == nil {
 		return nil
@@ -129,7 +129,7 @@
 	return reply
 }
 
-func (f *Finder) client(address string) rpc.FleetClient {
+func (f *OwnerFinder) client(address string) rpc.FleetClient {
 	client, err := f.pool.Fleet(address)
 	if err != nil {
 		f.log.Error().Err(err).Str("entry", address).Msg("address cannot be dialled")
@@ -138,7 +138,7 @@
 	return client
 }
 
-func (f *Finder) remember(owner *rpc.LocateReply) {
+func (f *OwnerFinder) remember(owner *rpc.LocateReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.epoch = owner.Epoch
@@ -152,7 +152,7 @@
 }
 
 // readRow reads the owner from the table, nil if it names none.
-func (f *Finder) readRow(ctx context.Context) *rpc.LocateReply {
+func (f *OwnerFinder) readRow(ctx context.Context) *rpc.LocateReply {
 	f.mu.Lock()
 	due := !f.read || f.clock()-f.readAt >= rowInterval
 	if due {
--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -39,7 +39,7 @@
 // Keeper keeps one worker.
 type Keeper struct {
 	runner   external.Runner
-	finder   *Finder
+	finder   *OwnerFinder
 	clock    func() time.Duration
 	registry metrics.Registry
 	log      zerolog.Logger
@@ -69,7 +69,7 @@
 }
 
 // New returns a keeper that is not running yet.
-func New(r external.Runner, f *Finder, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *Keeper {
+func New(r external.Runner, f *OwnerFinder, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *Keeper {
 	k := &Keeper{
 		runner:   r,
 		finder:   f,
@@ -105,9 +105,9 @@
 	}
 }
 
-// Heartbeat takes what the worker says of itself. One that is older than the
+// HandleHeartbeat takes what the worker says of itself. One that is older than the
 // last is left.
-func (k *Keeper) Heartbeat(info plan.WorkerInfo, number uint64) {
+func (k *Keeper) HandleHeartbeat(info plan.WorkerInfo, number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if old := k.worker; old != nil && (info.StartUnixMillis < old.StartUnixMillis || info.Incarnation() == old.Incarnation() && number < k.number) {
@@ -138,8 +138,8 @@
 	k.orders = map[runRef]*order{}
 }
 
-// Left takes the worker's farewell.
-func (k *Keeper) Left(id string) {
+// HandleWorkerLeft takes the worker's farewell.
+func (k *Keeper) HandleWorkerLeft(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.worker == nil || k.worker.Instance != id {
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -22,9 +22,9 @@
 func TestNextOwnersStopOfAStartInDoubtIsSettled(t *testing.T) {
 	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
-	k := New(runner, NewFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
+	k := New(runner, NewOwnerFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
 	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Born()}
-	k.Heartbeat(worker, 1)
+	k.HandleHeartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
 		o := &rpc.WorkerOrders{Epoch: epoch, Incarnation: worker.Incarnation()}
--- a/internal/agent/keeper/session_test.go
+++ b/internal/agent/keeper/session_test.go
@@ -71,9 +71,9 @@
 	located.Store(&rpc.LocateReply{OwnerAddress: first.address, Epoch: 1})
 
 	clock := ledger.NewMonotonicClock()
-	finder := NewFinder(noRows{}, "all", []string{first.address, second.address}, clock, zerolog.Nop())
+	finder := NewOwnerFinder(noRows{}, "all", []string{first.address, second.address}, clock, zerolog.Nop())
 	k := New(standin.NewRunner(), finder, clock, metrics.NewRegistry(), zerolog.Nop())
-	k.Heartbeat(plan.WorkerInfo{ID: "w", Instance: "i", StartUnixMillis: 1}, 1)
+	k.HandleHeartbeat(plan.WorkerInfo{ID: "w", Instance: "i", StartUnixMillis: 1}, 1)
 	if err := k.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/graphs/front.go
+++ b/internal/entry/graphs/front.go
@@ -37,8 +37,8 @@
 	Path string
 	Key  string
 	Wait time.Duration // how long the caller waits; 0 if it does not say
-	// Least is the oldest version of the configuration that may be used.
-	Least uint64
+	// MinConfigVersion is the oldest version of the configuration that may be used.
+	MinConfigVersion uint64
 }
 
 // Outcome is the kind of an answer.
@@ -68,9 +68,9 @@
 	Detail     string
 	State      graph.State
 	Pending    *int
-	// Version is that of the configuration by which the call was let in or
+	// ConfigVersion is that of the configuration by which the call was let in or
 	// turned away; 0 if there was none.
-	Version uint64
+	ConfigVersion uint64
 }
 
 // Policies is where the front finds the configuration.
@@ -83,25 +83,25 @@
 
 // Relay serves requests through another entry.
 type Relay interface {
-	// Serve returns false if no other entry has answered; the request may have
+	// Forward returns false if no other entry has answered; the request may have
 	// taken effect all the same.
-	Serve(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool)
+	Forward(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool)
 }
 
-// Owner answers what only the owner of scheduling knows, wherever it runs.
-type Owner interface {
-	// Status returns a job's state; known is false if the owner cannot be
+// OwnerQuerier answers what only the owner of scheduling knows, wherever it runs.
+type OwnerQuerier interface {
+	// JobState returns a job's state; known is false if the owner cannot be
 	// asked or does not know the job.
-	Status(ctx context.Context, id graph.JobID) (state graph.State, known bool)
-	// Pending returns the number of a queue's jobs of which no task has started.
-	Pending(ctx context.Context, queue string) (n int, known bool)
+	JobState(ctx context.Context, id graph.JobID) (state graph.State, known bool)
+	// PendingJobs returns the number of a queue's jobs of which no task has started.
+	PendingJobs(ctx context.Context, queue string) (n int, known bool)
 }
 
 // Front serves the requests of callers.
 type Front struct {
 	policies Policies
 	store    *Store
-	owner    Owner
+	owner    OwnerQuerier
 	relay    Relay
 	now      func() time.Time
 	// floor is the newest version that any answer of this entry has rested on,
@@ -112,7 +112,7 @@
 }
 
 // NewFront returns a front. now is the time of day.
-func NewFront(p Policies, s *Store, o Owner, r Relay, now func() time.Time, registry metrics.Registry, log zerolog.Logger) *Front {
+func NewFront(p Policies, s *Store, o OwnerQuerier, r Relay, now func() time.Time, registry metrics.Registry, log zerolog.Logger) *Front {
 	return &Front{policies: p, store: s, owner: o, relay: r, now: now, log: log, registry: registry}
 }
 
@@ -147,13 +147,13 @@
 	if s == nil {
 		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: "configuration is not known to be current"}
 	}
-	if least := max(call.Least, f.floor.Load()); s.Version < least {
+	if least := max(call.MinConfigVersion, f.floor.Load()); s.Version < least {
 		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: fmt.Sprintf("configuration %d is older than %d, which has been used", s.Version, least)}
 	}
 	f.raise(s.Version)
 	q, rest := s.MatchQueue(call.Host, call.Path)
 	if q == nil {
-		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", Version: s.Version}
+		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", ConfigVersion: s.Version}
 	}
 	t := &target{queue: q, id: graph.JobID(rest), version: s.Version, age: age}
 	if q.Public {
@@ -161,7 +161,7 @@
 	}
 	account := s.AccountByKey(call.Key)
 	if account == nil {
-		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", Version: s.Version}
+		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", ConfigVersion: s.Version}
 	}
 	t.account = account.Name
 	return t, Answer{}
@@ -186,7 +186,7 @@
 			return a
 		}
 	}
-	return f.SubmitHere(call, decode)
+	return f.SubmitLocal(call, decode)
 }
 
 // relaySubmit submits through another entry.
@@ -201,8 +201,8 @@
 func (f *Front) serveElsewhere(verb string, call Call, job *graph.Job) (Answer, bool) {
 	ctx, cancel := f.context(call)
 	defer cancel()
-	a, served := f.relay.Serve(ctx, verb, call, job, f.floor.Load())
-	f.raise(a.Version)
+	a, served := f.relay.Forward(ctx, verb, call, job, f.floor.Load())
+	f.raise(a.ConfigVersion)
 	if served && a.Outcome == Refused {
 		return a, false // this entry may still do better
 	}
@@ -212,13 +212,13 @@
 	return a, served
 }
 
-// SubmitHere accepts a job with this entry's own view of the store.
-func (f *Front) SubmitHere(call Call, decode func() (*graph.Job, error)) Answer {
+// SubmitLocal accepts a job with this entry's own view of the store.
+func (f *Front) SubmitLocal(call Call, decode func() (*graph.Job, error)) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
 	if t != nil {
 		a = f.accept(call, t, decode)
-		a.Version = t.version
+		a.ConfigVersion = t.version
 	}
 	f.report(verbSubmit, call, t, a, start)
 	return a
@@ -245,7 +245,7 @@
 	job.SubmittedAt = f.now()
 	ctx, cancel := f.context(call)
 	defer cancel()
-	return writeAnswer(f.store.Accept(ctx, job))
+	return writeAnswer(f.store.InsertJob(ctx, job))
 }
 
 // writeAnswer is the answer to a request that had to be made durable.
@@ -267,11 +267,11 @@
 			return a
 		}
 	}
-	return f.LookupHere(call)
+	return f.LookupLocal(call)
 }
 
-// LookupHere is Lookup with this entry's own view of the store.
-func (f *Front) LookupHere(call Call) Answer {
+// LookupLocal is Lookup with this entry's own view of the store.
+func (f *Front) LookupLocal(call Call) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
 	switch {
@@ -282,7 +282,7 @@
 		a = f.state(call, t)
 	}
 	if t != nil {
-		a.Version = t.version
+		a.ConfigVersion = t.version
 	}
 	f.report(verbLookup, call, t, a, start)
 	return a
@@ -291,7 +291,7 @@
 func (f *Front) pending(call Call, t *target) Answer {
 	ctx, cancel := f.context(call)
 	defer cancel()
-	n, known := f.owner.Pending(ctx, t.queue.Name)
+	n, known := f.owner.PendingJobs(ctx, t.queue.Name)
 	if !known {
 		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: "no entry owns scheduling"}
 	}
@@ -301,10 +301,10 @@
 func (f *Front) state(call Call, t *target) Answer {
 	ctx, cancel := f.context(call)
 	defer cancel()
-	if state, known := f.owner.Status(ctx, t.id); known {
+	if state, known := f.owner.JobState(ctx, t.id); known {
 		return Answer{Outcome: OK, State: state}
 	}
-	state, found, err := f.store.State(ctx, t.id)
+	state, found, err := f.store.JobState(ctx, t.id)
 	switch {
 	case err != nil:
 		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: err.Error()}
@@ -322,16 +322,16 @@
 			return a
 		}
 	}
-	return f.CancelHere(call)
+	return f.CancelLocal(call)
 }
 
-// CancelHere is Cancel with this entry's own view of the store.
-func (f *Front) CancelHere(call Call) Answer {
+// CancelLocal is Cancel with this entry's own view of the store.
+func (f *Front) CancelLocal(call Call) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
 	if t != nil {
 		a = f.cancel(call, t)
-		a.Version = t.version
+		a.ConfigVersion = t.version
 	}
 	f.report(verbCancel, call, t, a, start)
 	return a
@@ -340,7 +340,7 @@
 func (f *Front) cancel(call Call, t *target) Answer {
 	ctx, cancel := f.context(call)
 	defer cancel()
-	found, err := f.store.Cancel(ctx, t.id)
+	found, err := f.store.CancelJob(ctx, t.id)
 	if err == nil && !found {
 		return Answer{Outcome: NoJob}
 	}
--- a/internal/entry/graphs/handover.go
+++ b/internal/entry/graphs/handover.go
@@ -33,7 +33,7 @@
 type Resigner interface {
 	Current() owner.Authority
 	Resign(epoch uint64)
-	HearResigned(epoch uint64)
+	ObserveResignation(epoch uint64)
 }
 
 // TableHealth tells how the table answers this process.
@@ -114,7 +114,7 @@
 // serve answers another entry's question.
 func (h *Handover) serve(ctx context.Context, r *rpc.HandOverRequest) *rpc.HandOverReply {
 	if r.Resigned {
-		h.owner.HearResigned(r.Epoch)
+		h.owner.ObserveResignation(r.Epoch)
 		return &rpc.HandOverReply{} // told, not asked
 	}
 	return &rpc.HandOverReply{Able: !h.failing() && h.lost() == 0 && h.prompt(ctx)}
--- a/internal/entry/graphs/hub.go
+++ b/internal/entry/graphs/hub.go
@@ -72,8 +72,8 @@
 // errNotOwner tells an agent to look for the owner.
 var errNotOwner = status.Error(codes.FailedPrecondition, "this entry does not own scheduling")
 
-// Attend serves one agent until the connection or the term ends.
-func (s *Scheduler) Attend(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
+// ServeAgent serves one agent until the connection or the term ends.
+func (s *Scheduler) ServeAgent(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
 	t := s.current()
 	if t == nil || !t.valid() {
 		return errNotOwner
--- a/internal/entry/graphs/peers.go
+++ b/internal/entry/graphs/peers.go
@@ -75,18 +75,18 @@
 
 // Attend serves the agent of one worker.
 func (s *Server) Attend(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
-	return s.scheduler.Attend(stream)
+	return s.scheduler.ServeAgent(stream)
 }
 
 // JobStatus answers for a job.
 func (s *Server) JobStatus(_ context.Context, r *rpc.JobStatusRequest) (*rpc.JobStatusReply, error) {
-	state, known := s.scheduler.Status(graph.JobID(r.Job))
+	state, known := s.scheduler.JobState(graph.JobID(r.Job))
 	return &rpc.JobStatusReply{Known: known, State: string(state)}, nil
 }
 
 // PendingJobs answers for a queue.
 func (s *Server) PendingJobs(_ context.Context, r *rpc.PendingJobsRequest) (*rpc.PendingJobsReply, error) {
-	n, known := s.scheduler.Pending(r.Queue)
+	n, known := s.scheduler.PendingJobs(r.Queue)
 	if !known {
 		return nil, errNotOwner
 	}
@@ -103,20 +103,22 @@
 	return s.handover.serve(ctx, r), nil
 }
 
-// Router asks the owner, in this process or in another entry.
-type Router struct {
+// OwnerClient asks the owner, in this process or in another entry.
+type OwnerClient struct {
 	scheduler *Scheduler
 	owner     Ownership
 	pool      rpc.Pool
 }
 
-var _ Owner = (*Router)(nil)
+var _ OwnerQuerier = (*OwnerClient)(nil)
 
-// NewRouter returns a router without connections.
-func NewRouter(s *Scheduler, o Ownership) *Router { return &Router{scheduler: s, owner: o} }
+// NewOwnerClient returns a router without connections.
+func NewOwnerClient(s *Scheduler, o Ownership) *OwnerClient {
+	return &OwnerClient{scheduler: s, owner: o}
+}
 
 // remote returns a client of the owner in another process, nil if there is none.
-func (r *Router) remote() rpc.FleetClient {
+func (r *OwnerClient) remote() rpc.FleetClient {
 	a := r.owner.Current()
 	if a.Owner || a.OwnerAddr == "" {
 		return nil
@@ -128,9 +130,9 @@
 	return client
 }
 
-// Status asks for a job's state.
-func (r *Router) Status(ctx context.Context, id graph.JobID) (graph.State, bool) {
-	if state, known := r.scheduler.Status(id); known {
+// JobState asks for a job's state.
+func (r *OwnerClient) JobState(ctx context.Context, id graph.JobID) (graph.State, bool) {
+	if state, known := r.scheduler.JobState(id); known {
 		return state, true
 	}
 	client := r.remote()
@@ -146,9 +148,9 @@
 	return graph.State(reply.State), true
 }
 
-// Pending asks for a queue's length.
-func (r *Router) Pending(ctx context.Context, queue string) (int, bool) {
-	if n, known := r.scheduler.Pending(queue); known {
+// PendingJobs asks for a queue's length.
+func (r *OwnerClient) PendingJobs(ctx context.Context, queue string) (int, bool) {
+	if n, known := r.scheduler.PendingJobs(queue); known {
 		return n, true
 	}
 	client := r.remote()
--- a/internal/entry/graphs/relay.go
+++ b/internal/entry/graphs/relay.go
@@ -53,8 +53,8 @@
 	return &Peers{self: self, seeds: seeds, owner: o, log: log, failed: map[string]time.Time{}}
 }
 
-// Serve asks other entries, one after the other.
-func (p *Peers) Serve(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool) {
+// Forward asks other entries, one after the other.
+func (p *Peers) Forward(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool) {
 	request := &rpc.RelayRequest{Verb: verb, Host: call.Host, Path: call.Path, Key: call.Key, WaitMs: call.Wait.Milliseconds(), LeastVersion: least}
 	if job != nil {
 		data, err := json.Marshal(job)
@@ -133,7 +133,7 @@
 }
 
 func answerOf(r *rpc.RelayReply) Answer {
-	a := Answer{Outcome: Outcome(r.Outcome), RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond, Detail: r.Detail, State: graph.State(r.State), Version: r.Version}
+	a := Answer{Outcome: Outcome(r.Outcome), RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond, Detail: r.Detail, State: graph.State(r.State), ConfigVersion: r.Version}
 	if r.HasPending {
 		n := int(r.Pending)
 		a.Pending = &n
@@ -143,23 +143,23 @@
 
 // serveRelayed serves a request of another entry's caller.
 func serveRelayed(f *Front, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
-	call := Call{Host: r.Host, Path: r.Path, Key: r.Key, Wait: min(time.Duration(r.WaitMs)*time.Millisecond, relayTimeout), Least: r.LeastVersion}
+	call := Call{Host: r.Host, Path: r.Path, Key: r.Key, Wait: min(time.Duration(r.WaitMs)*time.Millisecond, relayTimeout), MinConfigVersion: r.LeastVersion}
 	var a Answer
 	switch r.Verb {
 	case verbSubmit:
-		a = f.SubmitHere(call, func() (*graph.Job, error) {
+		a = f.SubmitLocal(call, func() (*graph.Job, error) {
 			job := &graph.Job{}
 			err := json.Unmarshal(r.Job, job)
 			return job, err
 		})
 	case verbLookup:
-		a = f.LookupHere(call)
+		a = f.LookupLocal(call)
 	case verbCancel:
-		a = f.CancelHere(call)
+		a = f.CancelLocal(call)
 	default:
 		return nil, status.Errorf(codes.InvalidArgument, "verb %q does not exist", r.Verb)
 	}
-	out := &rpc.RelayReply{Outcome: int32(a.Outcome), RetryAfterMs: a.RetryAfter.Milliseconds(), Detail: a.Detail, State: string(a.State), Version: a.Version}
+	out := &rpc.RelayReply{Outcome: int32(a.Outcome), RetryAfterMs: a.RetryAfter.Milliseconds(), Detail: a.Detail, State: string(a.State), Version: a.ConfigVersion}
 	if a.Pending != nil {
 		out.HasPending, out.Pending = true, int64(*a.Pending)
 	}
--- a/internal/entry/graphs/scheduler.go
+++ b/internal/entry/graphs/scheduler.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// Lease is how long a worker runs on without a grant of the owner: long
+	// LeaseDuration is how long a worker runs on without a grant of the owner: long
 	// enough for a takeover and a short outage of the table.
-	Lease = 6 * time.Second
+	LeaseDuration = 6 * time.Second
 	// clockRate is by how much a worker's clock may be slow.
 	clockRate = 0.02
 	// leaseSlack is added for the grain of the workers' clocks.
@@ -49,9 +49,9 @@
 // lease is how long a worker runs on without a grant.
 func (l Limits) lease() time.Duration {
 	if l.MaxLease == 0 {
-		return Lease
+		return LeaseDuration
 	}
-	return min(Lease, l.MaxLease)
+	return min(LeaseDuration, l.MaxLease)
 }
 
 // leaseBound is how long after a worker's last report its lease has ended on
@@ -182,11 +182,11 @@
 	start := s.clock()
 	loadCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	token, version, err := s.store.Fence(loadCtx, epoch)
+	token, version, err := s.store.AdvanceFence(loadCtx, epoch)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	jobs, err := s.store.Load(loadCtx)
+	jobs, err := s.store.LoadJobs(loadCtx)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -206,8 +206,8 @@
 	return t != nil && t.valid()
 }
 
-// Status returns a job's state if this process is the owner and knows it.
-func (s *Scheduler) Status(id graph.JobID) (graph.State, bool) {
+// JobState returns a job's state if this process is the owner and knows it.
+func (s *Scheduler) JobState(id graph.JobID) (graph.State, bool) {
 	t := s.current()
 	if t == nil || !t.valid() {
 		return "", false
@@ -218,8 +218,8 @@
 	return v.State, ok
 }
 
-// Pending returns a queue's length if this process is the owner.
-func (s *Scheduler) Pending(queue string) (int, bool) {
+// PendingJobs returns a queue's length if this process is the owner.
+func (s *Scheduler) PendingJobs(queue string) (int, bool) {
 	t := s.current()
 	if t == nil || !t.valid() {
 		return 0, false
@@ -277,7 +277,7 @@
 	if err != nil {
 		return after
 	}
-	jobs, err := t.store.Load(ctx)
+	jobs, err := t.store.LoadJobs(ctx)
 	if err != nil {
 		return after
 	}
--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -51,9 +51,9 @@
 func cancelKey(id graph.JobID) string   { return jobsPrefix + string(id) + cancelSuffix }
 func progressKey(id graph.JobID) string { return jobsPrefix + string(id) + progressSuffix }
 
-// Accept makes a job durable. A job with the same ID that is there already
+// InsertJob makes a job durable. A job with the same ID that is there already
 // stands for it.
-func (s *Store) Accept(ctx context.Context, job *graph.Job) error {
+func (s *Store) InsertJob(ctx context.Context, job *graph.Job) error {
 	_, err := s.table.Commit(ctx, ledger.CauseJob, ledger.Write{Key: jobKey(job.ID), Data: ledger.Encode(job)})
 	if errors.Is(err, ledger.ErrConflict) {
 		return nil
@@ -61,9 +61,9 @@
 	return errors.Annotatef(err, "accepting job %q", job.ID)
 }
 
-// Cancel makes the cancelling of a job durable; found is false if there is no
+// CancelJob makes the cancelling of a job durable; found is false if there is no
 // such job.
-func (s *Store) Cancel(ctx context.Context, id graph.JobID) (found bool, err error) {
+func (s *Store) CancelJob(ctx context.Context, id graph.JobID) (found bool, err error) {
 	rows, err := s.table.Get(ctx, ledger.CauseJob, jobKey(id))
 	if err != nil {
 		return false, errors.Annotatef(err, "cancelling job %q", id)
@@ -78,8 +78,8 @@
 	return true, errors.Annotatef(err, "cancelling job %q", id)
 }
 
-// State reads a job's state from its rows; found is false if there is no such job.
-func (s *Store) State(ctx context.Context, id graph.JobID) (state graph.State, found bool, err error) {
+// JobState reads a job's state from its rows; found is false if there is no such job.
+func (s *Store) JobState(ctx context.Context, id graph.JobID) (state graph.State, found bool, err error) {
 	rows, err := s.table.Scan(ctx, ledger.CauseJob, jobsPrefix+string(id)+"/", "", scanPage)
 	if err != nil {
 		return "", false, errors.Annotatef(err, "state of job %q", id)
@@ -166,8 +166,8 @@
 	return graph.JobID(rest[:i]), rest[i:], true
 }
 
-// Load returns all jobs, in order of their IDs.
-func (s *Store) Load(ctx context.Context) ([]*stored, error) {
+// LoadJobs returns all jobs, in order of their IDs.
+func (s *Store) LoadJobs(ctx context.Context) ([]*stored, error) {
 	var rows []ledger.Row
 	after := ""
 	for {
@@ -183,9 +183,9 @@
 	}
 }
 
-// Retention removes jobs that have been final for long, the progress last: its
+// RetentionRule removes jobs that have been final for long, the progress last: its
 // row names the job.
-func (s *Store) Retention() retention.Rule {
+func (s *Store) RetentionRule() retention.Rule {
 	return retention.Rule{
 		Name:   "graphs",
 		Prefix: jobsPrefix,
@@ -228,9 +228,9 @@
 	Token uint64 `json:"token"`
 }
 
-// Fence keeps the writes of all earlier terms from taking effect. It returns
+// AdvanceFence keeps the writes of all earlier terms from taking effect. It returns
 // the term's fencing token and the version of the fence's row.
-func (s *Store) Fence(ctx context.Context, epoch uint64) (token, version uint64, err error) {
+func (s *Store) AdvanceFence(ctx context.Context, epoch uint64) (token, version uint64, err error) {
 	rows, err := s.table.Get(ctx, ledger.CauseOwner, fenceKey)
 	if err != nil {
 		return 0, 0, errors.Annotate(err, "reading the fence")
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -110,8 +110,8 @@
 	s.cfg.Log.Warn().Uint64("epoch", epoch).Msg("ownership resigned")
 }
 
-// HearResigned takes the news that the owner of an epoch has resigned.
-func (s *Service) HearResigned(epoch uint64) { s.step(PeerResigned{epoch}) }
+// ObserveResignation takes the news that the owner of an epoch has resigned.
+func (s *Service) ObserveResignation(epoch uint64) { s.step(PeerResigned{epoch}) }
 
 func (s *Service) awaitRelease(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -238,7 +238,7 @@
 	scheduler := graphs.NewScheduler(e.owner, store, watcher, graphs.Limits{}, clock, time.Now, registry, log)
 	e.schedule = scheduler
 	peers := graphs.NewPeers(address, all, e.owner, log)
-	e.front = graphs.NewFront(watcher, store, graphs.NewRouter(scheduler, e.owner), peers, time.Now, registry, log)
+	e.front = graphs.NewFront(watcher, store, graphs.NewOwnerClient(scheduler, e.owner), peers, time.Now, registry, log)
 	handover := graphs.NewHandover(e.owner, e.ledger, watcher, peers, log)
 	server := graphs.NewServer(address, scheduler, e.owner, e.front, handover)
 	e.services = []kernel.Service{e.ledger, watcher, server, e.owner, scheduler, handover}
@@ -255,7 +255,7 @@
 	id := fmt.Sprintf("w%d", i)
 	log := f.log.With().Str("id", id).Logger()
 	rows := ledger.New(&path{Table: f.table}, ledger.Config{Log: log, Clock: clock})
-	finder := keeper.NewFinder(rows, cell, entries, clock, log)
+	finder := keeper.NewOwnerFinder(rows, cell, entries, clock, log)
 	a := &agent{id: id, zone: fmt.Sprintf("z%d", i%2), runner: standin.NewRunner()}
 	a.keeper = keeper.New(a.runner, finder, clock, metrics.NewRegistry(), log)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -270,7 +270,7 @@
 // announce sends the worker's heartbeats to its agent.
 func (a *agent) announce(ctx context.Context) {
 	for n := uint64(1); ctx.Err() == nil; n++ {
-		a.keeper.Heartbeat(plan.WorkerInfo{
+		a.keeper.HandleHeartbeat(plan.WorkerInfo{
 			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Born(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
 			Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8},
 			Draining: a.drains.Load(), DrainRemaining: 3 * time.Second,
--- a/test/graphs/graphs_test.go
+++ b/test/graphs/graphs_test.go
@@ -125,7 +125,7 @@
 	id := f.submit(f.entries[0], 16)
 	f.await("sixteen starts", func() bool { return len(f.starts(id)) == 16 })
 	f.agents[0].runner.Restart()
-	f.awaitWithin(graphs.Lease/2, "second starts", func() bool {
+	f.awaitWithin(graphs.LeaseDuration/2, "second starts", func() bool {
 		again := 0
 		for _, n := range f.starts(id) {
 			again += n - 1
@@ -200,7 +200,7 @@
 	f := newFleet(t, 1, 1)
 	e := f.entries[0]
 	e.path.silent.Store(true)
-	a := e.front.SubmitHere(f.call(f.newID()), aJob(1))
+	a := e.front.SubmitLocal(f.call(f.newID()), aJob(1))
 	if a.Outcome != graphs.Unknown {
 		t.Fatalf("submit to a silent table: %+v", a)
 	}
