--- a/internal/entry/graphs/front.go
+++ b/internal/entry/graphs/front.go
@@ -21,14 +21,14 @@
 	// answerMargin is the part of the caller's time that is left for the answer
 	// to reach it.
 	answerMargin = 150 * time.Millisecond
-	// retryStore is when a caller may come back after the table was not
+	// retryAfterStoreFailure is when a caller may come back after the table was not
 	// reachable, retryNoPolicy when the configuration is not known.
-	retryStore    = time.Second
-	retryNoPolicy = time.Second
-	// retryNever is for what this version of the program does not serve.
-	retryNever = time.Hour
-	// idDigits is the number of hexadecimal digits of a job's ID.
-	idDigits = 16
+	retryAfterStoreFailure = time.Second
+	retryAfterStaleConfig  = time.Second
+	// retryAfterUnsupported is for what this version of the program does not serve.
+	retryAfterUnsupported = time.Hour
+	// jobIDDigits is the number of hexadecimal digits of a job's ID.
+	jobIDDigits = 16
 )
 
 // Call is what all requests of callers have in common.
@@ -85,7 +85,7 @@
 type Relay interface {
 	// Forward returns false if no other entry has answered; the request may have
 	// taken effect all the same.
-	Forward(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool)
+	Forward(ctx context.Context, verb string, call Call, job *graph.Job, minConfigVersion uint64) (Answer, bool)
 }
 
 // OwnerQuerier answers what only the owner of scheduling knows, wherever it runs.
@@ -104,11 +104,11 @@
 	owner    OwnerQuerier
 	relay    Relay
 	now      func() time.Time
-	// floor is the newest version that any answer of this entry has rested on,
+	// configVersionFloor is the newest version that any answer of this entry has rested on,
 	// through another entry too: callers never see an older one again.
-	floor    atomic.Uint64
-	log      zerolog.Logger
-	registry metrics.Registry
+	configVersionFloor atomic.Uint64
+	log                zerolog.Logger
+	registry           metrics.Registry
 }
 
 // NewFront returns a front. now is the time of day.
@@ -116,14 +116,14 @@
 	return &Front{policies: p, store: s, owner: o, relay: r, now: now, log: log, registry: registry}
 }
 
-// lostLimit is how long the store may fail to confirm the configuration before
+// readyOutageLimit is how long the store may fail to confirm the configuration before
 // callers are sent to other entries: the balancer takes two more seconds.
-const lostLimit = 300 * time.Millisecond
+const readyOutageLimit = 300 * time.Millisecond
 
 // Ready returns nil while callers can be served from here.
 func (f *Front) Ready() error {
-	if lost := f.policies.StoreOutage(); lost > f.policies.MaxConfirmationAge()+lostLimit {
-		return errors.Errorf("the store has not answered for %v", lost)
+	if outage := f.policies.StoreOutage(); outage > f.policies.MaxConfirmationAge()+readyOutageLimit {
+		return errors.Errorf("the store has not answered for %v", outage)
 	}
 	if s, age := f.policies.FreshSnapshot(); s == nil {
 		return errors.Errorf("configuration was confirmed %v ago", age)
@@ -133,45 +133,45 @@
 
 // target is what a call is about, once it has been let in.
 type target struct {
-	queue   *policy.Queue
-	account string
-	id      graph.JobID // empty for the queue itself
-	version uint64
-	age     time.Duration
+	queue         *policy.Queue
+	account       string
+	id            graph.JobID // empty for the queue itself
+	configVersion uint64
+	configAge     time.Duration
 }
 
 // admit finds the queue of a call and checks its key. A nil target comes with
 // the answer.
 func (f *Front) admit(call Call) (*target, Answer) {
-	s, age := f.policies.FreshSnapshot()
-	if s == nil {
-		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: "configuration is not known to be current"}
+	snapshot, age := f.policies.FreshSnapshot()
+	if snapshot == nil {
+		return nil, Answer{Outcome: Refused, RetryAfter: retryAfterStaleConfig, Detail: "configuration is not known to be current"}
 	}
-	if least := max(call.MinConfigVersion, f.floor.Load()); s.Version < least {
-		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: fmt.Sprintf("configuration %d is older than %d, which has been used", s.Version, least)}
+	if minVersion := max(call.MinConfigVersion, f.configVersionFloor.Load()); snapshot.Version < minVersion {
+		return nil, Answer{Outcome: Refused, RetryAfter: retryAfterStaleConfig, Detail: fmt.Sprintf("configuration %d is older than %d, which has been used", snapshot.Version, minVersion)}
 	}
-	f.raise(s.Version)
-	q, rest := s.MatchQueue(call.Host, call.Path)
-	if q == nil {
-		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", ConfigVersion: s.Version}
+	f.raiseConfigVersionFloor(snapshot.Version)
+	queue, rest := snapshot.MatchQueue(call.Host, call.Path)
+	if queue == nil {
+		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", ConfigVersion: snapshot.Version}
 	}
-	t := &target{queue: q, id: graph.JobID(rest), version: s.Version, age: age}
-	if q.Public {
+	t := &target{queue: queue, id: graph.JobID(rest), configVersion: snapshot.Version, configAge: age}
+	if queue.Public {
 		return t, Answer{}
 	}
-	account := s.AccountByKey(call.Key)
+	account := snapshot.AccountByKey(call.Key)
 	if account == nil {
-		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", ConfigVersion: s.Version}
+		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", ConfigVersion: snapshot.Version}
 	}
 	t.account = account.Name
 	return t, Answer{}
 }
 
-// raise notes that an answer rests on a version.
-func (f *Front) raise(version uint64) {
+// raiseConfigVersionFloor notes that an answer rests on a version.
+func (f *Front) raiseConfigVersionFloor(version uint64) {
 	for {
-		old := f.floor.Load()
-		if version <= old || f.floor.CompareAndSwap(old, version) {
+		old := f.configVersionFloor.Load()
+		if version <= old || f.configVersionFloor.CompareAndSwap(old, version) {
 			return
 		}
 	}
@@ -182,7 +182,7 @@
 	start := time.Now()
 	if f.policies.StoreOutage() > 0 {
 		if a, served := f.relaySubmit(call, decode); served {
-			f.report(verbSubmit, call, nil, a, start)
+			f.recordAnswer(verbSubmit, call, nil, a, start)
 			return a
 		}
 	}
@@ -195,14 +195,14 @@
 	if err != nil {
 		return Answer{}, false // refused here as well, once the caller is known
 	}
-	return f.serveElsewhere(verbSubmit, call, job)
+	return f.relayCall(verbSubmit, call, job)
 }
 
-func (f *Front) serveElsewhere(verb string, call Call, job *graph.Job) (Answer, bool) {
-	ctx, cancel := f.context(call)
+func (f *Front) relayCall(verb string, call Call, job *graph.Job) (Answer, bool) {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	a, served := f.relay.Forward(ctx, verb, call, job, f.floor.Load())
-	f.raise(a.ConfigVersion)
+	a, served := f.relay.Forward(ctx, verb, call, job, f.configVersionFloor.Load())
+	f.raiseConfigVersionFloor(a.ConfigVersion)
 	if served && a.Outcome == Refused {
 		return a, false // this entry may still do better
 	}
@@ -217,23 +217,23 @@
 	start := time.Now()
 	t, a := f.admit(call)
 	if t != nil {
-		a = f.accept(call, t, decode)
-		a.ConfigVersion = t.version
+		a = f.acceptJob(call, t, decode)
+		a.ConfigVersion = t.configVersion
 	}
-	f.report(verbSubmit, call, t, a, start)
+	f.recordAnswer(verbSubmit, call, t, a, start)
 	return a
 }
 
-func (f *Front) accept(call Call, t *target, decode func() (*graph.Job, error)) Answer {
-	if !validID(t.id) {
+func (f *Front) acceptJob(call Call, t *target, decode func() (*graph.Job, error)) Answer {
+	if !validJobID(t.id) {
 		return Answer{Outcome: Invalid, Detail: "job ID is not 16 hexadecimal digits"}
 	}
 	if t.queue.Advised {
-		return Answer{Outcome: Refused, RetryAfter: retryNever, Detail: "queues with an adviser are not served"}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterUnsupported, Detail: "queues with an adviser are not served"}
 	}
 	job, err := decode()
 	if errors.Is(err, errors.NotSupported) {
-		return Answer{Outcome: Refused, RetryAfter: retryNever, Detail: err.Error()}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterUnsupported, Detail: err.Error()}
 	}
 	if err != nil {
 		return Answer{Outcome: Invalid, Detail: err.Error()}
@@ -243,27 +243,27 @@
 	job.Priority, job.MaxAttempts = t.queue.Priority, t.queue.MaxAttempts
 	job.Stretch, job.Allowance = t.queue.Stretch, t.queue.Allowance
 	job.SubmittedAt = f.now()
-	ctx, cancel := f.context(call)
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	return writeAnswer(f.store.InsertJob(ctx, job))
+	return answerForWrite(f.store.InsertJob(ctx, job))
 }
 
-// writeAnswer is the answer to a request that had to be made durable.
-func writeAnswer(err error) Answer {
+// answerForWrite is the answer to a request that had to be made durable.
+func answerForWrite(err error) Answer {
 	switch {
 	case err == nil:
 		return Answer{Outcome: OK}
 	case errors.Is(err, ledger.ErrOutcomeUnknown):
 		return Answer{Outcome: Unknown, Detail: err.Error()}
 	default:
-		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: err.Error()}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterStoreFailure, Detail: err.Error()}
 	}
 }
 
 // Lookup answers for a job's state, or for a queue's length.
 func (f *Front) Lookup(call Call) Answer {
 	if f.policies.StoreOutage() > 0 {
-		if a, served := f.serveElsewhere(verbLookup, call, nil); served {
+		if a, served := f.relayCall(verbLookup, call, nil); served {
 			return a
 		}
 	}
@@ -277,29 +277,29 @@
 	switch {
 	case t == nil:
 	case t.id == "":
-		a = f.pending(call, t)
+		a = f.pendingJobs(call, t)
 	default:
-		a = f.state(call, t)
+		a = f.jobState(call, t)
 	}
 	if t != nil {
-		a.ConfigVersion = t.version
+		a.ConfigVersion = t.configVersion
 	}
-	f.report(verbLookup, call, t, a, start)
+	f.recordAnswer(verbLookup, call, t, a, start)
 	return a
 }
 
-func (f *Front) pending(call Call, t *target) Answer {
-	ctx, cancel := f.context(call)
+func (f *Front) pendingJobs(call Call, t *target) Answer {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
 	n, known := f.owner.PendingJobs(ctx, t.queue.Name)
 	if !known {
-		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: "no entry owns scheduling"}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterStoreFailure, Detail: "no entry owns scheduling"}
 	}
 	return Answer{Outcome: OK, Pending: &n}
 }
 
-func (f *Front) state(call Call, t *target) Answer {
-	ctx, cancel := f.context(call)
+func (f *Front) jobState(call Call, t *target) Answer {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
 	if state, known := f.owner.JobState(ctx, t.id); known {
 		return Answer{Outcome: OK, State: state}
@@ -307,7 +307,7 @@
 	state, found, err := f.store.JobState(ctx, t.id)
 	switch {
 	case err != nil:
-		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: err.Error()}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterStoreFailure, Detail: err.Error()}
 	case !found:
 		return Answer{Outcome: NoJob}
 	default:
@@ -318,7 +318,7 @@
 // Cancel ends a job.
 func (f *Front) Cancel(call Call) Answer {
 	if f.policies.StoreOutage() > 0 {
-		if a, served := f.serveElsewhere(verbCancel, call, nil); served {
+		if a, served := f.relayCall(verbCancel, call, nil); served {
 			return a
 		}
 	}
@@ -330,25 +330,25 @@
 	start := time.Now()
 	t, a := f.admit(call)
 	if t != nil {
-		a = f.cancel(call, t)
-		a.ConfigVersion = t.version
+		a = f.cancelJob(call, t)
+		a.ConfigVersion = t.configVersion
 	}
-	f.report(verbCancel, call, t, a, start)
+	f.recordAnswer(verbCancel, call, t, a, start)
 	return a
 }
 
-func (f *Front) cancel(call Call, t *target) Answer {
-	ctx, cancel := f.context(call)
+func (f *Front) cancelJob(call Call, t *target) Answer {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
 	found, err := f.store.CancelJob(ctx, t.id)
 	if err == nil && !found {
 		return Answer{Outcome: NoJob}
 	}
-	return writeAnswer(err)
+	return answerForWrite(err)
 }
 
-// context ends shortly before the caller stops waiting.
-func (f *Front) context(call Call) (context.Context, context.CancelFunc) {
+// callContext ends shortly before the caller stops waiting.
+func (f *Front) callContext(call Call) (context.Context, context.CancelFunc) {
 	wait := call.Wait
 	if wait == 0 {
 		wait = defaultWait
@@ -356,29 +356,29 @@
 	return context.WithTimeout(context.Background(), max(wait-answerMargin, wait/2))
 }
 
-// report counts and logs one answer.
-func (f *Front) report(verb string, call Call, t *target, a Answer, start time.Time) {
+// recordAnswer counts and logs one answer.
+func (f *Front) recordAnswer(verb string, call Call, t *target, answer Answer, start time.Time) {
 	took := time.Since(start)
-	metrics.GetOrRegisterCounter("front."+verb+"."+a.Outcome.String(), f.registry).Inc(1)
+	metrics.GetOrRegisterCounter("front."+verb+"."+answer.Outcome.String(), f.registry).Inc(1)
 	metrics.GetOrRegisterTimer("front."+verb, f.registry).Update(took)
-	e := f.log.Info().Str("verb", verb).Str("outcome", a.Outcome.String()).Dur("took_ms", took)
+	event := f.log.Info().Str("verb", verb).Str("outcome", answer.Outcome.String()).Dur("took_ms", took)
 	if t != nil {
-		e = e.Str("job", string(t.id)).Str("queue", t.queue.Name).Str("account", t.account).
-			Uint64("policy", t.version).Dur("policy_age_ms", t.age)
+		event = event.Str("job", string(t.id)).Str("queue", t.queue.Name).Str("account", t.account).
+			Uint64("policy", t.configVersion).Dur("policy_age_ms", t.configAge)
 	} else {
-		e = e.Str("path", call.Path)
+		event = event.Str("path", call.Path)
 	}
-	if a.Detail != "" {
-		e = e.Str("detail", a.Detail)
+	if answer.Detail != "" {
+		event = event.Str("detail", answer.Detail)
 	}
-	if a.State != "" {
-		e = e.Str("state", string(a.State))
+	if answer.State != "" {
+		event = event.Str("state", string(answer.State))
 	}
-	e.Msg("request")
+	event.Msg("request")
 }
 
-func validID(id graph.JobID) bool {
-	if len(id) != idDigits {
+func validJobID(id graph.JobID) bool {
+	if len(id) != jobIDDigits {
 		return false
 	}
 	for _, r := range id {
--- a/internal/entry/graphs/relay.go
+++ b/internal/entry/graphs/relay.go
@@ -19,10 +19,10 @@
 	// relayTimeout bounds one try at another entry, so that a second one fits
 	// into the time that callers usually wait.
 	relayTimeout = 700 * time.Millisecond
-	// maxRelayTries bounds the entries that are tried for one request.
-	maxRelayTries = 2
-	// failedFor is how long an entry that did not answer is tried last.
-	failedFor = 5 * time.Second
+	// maxRelayAttempts bounds the entries that are tried for one request.
+	maxRelayAttempts = 2
+	// failedPeerBackoff is how long an entry that did not answer is tried last.
+	failedPeerBackoff = 5 * time.Second
 )
 
 // The verbs of relayed requests.
@@ -42,20 +42,20 @@
 
 	pool rpc.Pool
 
-	mu     sync.Mutex
-	failed map[string]time.Time // when an entry last failed to answer
+	mu       sync.Mutex
+	failedAt map[string]time.Time // when an entry last failed to answer
 }
 
 var _ Relay = (*Peers)(nil)
 
 // NewPeers returns a relay of the entry at self.
 func NewPeers(self string, seeds []string, o Ownership, log zerolog.Logger) *Peers {
-	return &Peers{self: self, seeds: seeds, owner: o, log: log, failed: map[string]time.Time{}}
+	return &Peers{self: self, seeds: seeds, owner: o, log: log, failedAt: map[string]time.Time{}}
 }
 
 // Forward asks other entries, one after the other.
-func (p *Peers) Forward(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool) {
-	request := &rpc.RelayRequest{Verb: verb, Host: call.Host, Path: call.Path, Key: call.Key, WaitMs: call.Wait.Milliseconds(), LeastVersion: least}
+func (p *Peers) Forward(ctx context.Context, verb string, call Call, job *graph.Job, minConfigVersion uint64) (Answer, bool) {
+	request := &rpc.RelayRequest{Verb: verb, Host: call.Host, Path: call.Path, Key: call.Key, WaitMs: call.Wait.Milliseconds(), LeastVersion: minConfigVersion}
 	if job != nil {
 		data, err := json.Marshal(job)
 		if err != nil {
@@ -65,64 +65,64 @@
 		request.Job = data
 	}
 	for _, address := range p.candidates() {
-		reply, err := p.ask(ctx, address, request)
-		if news := p.note(address, err); news {
+		reply, err := p.relayTo(ctx, address, request)
+		if newFailure := p.recordResult(address, err); newFailure {
 			p.log.Warn().Err(err).Str("entry", address).Str("verb", verb).Str("path", call.Path).Msg("request not relayed")
 		}
 		if err == nil {
-			return answerOf(reply), true
+			return answerFromReply(reply), true
 		}
-		if mayHaveRun(err) && verb != verbLookup {
+		if mayHaveTakenEffect(err) && verb != verbLookup {
 			return Answer{Outcome: Unknown, Detail: "another entry did not answer"}, true
 		}
 	}
 	return Answer{}, false
 }
 
-// note remembers whether an entry has answered, and reports whether it has just
+// recordResult remembers whether an entry has answered, and reports whether it has just
 // begun to fail.
-func (p *Peers) note(address string, err error) (news bool) {
+func (p *Peers) recordResult(address string, err error) (newFailure bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil {
-		delete(p.failed, address)
+		delete(p.failedAt, address)
 		return false
 	}
-	last, failing := p.failed[address]
-	p.failed[address] = time.Now()
-	return !failing || time.Since(last) > failedFor
+	last, failing := p.failedAt[address]
+	p.failedAt[address] = time.Now()
+	return !failing || time.Since(last) > failedPeerBackoff
 }
 
-// mayHaveRun reports whether the other entry may have taken the request.
-func mayHaveRun(err error) bool { return status.Code(err) == codes.DeadlineExceeded }
+// mayHaveTakenEffect reports whether the other entry may have taken the request.
+func mayHaveTakenEffect(err error) bool { return status.Code(err) == codes.DeadlineExceeded }
 
 func (p *Peers) candidates() []string {
-	var out []string
-	for _, a := range append([]string{p.owner.Current().OwnerAddr}, p.seeds...) {
-		known := a == "" || a == p.self
-		for _, o := range out {
-			known = known || a == o
+	var addresses []string
+	for _, address := range append([]string{p.owner.Current().OwnerAddr}, p.seeds...) {
+		skip := address == "" || address == p.self
+		for _, other := range addresses {
+			skip = skip || address == other
 		}
-		if !known {
-			out = append(out, a)
+		if !skip {
+			addresses = append(addresses, address)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	slices.SortStableFunc(out, func(a, b string) int { return p.recency(a) - p.recency(b) })
-	return out[:min(len(out), maxRelayTries)]
+	slices.SortStableFunc(addresses, func(a, b string) int { return p.failureRank(a) - p.failureRank(b) })
+	return addresses[:min(len(addresses), maxRelayAttempts)]
 }
 
-// recency is 1 for an entry that has failed lately, else 0. The caller holds
+// failureRank is 1 for an entry that has failed lately, else 0. The caller holds
 // the lock.
-func (p *Peers) recency(address string) int {
-	if at, ok := p.failed[address]; ok && time.Since(at) < failedFor {
+func (p *Peers) failureRank(address string) int {
+	if at, ok := p.failedAt[address]; ok && time.Since(at) < failedPeerBackoff {
 		return 1
 	}
 	return 0
 }
 
-func (p *Peers) ask(ctx context.Context, address string, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
+func (p *Peers) relayTo(ctx context.Context, address string, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
 	client, err := p.pool.Fleet(address)
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 	return client.Relay(ctx, r)
 }
 
-func answerOf(r *rpc.RelayReply) Answer {
+func answerFromReply(r *rpc.RelayReply) Answer {
 	a := Answer{Outcome: Outcome(r.Outcome), RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond, Detail: r.Detail, State: graph.State(r.State), ConfigVersion: r.Version}
 	if r.HasPending {
 		n := int(r.Pending)
@@ -144,24 +144,24 @@
 // serveRelayed serves a request of another entry's caller.
 func serveRelayed(f *Front, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
 	call := Call{Host: r.Host, Path: r.Path, Key: r.Key, Wait: min(time.Duration(r.WaitMs)*time.Millisecond, relayTimeout), MinConfigVersion: r.LeastVersion}
-	var a Answer
+	var answer Answer
 	switch r.Verb {
 	case verbSubmit:
-		a = f.SubmitLocal(call, func() (*graph.Job, error) {
+		answer = f.SubmitLocal(call, func() (*graph.Job, error) {
 			job := &graph.Job{}
 			err := json.Unmarshal(r.Job, job)
 			return job, err
 		})
 	case verbLookup:
-		a = f.LookupLocal(call)
+		answer = f.LookupLocal(call)
 	case verbCancel:
-		a = f.CancelLocal(call)
+		answer = f.CancelLocal(call)
 	default:
 		return nil, status.Errorf(codes.InvalidArgument, "verb %q does not exist", r.Verb)
 	}
-	out := &rpc.RelayReply{Outcome: int32(a.Outcome), RetryAfterMs: a.RetryAfter.Milliseconds(), Detail: a.Detail, State: string(a.State), Version: a.ConfigVersion}
-	if a.Pending != nil {
-		out.HasPending, out.Pending = true, int64(*a.Pending)
+	reply := &rpc.RelayReply{Outcome: int32(answer.Outcome), RetryAfterMs: answer.RetryAfter.Milliseconds(), Detail: answer.Detail, State: string(answer.State), Version: answer.ConfigVersion}
+	if answer.Pending != nil {
+		reply.HasPending, reply.Pending = true, int64(*answer.Pending)
 	}
-	return out, nil
+	return reply, nil
 }
--- a/internal/entry/graphs/scheduler.go
+++ b/internal/entry/graphs/scheduler.go
@@ -22,18 +22,18 @@
 	// LeaseDuration is how long a worker runs on without a grant of the owner: long
 	// enough for a takeover and a short outage of the table.
 	LeaseDuration = 6 * time.Second
-	// clockRate is by how much a worker's clock may be slow.
-	clockRate = 0.02
+	// maxClockDrift is by how much a worker's clock may be slow.
+	maxClockDrift = 0.02
 	// leaseSlack is added for the grain of the workers' clocks.
 	leaseSlack = 300 * time.Millisecond
 	// tickInterval is the time between two looks of the core at the clock.
 	tickInterval = 200 * time.Millisecond
-	// loadRetry is the time between two tries to begin a term.
-	loadRetry = 150 * time.Millisecond
-	// feedWait is how long one call of the feed waits for a row.
-	feedWait = 2 * time.Second
-	// saveRetry is the time between two tries to save a job's progress.
-	saveRetry = 150 * time.Millisecond
+	// termRetryInterval is the time between two tries to begin a term.
+	termRetryInterval = 150 * time.Millisecond
+	// feedPollTimeout is how long one call of the feed waits for a row.
+	feedPollTimeout = 2 * time.Second
+	// saveRetryInterval is the time between two tries to save a job's progress.
+	saveRetryInterval = 150 * time.Millisecond
 	// loadTimeout bounds the reading of all jobs.
 	loadTimeout = 8 * time.Second
 )
@@ -46,8 +46,8 @@
 	StopTime time.Duration
 }
 
-// lease is how long a worker runs on without a grant.
-func (l Limits) lease() time.Duration {
+// leaseDuration is how long a worker runs on without a grant.
+func (l Limits) leaseDuration() time.Duration {
 	if l.MaxLease == 0 {
 		return LeaseDuration
 	}
@@ -57,7 +57,7 @@
 // leaseBound is how long after a worker's last report its lease has ended on
 // any clock.
 func (l Limits) leaseBound() time.Duration {
-	return time.Duration(float64(l.lease())*(1+2*clockRate)) + leaseSlack
+	return time.Duration(float64(l.leaseDuration())*(1+2*maxClockDrift)) + leaseSlack
 }
 
 // Ownership tells whether this process owns scheduling.
@@ -94,9 +94,9 @@
 // Start starts to follow the ownership.
 func (s *Scheduler) Start(context.Context) error {
 	s.loops.Begin()
-	s.owner.Subscribe(func(owner.Authority) { s.poke() })
+	s.owner.Subscribe(func(owner.Authority) { s.wakeUp() })
 	s.policies.Subscribe(func(p *policy.Snapshot) {
-		if t := s.current(); t != nil {
+		if t := s.currentTerm(); t != nil {
 			t.step(plan.PolicyChanged{Policy: p})
 		}
 	})
@@ -110,21 +110,21 @@
 	return nil
 }
 
-func (s *Scheduler) poke() {
+func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// current returns the term in progress, nil without one.
-func (s *Scheduler) current() *term {
+// currentTerm returns the term in progress, nil without one.
+func (s *Scheduler) currentTerm() *term {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term
 }
 
-func (s *Scheduler) set(t *term) {
+func (s *Scheduler) setTerm(t *term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.term = t
@@ -140,27 +140,27 @@
 			}
 			continue
 		}
-		if err := s.serve(ctx, a.Epoch); err != nil && ctx.Err() == nil {
+		if err := s.runTerm(ctx, a.Epoch); err != nil && ctx.Err() == nil {
 			s.log.Warn().Err(err).Uint64("epoch", a.Epoch).Msg("term ended")
-			kernel.Sleep(ctx, loadRetry)
+			kernel.Sleep(ctx, termRetryInterval)
 		}
 	}
 }
 
-// serve begins a term, runs it until it ends and returns why.
-func (s *Scheduler) serve(ctx context.Context, epoch uint64) error {
+// runTerm begins a term, runs it until it ends and returns why.
+func (s *Scheduler) runTerm(ctx context.Context, epoch uint64) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	t, err := s.begin(ctx, epoch, cancel)
+	t, err := s.beginTerm(ctx, epoch, cancel)
 	if err != nil {
 		return err
 	}
-	s.set(t)
+	s.setTerm(t)
 	defer func() {
-		s.set(nil)
+		s.setTerm(nil)
 		t.close()
 	}()
-	go t.follow(ctx)
+	go t.followFeed(ctx)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -170,15 +170,15 @@
 		case <-s.wake:
 		case <-ticker.C:
 		}
-		if !t.valid() {
+		if !t.ownsScheduling() {
 			return errors.New("ownership is over")
 		}
 		t.step(plan.Tick{})
 	}
 }
 
-// begin fences earlier owners off and loads all jobs.
-func (s *Scheduler) begin(ctx context.Context, epoch uint64, end context.CancelCauseFunc) (*term, error) {
+// beginTerm fences earlier owners off and loads all jobs.
+func (s *Scheduler) beginTerm(ctx context.Context, epoch uint64, cancelTerm context.CancelCauseFunc) (*term, error) {
 	start := s.clock()
 	loadCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -190,26 +190,26 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	t := newTerm(s, epoch, token, version, end)
+	t := newTerm(s, epoch, token, version, cancelTerm)
 	t.ctx = ctx
 	if p := s.policies.LatestSnapshot(); p != nil {
 		t.step(plan.PolicyChanged{Policy: p})
 	}
-	t.load(jobs)
+	t.loadJobs(jobs)
 	t.log.Info().Int("jobs", len(jobs)).Dur("took_ms", s.clock()-start).Msg("term began")
 	return t, nil
 }
 
 // Owns reports whether this process runs a term.
 func (s *Scheduler) Owns() bool {
-	t := s.current()
-	return t != nil && t.valid()
+	t := s.currentTerm()
+	return t != nil && t.ownsScheduling()
 }
 
 // JobState returns a job's state if this process is the owner and knows it.
 func (s *Scheduler) JobState(id graph.JobID) (graph.State, bool) {
-	t := s.current()
-	if t == nil || !t.valid() {
+	t := s.currentTerm()
+	if t == nil || !t.ownsScheduling() {
 		return "", false
 	}
 	t.mu.Lock()
@@ -220,8 +220,8 @@
 
 // PendingJobs returns a queue's length if this process is the owner.
 func (s *Scheduler) PendingJobs(queue string) (int, bool) {
-	t := s.current()
-	if t == nil || !t.valid() {
+	t := s.currentTerm()
+	if t == nil || !t.ownsScheduling() {
 		return 0, false
 	}
 	t.mu.Lock()
@@ -231,7 +231,7 @@
 
 // DumpState returns the state for the dump on request.
 func (s *Scheduler) DumpState() any {
-	t := s.current()
+	t := s.currentTerm()
 	if t == nil {
 		return nil
 	}
@@ -240,17 +240,17 @@
 	return t.core.Dump()
 }
 
-// follow takes in what callers have stored since the term began.
-func (t *term) follow(ctx context.Context) {
-	after := t.fence
-	lost := false
+// followFeed takes in what callers have stored since the term began.
+func (t *term) followFeed(ctx context.Context) {
+	after := t.fenceVersion
+	failing := false
 	for ctx.Err() == nil {
-		rows, upTo, err := t.store.table.Feed(ctx, jobsPrefix, after, feedWait)
+		rows, upTo, err := t.store.table.Feed(ctx, jobsPrefix, after, feedPollTimeout)
 		if err == nil {
-			t.take(rows)
+			t.applyRows(rows)
 			after = upTo
-			if lost {
-				lost = false
+			if failing {
+				failing = false
 				t.log.Info().Msg("feed of jobs regained")
 			}
 			continue
@@ -258,18 +258,18 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !lost {
-			lost = true
+		if !failing {
+			failing = true
 			t.log.Warn().Err(err).Uint64("after", after).Msg("feed of jobs lost")
 		}
-		after = t.catchUp(ctx, after, err)
+		after = t.recoverFeed(ctx, after, err)
 	}
 }
 
-// catchUp waits after a failure of the feed and, where its history is gone,
+// recoverFeed waits after a failure of the feed and, where its history is gone,
 // reads all jobs. It returns the version to go on from.
-func (t *term) catchUp(ctx context.Context, after uint64, cause error) uint64 {
-	kernel.Sleep(ctx, loadRetry)
+func (t *term) recoverFeed(ctx context.Context, after uint64, cause error) uint64 {
+	kernel.Sleep(ctx, termRetryInterval)
 	if !errors.Is(cause, external.ErrHistoryGone) {
 		return after
 	}
@@ -281,15 +281,15 @@
 	if err != nil {
 		return after
 	}
-	t.load(jobs)
+	t.loadJobs(jobs)
 	return newest
 }
 
-func (t *term) take(rows []ledger.Row) {
-	found, err := decode(rows)
+func (t *term) applyRows(rows []ledger.Row) {
+	jobs, err := decodeJobs(rows)
 	if err != nil {
 		t.log.Error().Err(err).Msg("row of the feed cannot be read")
 		return
 	}
-	t.load(found)
+	t.loadJobs(jobs)
 }
--- a/internal/entry/graphs/peers.go
+++ b/internal/entry/graphs/server.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// askTimeout bounds one question to the owner.
-	askTimeout = 400 * time.Millisecond
+	// ownerQueryTimeout bounds one question to the owner.
+	ownerQueryTimeout = 400 * time.Millisecond
 	// keepaliveTime and keepaliveTimeout find connections that have gone silent.
 	keepaliveTime    = 2 * time.Second
 	keepaliveTimeout = time.Second
@@ -32,7 +32,7 @@
 	front     *Front
 	handover  *Handover
 	server    *grpc.Server
-	served    sync.WaitGroup
+	serving   sync.WaitGroup
 }
 
 // NewServer returns a server that does not listen yet.
@@ -51,9 +51,9 @@
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}))
 	rpc.RegisterFleetServer(s.server, s)
-	s.served.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer s.served.Done()
+		defer s.serving.Done()
 		// Serve returns an error only when the listener is closed.
 		_ = s.server.Serve(listener)
 	}()
@@ -63,7 +63,7 @@
 // Stop ends all connections.
 func (s *Server) Stop(context.Context) error {
 	s.server.Stop()
-	s.served.Wait()
+	s.serving.Wait()
 	return nil
 }
 
@@ -100,7 +100,7 @@
 
 // HandOver tells an owner without the table whether this entry has it.
 func (s *Server) HandOver(ctx context.Context, r *rpc.HandOverRequest) (*rpc.HandOverReply, error) {
-	return s.handover.serve(ctx, r), nil
+	return s.handover.handleHandOver(ctx, r), nil
 }
 
 // OwnerClient asks the owner, in this process or in another entry.
@@ -117,8 +117,8 @@
 	return &OwnerClient{scheduler: s, owner: o}
 }
 
-// remote returns a client of the owner in another process, nil if there is none.
-func (r *OwnerClient) remote() rpc.FleetClient {
+// remoteOwner returns a client of the owner in another process, nil if there is none.
+func (r *OwnerClient) remoteOwner() rpc.FleetClient {
 	a := r.owner.Current()
 	if a.Owner || a.OwnerAddr == "" {
 		return nil
@@ -135,11 +135,11 @@
 	if state, known := r.scheduler.JobState(id); known {
 		return state, true
 	}
-	client := r.remote()
+	client := r.remoteOwner()
 	if client == nil {
 		return "", false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerQueryTimeout)
 	defer cancel()
 	reply, err := client.JobStatus(ctx, &rpc.JobStatusRequest{Job: string(id)})
 	if err != nil || !reply.Known {
@@ -153,11 +153,11 @@
 	if n, known := r.scheduler.PendingJobs(queue); known {
 		return n, true
 	}
-	client := r.remote()
+	client := r.remoteOwner()
 	if client == nil {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerQueryTimeout)
 	defer cancel()
 	reply, err := client.PendingJobs(ctx, &rpc.PendingJobsRequest{Queue: queue})
 	if err != nil {
--- a/internal/entry/graphs/hub.go
+++ b/internal/entry/graphs/session.go
@@ -16,34 +16,34 @@
 type session struct {
 	id string
 
-	mu     sync.Mutex
-	next   []*rpc.WorkerOrders // one for each incarnation that is meant
-	ready  chan struct{}
-	done   chan struct{}
-	closed bool
+	mu            sync.Mutex
+	pendingOrders []*rpc.WorkerOrders // one for each incarnation that is meant
+	ready         chan struct{}
+	done          chan struct{}
+	closed        bool
 }
 
 func newSession() *session {
 	return &session{id: uuid.NewString(), ready: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// add changes the orders that are sent next to an incarnation.
-func (s *session) add(token uint64, incarnation string, change func(*rpc.WorkerOrders)) {
+// addOrder changes the orders that are sent next to an incarnation.
+func (s *session) addOrder(token uint64, incarnation string, change func(*rpc.WorkerOrders)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := len(s.next)
-	if n == 0 || s.next[n-1].Incarnation != incarnation {
-		s.next = append(s.next, &rpc.WorkerOrders{Epoch: token, Incarnation: incarnation})
+	n := len(s.pendingOrders)
+	if n == 0 || s.pendingOrders[n-1].Incarnation != incarnation {
+		s.pendingOrders = append(s.pendingOrders, &rpc.WorkerOrders{Epoch: token, Incarnation: incarnation})
 		n++
 	}
-	change(s.next[n-1])
+	change(s.pendingOrders[n-1])
 }
 
 // flush wakes the sender if there is something to send.
 func (s *session) flush() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.next) == 0 {
+	if len(s.pendingOrders) == 0 {
 		return
 	}
 	select {
@@ -52,11 +52,11 @@
 	}
 }
 
-func (s *session) take() []*rpc.WorkerOrders {
+func (s *session) takeOrders() []*rpc.WorkerOrders {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.next
-	s.next = nil
+	out := s.pendingOrders
+	s.pendingOrders = nil
 	return out
 }
 
@@ -74,19 +74,19 @@
 
 // ServeAgent serves one agent until the connection or the term ends.
 func (s *Scheduler) ServeAgent(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
-	t := s.current()
-	if t == nil || !t.valid() {
+	t := s.currentTerm()
+	if t == nil || !t.ownsScheduling() {
 		return errNotOwner
 	}
-	conn := newSession()
+	sess := newSession()
 	received := make(chan error, 1)
-	go func() { received <- t.receive(stream, conn) }()
-	err := conn.sendAll(stream, received)
-	t.leave(conn)
+	go func() { received <- t.receiveReports(stream, sess) }()
+	err := sess.sendLoop(stream, received)
+	t.removeSession(sess)
 	return err
 }
 
-func (s *session) sendAll(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders], received <-chan error) error {
+func (s *session) sendLoop(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders], received <-chan error) error {
 	for {
 		select {
 		case err := <-received:
@@ -95,7 +95,7 @@
 			return errNotOwner
 		case <-s.ready:
 		}
-		for _, o := range s.take() {
+		for _, o := range s.takeOrders() {
 			if err := stream.Send(o); err != nil {
 				return err
 			}
@@ -103,69 +103,69 @@
 	}
 }
 
-func (t *term) receive(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders], conn *session) error {
+func (t *term) receiveReports(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders], sess *session) error {
 	for {
 		r, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if !t.valid() {
+		if !t.ownsScheduling() {
 			return errNotOwner
 		}
-		t.join(r.Worker, conn)
+		t.setSession(r.Worker, sess)
 		if r.Listed {
-			t.step(plan.WorkerReport{Worker: rpc.WorkerInfoOf(r), Session: conn.id,
-				Running: rpc.RunStatesOf(r.Running), Ended: rpc.RunEndsOf(r.Ended), Absent: absentOf(r.Absent),
+			t.step(plan.WorkerReport{Worker: rpc.WorkerInfoOf(r), Session: sess.id,
+				Running: rpc.RunStatesOf(r.Running), Ended: rpc.RunEndsOf(r.Ended), Absent: absentRuns(r.Absent),
 				Number: r.Beat, WorkerResponsive: r.Answering, WorkerLeft: r.Gone})
 		}
-		t.greet(r, conn)
+		t.acknowledgeReport(r, sess)
 	}
 }
 
-// greet answers a report even if there is no order for it: the agent learns the
+// acknowledgeReport answers a report even if there is no order for it: the agent learns the
 // term's token, and that the owner hears it.
-func (t *term) greet(r *rpc.WorkerReport, conn *session) {
+func (t *term) acknowledgeReport(r *rpc.WorkerReport, sess *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.closed || !t.valid() {
+	if t.closed || !t.ownsScheduling() {
 		return
 	}
-	conn.add(t.token, rpc.WorkerInfoOf(r).Incarnation(), func(*rpc.WorkerOrders) {})
-	conn.flush()
+	sess.addOrder(t.token, rpc.WorkerInfoOf(r).Incarnation(), func(*rpc.WorkerOrders) {})
+	sess.flush()
 }
 
-// join makes a connection the worker's present one.
-func (t *term) join(worker string, conn *session) {
+// setSession makes a connection the worker's present one.
+func (t *term) setSession(worker string, sess *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.sessions[worker]
-	if old == conn {
+	if old == sess {
 		return
 	}
 	if old != nil {
 		old.close()
 	}
-	t.sessions[worker] = conn
-	t.log.Info().Str("worker", worker).Str("session", conn.id).Msg("agent connected")
+	t.sessions[worker] = sess
+	t.log.Info().Str("worker", worker).Str("session", sess.id).Msg("agent connected")
 }
 
-func (t *term) leave(conn *session) {
+func (t *term) removeSession(sess *session) {
 	worker := ""
 	t.mu.Lock()
 	for w, s := range t.sessions {
-		if s == conn {
+		if s == sess {
 			worker = w
 			delete(t.sessions, w)
 		}
 	}
 	t.mu.Unlock()
 	if worker != "" {
-		t.log.Info().Str("worker", worker).Str("session", conn.id).Msg("agent disconnected")
-		t.step(plan.SessionClosed{Worker: worker, Session: conn.id})
+		t.log.Info().Str("worker", worker).Str("session", sess.id).Msg("agent disconnected")
+		t.step(plan.SessionClosed{Worker: worker, Session: sess.id})
 	}
 }
 
-func absentOf(in []*rpc.AbsentTask) []plan.RunAbsent {
+func absentRuns(in []*rpc.AbsentTask) []plan.RunAbsent {
 	out := make([]plan.RunAbsent, len(in))
 	for i, a := range in {
 		task, run := rpc.TaskOf(a.Ref)
--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -31,8 +31,8 @@
 	fenceKey = "graph/fence"
 )
 
-// scanPage is the number of rows of one call of a scan.
-const scanPage = 500
+// scanPageRows is the number of rows of one call of a scan.
+const scanPageRows = 500
 
 // Table is the lasting state that jobs live in.
 type Table interface {
@@ -80,27 +80,27 @@
 
 // JobState reads a job's state from its rows; found is false if there is no such job.
 func (s *Store) JobState(ctx context.Context, id graph.JobID) (state graph.State, found bool, err error) {
-	rows, err := s.table.Scan(ctx, ledger.CauseJob, jobsPrefix+string(id)+"/", "", scanPage)
+	rows, err := s.table.Scan(ctx, ledger.CauseJob, jobsPrefix+string(id)+"/", "", scanPageRows)
 	if err != nil {
 		return "", false, errors.Annotatef(err, "state of job %q", id)
 	}
-	loaded, err := decode(rows)
+	loaded, err := decodeJobs(rows)
 	if err != nil || len(loaded) == 0 || loaded[0].job == nil {
 		return "", false, err
 	}
 	return loaded[0].state(), true, nil
 }
 
-// stored is a job as its rows tell.
-type stored struct {
-	id        graph.JobID
-	job       *graph.Job // nil if only its other rows were read
-	cancelled bool
-	progress  *graph.Progress
-	version   uint64 // of the progress row
+// storedJob is a job as its rows tell.
+type storedJob struct {
+	id              graph.JobID
+	job             *graph.Job // nil if only its other rows were read
+	cancelled       bool
+	progress        *graph.Progress
+	progressVersion uint64 // of the progress row
 }
 
-func (s *stored) state() graph.State {
+func (s *storedJob) state() graph.State {
 	switch {
 	case s.progress != nil && s.progress.State.Final():
 		return s.progress.State
@@ -113,10 +113,10 @@
 	}
 }
 
-// decode groups rows by job, in order of the first row of each.
-func decode(rows []ledger.Row) ([]*stored, error) {
-	var out []*stored
-	byID := map[graph.JobID]*stored{}
+// decodeJobs groups rows by job, in order of the first row of each.
+func decodeJobs(rows []ledger.Row) ([]*storedJob, error) {
+	var out []*storedJob
+	byID := map[graph.JobID]*storedJob{}
 	for _, r := range rows {
 		id, kind, ok := splitKey(r.Key)
 		if !ok || r.Version == 0 {
@@ -124,18 +124,18 @@
 		}
 		s := byID[id]
 		if s == nil {
-			s = &stored{id: id}
+			s = &storedJob{id: id}
 			byID[id] = s
 			out = append(out, s)
 		}
-		if err := s.take(id, kind, r); err != nil {
+		if err := s.decodeRow(id, kind, r); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-func (s *stored) take(id graph.JobID, kind string, r ledger.Row) error {
+func (s *storedJob) decodeRow(id graph.JobID, kind string, r ledger.Row) error {
 	switch kind {
 	case jobSuffix:
 		s.job = &graph.Job{}
@@ -146,7 +146,7 @@
 	case cancelSuffix:
 		s.cancelled = true
 	case progressSuffix:
-		s.progress, s.version = &graph.Progress{}, r.Version
+		s.progress, s.progressVersion = &graph.Progress{}, r.Version
 		if err := json.Unmarshal(r.Data, s.progress); err != nil {
 			return errors.Annotatef(err, "row %q", r.Key)
 		}
@@ -167,17 +167,17 @@
 }
 
 // LoadJobs returns all jobs, in order of their IDs.
-func (s *Store) LoadJobs(ctx context.Context) ([]*stored, error) {
+func (s *Store) LoadJobs(ctx context.Context) ([]*storedJob, error) {
 	var rows []ledger.Row
 	after := ""
 	for {
-		page, err := s.table.Scan(ctx, ledger.CauseRecovery, jobsPrefix, after, scanPage)
+		page, err := s.table.Scan(ctx, ledger.CauseRecovery, jobsPrefix, after, scanPageRows)
 		if err != nil {
 			return nil, errors.Annotate(err, "loading jobs")
 		}
 		rows = append(rows, page...)
-		if len(page) < scanPage {
-			return decode(rows)
+		if len(page) < scanPageRows {
+			return decodeJobs(rows)
 		}
 		after = page[len(page)-1].Key
 	}
@@ -198,13 +198,13 @@
 			if err := json.Unmarshal(data, &p); err != nil {
 				return errors.Trace(err)
 			}
-			return s.remove(ctx, jobKey(p.Job), cancelKey(p.Job))
+			return s.deleteRows(ctx, jobKey(p.Job), cancelKey(p.Job))
 		},
 	}
 }
 
-// remove deletes those of the rows that are there.
-func (s *Store) remove(ctx context.Context, keys ...string) error {
+// deleteRows deletes those of the rows that are there.
+func (s *Store) deleteRows(ctx context.Context, keys ...string) error {
 	for _, key := range keys {
 		rows, err := s.table.Get(ctx, ledger.CauseCleanup, key)
 		if err != nil {
@@ -220,10 +220,10 @@
 	return nil
 }
 
-// fence is the row that an owner writes at the start of each term. Token counts
+// fenceRow is the row that an owner writes at the start of each term. Token counts
 // the terms: an owner that has lost its ownership for a moment and found it
 // unclaimed begins another term under the same epoch.
-type fence struct {
+type fenceRow struct {
 	Epoch uint64 `json:"epoch"`
 	Token uint64 `json:"token"`
 }
@@ -235,16 +235,16 @@
 	if err != nil {
 		return 0, 0, errors.Annotate(err, "reading the fence")
 	}
-	var present fence
+	var current fenceRow
 	if rows[0].Version > 0 {
-		if err := json.Unmarshal(rows[0].Data, &present); err != nil {
+		if err := json.Unmarshal(rows[0].Data, &current); err != nil {
 			return 0, 0, errors.Annotatef(err, "row %q", fenceKey)
 		}
 	}
-	if present.Epoch > epoch {
-		return 0, 0, errors.Annotatef(ledger.ErrConflict, "epoch %d has been fenced off by %d", epoch, present.Epoch)
+	if current.Epoch > epoch {
+		return 0, 0, errors.Annotatef(ledger.ErrConflict, "epoch %d has been fenced off by %d", epoch, current.Epoch)
 	}
-	next := fence{Epoch: epoch, Token: present.Token + 1}
+	next := fenceRow{Epoch: epoch, Token: current.Token + 1}
 	written, err := s.table.Commit(ctx, ledger.CauseOwner, ledger.Write{Key: fenceKey, Version: rows[0].Version, Data: ledger.Encode(next)})
 	if err != nil {
 		return 0, 0, errors.Annotate(err, "writing the fence")
@@ -254,12 +254,12 @@
 
 // SaveProgress writes a job's progress as long as the fence is unchanged. With
 // ErrConflict it returns the versions of the fence and of the progress row.
-func (s *Store) SaveProgress(ctx context.Context, fenceVersion uint64, id graph.JobID, version uint64, p graph.Progress) (fenceNow, now uint64, err error) {
+func (s *Store) SaveProgress(ctx context.Context, fenceVersion uint64, id graph.JobID, progressVersion uint64, p graph.Progress) (currentFenceVersion, currentProgressVersion uint64, err error) {
 	rows, err := s.table.Commit(ctx, ledger.CauseJob,
-		ledger.Write{Key: progressKey(id), Version: version, Data: ledger.Encode(p)},
+		ledger.Write{Key: progressKey(id), Version: progressVersion, Data: ledger.Encode(p)},
 		ledger.Write{Key: fenceKey, Version: fenceVersion, Check: true})
 	if len(rows) == 2 {
-		now, fenceNow = rows[0].Version, rows[1].Version
+		currentProgressVersion, currentFenceVersion = rows[0].Version, rows[1].Version
 	}
-	return fenceNow, now, errors.Annotatef(err, "saving job %q", id)
+	return currentFenceVersion, currentProgressVersion, errors.Annotatef(err, "saving job %q", id)
 }
--- a/internal/entry/graphs/term.go
+++ b/internal/entry/graphs/term.go
@@ -18,39 +18,39 @@
 
 // term is the time in which this process owns scheduling under one epoch.
 type term struct {
-	epoch    uint64 // of the ownership
-	token    uint64 // fencing token of the term
-	fence    uint64 // version of the fence's row
-	start    time.Duration
-	clock    func() time.Duration
-	owner    Ownership
-	store    *Store
-	limits   Limits
-	registry metrics.Registry
-	log      zerolog.Logger
-	ctx      context.Context
-	end      context.CancelCauseFunc
-
-	mu       sync.Mutex
-	core     *plan.Core
-	versions map[graph.JobID]uint64 // of the progress rows
-	sessions map[string]*session    // by worker
-	closed   bool
+	epoch        uint64 // of the ownership
+	token        uint64 // fencing token of the term
+	fenceVersion uint64 // version of the fence's row
+	startedAt    time.Duration
+	clock        func() time.Duration
+	owner        Ownership
+	store        *Store
+	limits       Limits
+	registry     metrics.Registry
+	log          zerolog.Logger
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+
+	mu               sync.Mutex
+	core             *plan.Core
+	progressVersions map[graph.JobID]uint64 // of the progress rows
+	sessions         map[string]*session    // by worker
+	closed           bool
 }
 
-func newTerm(s *Scheduler, epoch, token, fence uint64, end context.CancelCauseFunc) *term {
+func newTerm(s *Scheduler, epoch, token, fenceVersion uint64, cancel context.CancelCauseFunc) *term {
 	return &term{
-		epoch:    epoch,
-		token:    token,
-		fence:    fence,
-		start:    s.clock(),
-		clock:    s.clock,
-		owner:    s.owner,
-		store:    s.store,
-		registry: s.registry,
-		log:      s.log.With().Uint64("epoch", epoch).Uint64("token", token).Logger(),
-		end:      end,
-		limits:   s.limits,
+		epoch:        epoch,
+		token:        token,
+		fenceVersion: fenceVersion,
+		startedAt:    s.clock(),
+		clock:        s.clock,
+		owner:        s.owner,
+		store:        s.store,
+		registry:     s.registry,
+		log:          s.log.With().Uint64("epoch", epoch).Uint64("token", token).Logger(),
+		cancel:       cancel,
+		limits:       s.limits,
 		core: plan.New(plan.Config{
 			FencingToken:    token,
 			TermStart:       s.now(),
@@ -58,24 +58,24 @@
 			StopTime:        s.limits.StopTime,
 			TakeoverOverlap: s.owner.Overlap(),
 		}),
-		versions: map[graph.JobID]uint64{},
-		sessions: map[string]*session{},
+		progressVersions: map[graph.JobID]uint64{},
+		sessions:         map[string]*session{},
 	}
 }
 
-// valid reports whether this process still owns scheduling under the epoch.
-func (t *term) valid() bool {
+// ownsScheduling reports whether this process still owns scheduling under the epoch.
+func (t *term) ownsScheduling() bool {
 	a := t.owner.Current()
 	return a.Owner && a.Epoch == t.epoch
 }
 
-// load hands jobs from the table to the core, which ignores those it knows.
-func (t *term) load(jobs []*stored) {
+// loadJobs hands jobs from the table to the core, which ignores those it knows.
+func (t *term) loadJobs(jobs []*storedJob) {
 	for _, j := range jobs {
 		if j.job != nil {
 			t.mu.Lock()
-			if j.progress != nil && t.versions[j.job.ID] == 0 {
-				t.versions[j.job.ID] = j.version
+			if j.progress != nil && t.progressVersions[j.job.ID] == 0 {
+				t.progressVersions[j.job.ID] = j.progressVersion
 			}
 			t.mu.Unlock()
 			t.step(plan.JobSubmitted{Job: j.job, Progress: j.progress})
@@ -93,55 +93,57 @@
 	if t.closed {
 		return
 	}
-	t.carryOut(t.core.Step(t.clock()-t.start, ev))
+	t.applyActions(t.core.Step(t.clock()-t.startedAt, ev))
 }
 
-// carryOut hands the actions on. Orders are dropped with the term once the
+// applyActions hands the actions on. Orders are dropped with the term once the
 // ownership is over: the next owner decides then.
-func (t *term) carryOut(actions []plan.Action) {
-	checked := false
+func (t *term) applyActions(actions []plan.Action) {
+	ownershipChecked := false
 	for _, a := range actions {
 		switch a := a.(type) {
 		case plan.Notice:
-			t.notice(a)
+			t.recordNotice(a)
 			continue
 		case plan.SaveProgress:
-			go t.save(a, t.versions[a.Job])
+			go t.saveProgress(a, t.progressVersions[a.Job])
 			continue
 		}
-		if !checked && !t.valid() {
-			t.end(errors.New("ownership is over"))
+		if !ownershipChecked && !t.ownsScheduling() {
+			t.cancel(errors.New("ownership is over"))
 			return
 		}
-		checked = true
-		t.order(a)
+		ownershipChecked = true
+		t.queueOrder(a)
 	}
-	t.send()
+	t.flushSessions()
 }
 
-func (t *term) order(a plan.Action) {
+func (t *term) queueOrder(a plan.Action) {
 	switch a := a.(type) {
 	case plan.StartRun:
-		t.noteWait(a)
-		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
+		t.recordQueueTime(a)
+		t.addOrder(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
 			o.Starts = append(o.Starts, &rpc.StartTask{Ref: rpc.TaskRefOf(a.Task, a.Run), Spec: a.Spec, Checkpoint: a.Checkpoint})
 		})
-		t.logRun(a.Task.Job, "start ordered").Str("task", a.Task.String()).Uint64("run", a.Run).Str("worker", a.Worker).Msg("decision")
+		t.logDecision(a.Task.Job, "start ordered").Str("task", a.Task.String()).Uint64("run", a.Run).Str("worker", a.Worker).Msg("decision")
 	case plan.StopRun:
-		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
+		t.addOrder(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
 			o.Stops = append(o.Stops, rpc.TaskRefOf(a.Task, a.Run))
 		})
-		t.logRun(a.Task.Job, "stop ordered").Str("task", a.Task.String()).Uint64("run", a.Run).Str("worker", a.Worker).Msg("decision")
+		t.logDecision(a.Task.Job, "stop ordered").Str("task", a.Task.String()).Uint64("run", a.Run).Str("worker", a.Worker).Msg("decision")
 	case plan.GrantLease:
-		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) { o.GrantedBeat, o.LeaseMs = a.ReportNumber, t.limits.lease().Milliseconds() })
+		t.addOrder(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) {
+			o.GrantedBeat, o.LeaseMs = a.ReportNumber, t.limits.leaseDuration().Milliseconds()
+		})
 	case plan.AcknowledgeEnds:
-		t.to(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) { o.Acknowledged = max(o.Acknowledged, a.Number) })
+		t.addOrder(a.Worker, a.Incarnation, func(o *rpc.WorkerOrders) { o.Acknowledged = max(o.Acknowledged, a.Number) })
 	}
 }
 
-// noteWait records how long a job has waited for its first start; work within a
+// recordQueueTime records how long a job has waited for its first start; work within a
 // guarantee has a histogram of its own.
-func (t *term) noteWait(a plan.StartRun) {
+func (t *term) recordQueueTime(a plan.StartRun) {
 	if !a.FirstOfJob {
 		return
 	}
@@ -151,29 +153,29 @@
 	}
 }
 
-func (t *term) logRun(job graph.JobID, what string) *zerolog.Event {
+func (t *term) logDecision(job graph.JobID, what string) *zerolog.Event {
 	return t.log.Info().Str("job", string(job)).Str("what", what)
 }
 
-// to adds something to the orders for an incarnation of a worker.
-func (t *term) to(worker string, incarnation string, add func(*rpc.WorkerOrders)) {
+// addOrder adds something addOrder the orders for an incarnation of a worker.
+func (t *term) addOrder(worker string, incarnation string, add func(*rpc.WorkerOrders)) {
 	s := t.sessions[worker]
 	if s == nil {
 		return
 	}
-	s.add(t.token, incarnation, add)
+	s.addOrder(t.token, incarnation, add)
 }
 
-func (t *term) send() {
+func (t *term) flushSessions() {
 	for _, s := range t.sessions {
 		s.flush()
 	}
 }
 
-// notice counts and logs a decision.
-func (t *term) notice(n plan.Notice) {
+// recordNotice counts and logs a decision.
+func (t *term) recordNotice(n plan.Notice) {
 	metrics.GetOrRegisterCounter("plan."+string(n.Reason), t.registry).Inc(1)
-	e := t.logRun(n.Job, string(n.Reason))
+	e := t.logDecision(n.Job, string(n.Reason))
 	if n.Task != "" {
 		e = e.Str("task", n.Task).Uint64("run", n.Run)
 	}
@@ -186,34 +188,34 @@
 	e.Msg("decision")
 }
 
-// save writes a job's progress; it is tried until it is written or the term ends.
-func (t *term) save(a plan.SaveProgress, version uint64) {
-	begin := time.Now()
-	for tries := 0; t.ctx.Err() == nil; tries++ {
-		fence, now, err := t.store.SaveProgress(t.ctx, t.fence, a.Job, version, a.Progress)
+// saveProgress writes a job's progress; it is tried until it is written or the term ends.
+func (t *term) saveProgress(a plan.SaveProgress, version uint64) {
+	start := time.Now()
+	for attempt := 0; t.ctx.Err() == nil; attempt++ {
+		fenceVersion, progressVersion, err := t.store.SaveProgress(t.ctx, t.fenceVersion, a.Job, version, a.Progress)
 		switch {
 		case err == nil:
-			metrics.GetOrRegisterTimer("plan.save", t.registry).UpdateSince(begin)
-			t.savedAs(a, now)
+			metrics.GetOrRegisterTimer("plan.save", t.registry).UpdateSince(start)
+			t.recordSaved(a, progressVersion)
 			return
-		case errors.Is(err, ledger.ErrConflict) && fence != t.fence:
-			t.end(errors.Annotatef(err, "another owner has begun its term"))
+		case errors.Is(err, ledger.ErrConflict) && fenceVersion != t.fenceVersion:
+			t.cancel(errors.Annotatef(err, "another owner has begun its term"))
 			return
 		case errors.Is(err, ledger.ErrConflict):
-			version = now
+			version = progressVersion
 		default:
 			metrics.GetOrRegisterCounter("plan.save_retries", t.registry).Inc(1)
-			if tries == 0 && t.ctx.Err() == nil {
+			if attempt == 0 && t.ctx.Err() == nil {
 				t.log.Warn().Err(err).Str("job", string(a.Job)).Msg("progress not saved; tried again until it is")
 			}
-			kernel.Sleep(t.ctx, saveRetry)
+			kernel.Sleep(t.ctx, saveRetryInterval)
 		}
 	}
 }
 
-func (t *term) savedAs(a plan.SaveProgress, version uint64) {
+func (t *term) recordSaved(a plan.SaveProgress, version uint64) {
 	t.mu.Lock()
-	t.versions[a.Job] = version
+	t.progressVersions[a.Job] = version
 	t.mu.Unlock()
 	t.step(plan.ProgressSaved{Job: a.Job, Number: a.Number})
 }
