--- a/internal/agent/keeper/finder.go
+++ b/internal/agent/keeper/finder.go
@@ -17,13 +17,13 @@
 const (
 	// locateTimeout bounds one round of questions to all known entries.
 	locateTimeout = 400 * time.Millisecond
-	// lateReplies is how long the others may take once one entry has named an
+	// lateReplyTimeout is how long the others may take once one entry has named an
 	// owner: a host that is gone answers nothing.
-	lateReplies = 30 * time.Millisecond
-	// rowTimeout bounds one read of the ownership's row.
-	rowTimeout = 600 * time.Millisecond
-	// rowInterval is the least time between two reads of it.
-	rowInterval = time.Second
+	lateReplyTimeout = 30 * time.Millisecond
+	// rowReadTimeout bounds one read of the ownership's row.
+	rowReadTimeout = 600 * time.Millisecond
+	// rowReadInterval is the least time between two reads of it.
+	rowReadInterval = time.Second
 	// maxEntries bounds the entries that are remembered.
 	maxEntries = 16
 )
@@ -36,52 +36,52 @@
 // OwnerFinder finds the entry that owns scheduling: it asks the entries that it
 // knows and, if none of them tells, reads the row of the ownership.
 type OwnerFinder struct {
-	pool  rpc.Pool
-	rows  RowReader
-	key   string
-	clock func() time.Duration
-	log   zerolog.Logger
-
-	mu      sync.Mutex
-	entries []string // addresses, the last owner first
-	epoch   uint64   // of the ownership that was found last
-	readAt  time.Duration
-	read    bool
+	pool   rpc.Pool
+	rows   RowReader
+	rowKey string
+	clock  func() time.Duration
+	log    zerolog.Logger
+
+	mu        sync.Mutex
+	entries   []string // addresses, the last owner first
+	lastEpoch uint64   // of the ownership that was found last
+	rowReadAt time.Duration
+	rowRead   bool
 }
 
 // NewOwnerFinder returns a finder that knows some addresses to begin with.
 func NewOwnerFinder(rows RowReader, cell string, entries []string, clock func() time.Duration, log zerolog.Logger) *OwnerFinder {
-	return &OwnerFinder{rows: rows, key: owner.RowKey(cell), entries: entries, clock: clock, log: log}
+	return &OwnerFinder{rows: rows, rowKey: owner.RowKey(cell), entries: entries, clock: clock, log: log}
 }
 
 // Find returns a client of the owner and its address, nil if there is none now.
 func (f *OwnerFinder) Find(ctx context.Context) (rpc.FleetClient, string) {
-	owner := f.ask(ctx, "")
-	if owner == nil {
-		owner = f.readRow(ctx)
+	located := f.locateAll(ctx, "")
+	if located == nil {
+		located = f.readOwnerRow(ctx)
 	}
-	if owner == nil {
+	if located == nil {
 		return nil, ""
 	}
-	f.remember(owner)
-	return f.client(owner.OwnerAddress), owner.OwnerAddress
+	f.rememberOwner(located)
+	return f.client(located.OwnerAddress), located.OwnerAddress
 }
 
 // Successor returns the address of an owner with a higher epoch than the one that
 // was found last, as the entries besides it know; empty if they know of none.
-func (f *OwnerFinder) Successor(ctx context.Context, present string) string {
-	owner := f.ask(ctx, present)
+func (f *OwnerFinder) Successor(ctx context.Context, currentOwner string) string {
+	located := f.locateAll(ctx, currentOwner)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if owner == nil || owner.OwnerAddress == present || owner.Epoch <= f.epoch {
+	if located == nil || located.OwnerAddress == currentOwner || located.Epoch <= f.lastEpoch {
 		return ""
 	}
-	return owner.OwnerAddress
+	return located.OwnerAddress
 }
 
-// ask asks all known entries but one at once and takes the answer with the
+// locateAll asks all known entries but one at once and takes the answer with the
 // highest epoch, nil if none names an owner.
-func (f *OwnerFinder) ask(ctx context.Context, except string) *rpc.LocateReply {
+func (f *OwnerFinder) locateAll(ctx context.Context, except string) *rpc.LocateReply {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	f.mu.Lock()
@@ -91,12 +91,12 @@
 	for _, e := range entries {
 		go func() { replies <- f.locate(ctx, e) }()
 	}
-	return newest(replies, len(entries))
+	return highestEpochReply(replies, len(entries))
 }
 
-// newest returns the answer with the highest epoch among up to n. Once one
+// highestEpochReply returns the answer with the highest epoch among up to n. Once one
 // names an owner, those that are still missing have lateReplies.
-func newest(replies <-chan *rpc.LocateReply, n int) (best *rpc.LocateReply) {
+func highestEpochReply(replies <-chan *rpc.LocateReply, n int) (best *rpc.LocateReply) {
 	var late <-chan time.Time
 	for range n {
 		select {
@@ -108,7 +108,7 @@
 				best = r
 			}
 			if late == nil {
-				late = time.After(lateReplies)
+				late = time.After(lateReplyTimeout)
 			}
 		case <-late:
 			return best
@@ -138,40 +138,40 @@
 	return client
 }
 
-func (f *OwnerFinder) remember(owner *rpc.LocateReply) {
+func (f *OwnerFinder) rememberOwner(located *rpc.LocateReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.epoch = owner.Epoch
-	entries := []string{owner.OwnerAddress}
+	f.lastEpoch = located.Epoch
+	entries := []string{located.OwnerAddress}
 	for _, e := range f.entries {
-		if e != owner.OwnerAddress && len(entries) < maxEntries {
+		if e != located.OwnerAddress && len(entries) < maxEntries {
 			entries = append(entries, e)
 		}
 	}
 	f.entries = entries
 }
 
-// readRow reads the owner from the table, nil if it names none.
-func (f *OwnerFinder) readRow(ctx context.Context) *rpc.LocateReply {
+// readOwnerRow reads the owner from the table, nil if it names none.
+func (f *OwnerFinder) readOwnerRow(ctx context.Context) *rpc.LocateReply {
 	f.mu.Lock()
-	due := !f.read || f.clock()-f.readAt >= rowInterval
+	due := !f.rowRead || f.clock()-f.rowReadAt >= rowReadInterval
 	if due {
-		f.read, f.readAt = true, f.clock()
+		f.rowRead, f.rowReadAt = true, f.clock()
 	}
 	f.mu.Unlock()
 	if !due {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, rowReadTimeout)
 	defer cancel()
-	rows, err := f.rows.Get(ctx, ledger.CauseOwner, f.key)
+	rows, err := f.rows.Get(ctx, ledger.CauseOwner, f.rowKey)
 	if err != nil || rows[0].Version == 0 {
 		f.log.Info().Err(err).Msg("no entry tells who owns scheduling, nor does the table")
 		return nil
 	}
 	var row owner.Row
 	if err := json.Unmarshal(rows[0].Data, &row); err != nil {
-		f.log.Error().Err(err).Str("row", f.key).Msg("row cannot be read")
+		f.log.Error().Err(err).Str("row", f.rowKey).Msg("row cannot be read")
 		return nil
 	}
 	if row.Addr == "" {
--- a/internal/agent/keeper/finder_test.go
+++ b/internal/agent/keeper/finder_test.go
@@ -7,17 +7,17 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// TestNewestDoesNotWaitForTheDead shows that an entry which never answers holds
+// TestSilentEntryDoesNotDelayLocate shows that an entry which never answers holds
 // nobody up, and that a later answer with a higher epoch is still taken.
-func TestNewestDoesNotWaitForTheDead(t *testing.T) {
+func TestSilentEntryDoesNotDelayLocate(t *testing.T) {
 	replies := make(chan *rpc.LocateReply, 3)
 	replies <- &rpc.LocateReply{OwnerAddress: "old", Epoch: 4}
 	go func() {
-		time.Sleep(lateReplies / 3)
+		time.Sleep(lateReplyTimeout / 3)
 		replies <- &rpc.LocateReply{OwnerAddress: "new", Epoch: 5}
 	}()
 	begin := time.Now()
-	best := newest(replies, 3)
+	best := highestEpochReply(replies, 3)
 	if best.GetOwnerAddress() != "new" {
 		t.Errorf("took %+v", best)
 	}
@@ -27,7 +27,7 @@
 	silent := make(chan *rpc.LocateReply, 2)
 	silent <- nil
 	silent <- &rpc.LocateReply{Epoch: 9}
-	if best := newest(silent, 2); best != nil {
+	if best := highestEpochReply(silent, 2); best != nil {
 		t.Errorf("an owner from answers without one: %+v", best)
 	}
 }
--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -24,16 +24,16 @@
 	// holdWait is how long a call waits for an end; it is also the time between
 	// two extensions of the lease.
 	holdWait = time.Second
-	// holdSlack is how long an answer may take beyond that.
-	holdSlack = 500 * time.Millisecond
-	// holdRetry is the time between two calls after a failure, or while ends
+	// holdReplyMargin is how long an answer may take beyond that.
+	holdReplyMargin = 500 * time.Millisecond
+	// holdRetryInterval is the time between two calls after a failure, or while ends
 	// wait for their acknowledgement.
-	holdRetry = 100 * time.Millisecond
-	// answerLimit is the age of the last answer up to which a worker counts as
+	holdRetryInterval = 100 * time.Millisecond
+	// responsiveWindow is the age of the last answer up to which a worker counts as
 	// answering.
-	answerLimit = 2 * time.Second
-	// goneDelay is the time after a worker's farewell by which it has ended.
-	goneDelay = 300 * time.Millisecond
+	responsiveWindow = 2 * time.Second
+	// exitDelay is the time after a worker's farewell by which it has ended.
+	exitDelay = 300 * time.Millisecond
 )
 
 // Keeper keeps one worker.
@@ -44,22 +44,22 @@
 	registry metrics.Registry
 	log      zerolog.Logger
 
-	mu       sync.Mutex
-	worker   *plan.WorkerInfo // nil before its first heartbeat
-	number   uint64           // of its last heartbeat
-	leftAt   time.Duration    // of its farewell, 0 if there was none
-	lease    lease
-	epoch    uint64
-	listed   uint64 // epoch of the lists below
-	listedAt time.Duration
-	silent   bool // the worker was found not to answer
-	runs     external.RunList
-	seen     uint64 // ends up to it are acknowledged
-	absent   []*rpc.AbsentTask
-	orders   map[runRef]*order // those that are being carried out
-	wakeHold chan struct{}
-	wakeSend chan struct{}
-	loops    kernel.Loops
+	mu              sync.Mutex
+	worker          *plan.WorkerInfo // nil before its first heartbeat
+	heartbeatNumber uint64           // of its last heartbeat
+	leftAt          time.Duration    // of its farewell, 0 if there was none
+	lease           lease
+	epoch           uint64
+	listedEpoch     uint64 // epoch of the lists below
+	listedAt        time.Duration
+	unresponsive    bool // the worker was found not to answer
+	runs            external.RunList
+	acknowledged    uint64 // ends up to it are acknowledged
+	absent          []*rpc.AbsentTask
+	orders          map[runRef]*order // those that are being carried out
+	wakeHold        chan struct{}
+	wakeSend        chan struct{}
+	loops           kernel.Loops
 }
 
 // runRef names a run.
@@ -80,7 +80,7 @@
 		wakeHold: make(chan struct{}, 1),
 		wakeSend: make(chan struct{}, 1),
 	}
-	k.lease.restart(clock())
+	k.lease.reset(clock())
 	return k
 }
 
@@ -88,7 +88,7 @@
 func (k *Keeper) Start(context.Context) error {
 	k.loops.Begin()
 	k.loops.Go(k.holdLoop)
-	k.loops.Go(k.attendLoop)
+	k.loops.Go(k.ownerLoop)
 	return nil
 }
 
@@ -110,30 +110,30 @@
 func (k *Keeper) HandleHeartbeat(info plan.WorkerInfo, number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if old := k.worker; old != nil && (info.StartUnixMillis < old.StartUnixMillis || info.Incarnation() == old.Incarnation() && number < k.number) {
+	if known := k.worker; known != nil && (info.StartUnixMillis < known.StartUnixMillis || info.Incarnation() == known.Incarnation() && number < k.heartbeatNumber) {
 		return
 	}
 	changed := k.worker == nil || k.worker.Incarnation() != info.Incarnation()
 	if changed {
 		k.log.Info().Str("worker", info.ID).Str("instance", info.Incarnation()).Str("rack", info.Rack).Msg("worker announced")
-		k.restart()
+		k.resetWorkerState()
 	}
 	if !changed && info.Draining && !k.worker.Draining {
 		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.DrainRemaining).Msg("worker drains")
 		wake(k.wakeSend)
 	}
-	k.worker, k.number = &info, number
+	k.worker, k.heartbeatNumber = &info, number
 	if changed {
 		wake(k.wakeHold)
 		wake(k.wakeSend)
 	}
 }
 
-// restart forgets what belongs to an earlier incarnation of the worker.
-func (k *Keeper) restart() {
-	k.lease.restart(k.clock())
+// resetWorkerState forgets what belongs to an earlier incarnation of the worker.
+func (k *Keeper) resetWorkerState() {
+	k.lease.reset(k.clock())
 	k.runs = external.RunList{}
-	k.listed, k.seen, k.leftAt = 0, 0, 0
+	k.listedEpoch, k.acknowledged, k.leftAt = 0, 0, 0
 	k.absent = nil
 	k.orders = map[runRef]*order{}
 }
@@ -147,28 +147,28 @@
 	}
 	k.log.Info().Str("worker", k.worker.ID).Str("instance", id).Msg("worker left")
 	k.leftAt = k.clock()
-	time.AfterFunc(goneDelay, func() { wake(k.wakeSend) })
+	time.AfterFunc(exitDelay, func() { wake(k.wakeSend) })
 }
 
 // holdLoop extends the lease and waits for ends.
 func (k *Keeper) holdLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !k.holdable() {
-			k.await(ctx, holdWait)
+		if !k.canHold() {
+			k.waitForWake(ctx, holdWait)
 			continue
 		}
-		if err := k.hold(ctx, k.holdWait()); err != nil {
-			k.await(ctx, holdRetry)
+		if err := k.hold(ctx, k.nextHoldWait()); err != nil {
+			k.waitForWake(ctx, holdRetryInterval)
 			continue
 		}
-		if k.unacknowledged() {
-			k.await(ctx, holdRetry)
+		if k.hasUnacknowledgedEnds() {
+			k.waitForWake(ctx, holdRetryInterval)
 		}
 	}
 }
 
-// await waits for a time or until something has changed.
-func (k *Keeper) await(ctx context.Context, d time.Duration) {
+// waitForWake waits for a time or until something has changed.
+func (k *Keeper) waitForWake(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-k.wakeHold:
@@ -176,115 +176,115 @@
 	}
 }
 
-func (k *Keeper) holdable() bool {
+func (k *Keeper) canHold() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.worker != nil && k.epoch > 0
 }
 
-func (k *Keeper) unacknowledged() bool {
+func (k *Keeper) hasUnacknowledgedEnds() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := len(k.runs.Ended)
-	return n > 0 && k.runs.Ended[n-1].Number > k.seen
+	return n > 0 && k.runs.Ended[n-1].Number > k.acknowledged
 }
 
-func (k *Keeper) holdWait() time.Duration {
-	if k.unacknowledged() {
+func (k *Keeper) nextHoldWait() time.Duration {
+	if k.hasUnacknowledgedEnds() {
 		return 0
 	}
 	return holdWait
 }
 
-// target is what a call needs to know of the worker at one moment.
-type target struct {
-	instance    string
-	born        int64
-	incarnation string
-	epoch       uint64
-	deadline    time.Duration
-	seen        uint64
+// callTarget is what a call needs to know of the worker at one moment.
+type callTarget struct {
+	instance        string
+	startUnixMillis int64
+	incarnation     string
+	epoch           uint64
+	deadline        time.Duration
+	acknowledged    uint64
 }
 
 // target returns what to call the worker with, and notes that the deadline is
 // on its way.
-func (k *Keeper) target() target {
+func (k *Keeper) target() callTarget {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := target{epoch: k.epoch, seen: k.seen}
+	t := callTarget{epoch: k.epoch, acknowledged: k.acknowledged}
 	if k.worker != nil {
-		t.instance, t.incarnation, t.born = k.worker.Instance, k.worker.Incarnation(), k.worker.StartUnixMillis
+		t.instance, t.incarnation, t.startUnixMillis = k.worker.Instance, k.worker.Incarnation(), k.worker.StartUnixMillis
 	}
 	// While the worker does not answer, a call may still reach it later: its
 	// lease is not extended before it answers again.
-	if k.answering() || k.lease.orderedAt >= k.lease.grantedAt {
-		t.deadline = k.lease.order()
+	if k.workerResponsive() || k.lease.usedReportAt >= k.lease.grantReportAt {
+		t.deadline = k.lease.takeDeadline()
 	}
 	return t
 }
 
-func (k *Keeper) answering() bool {
-	return k.listed > 0 && k.clock()-k.listedAt <= answerLimit
+func (k *Keeper) workerResponsive() bool {
+	return k.listedEpoch > 0 && k.clock()-k.listedAt <= responsiveWindow
 }
 
 // hold makes one call and takes its lists.
 func (k *Keeper) hold(ctx context.Context, wait time.Duration) error {
 	t := k.target()
-	ctx, cancel := context.WithTimeout(ctx, wait+holdSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+holdReplyMargin)
 	defer cancel()
-	list, err := k.runner.Hold(ctx, t.instance, external.HoldRuns{Epoch: t.epoch, Seen: t.seen, Deadline: t.deadline, Wait: wait})
+	list, err := k.runner.Hold(ctx, t.instance, external.HoldRuns{Epoch: t.epoch, Seen: t.acknowledged, Deadline: t.deadline, Wait: wait})
 	if err != nil {
 		metrics.GetOrRegisterCounter("keeper.hold_failures", k.registry).Inc(1)
-		k.holdFailed(err)
+		k.recordHoldFailure(err)
 		return err
 	}
-	k.take(t, list)
+	k.applyList(t, list)
 	return nil
 }
 
-func (k *Keeper) holdFailed(err error) {
+func (k *Keeper) recordHoldFailure(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.answering() || k.silent {
+	if k.workerResponsive() || k.unresponsive {
 		return
 	}
-	k.silent = true
+	k.unresponsive = true
 	k.log.Warn().Err(err).Dur("answered_ago_ms", k.clock()-k.listedAt).Msg("worker does not answer")
 }
 
-// take takes over lists that were asked for with t. Lists can overtake each
+// applyList takes over lists that were asked for with t. Lists can overtake each
 // other: one with an earlier clock is left.
-func (k *Keeper) take(t target, list external.RunList) {
+func (k *Keeper) applyList(t callTarget, list external.RunList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.worker == nil || k.worker.Incarnation() != t.incarnation {
 		return
 	}
-	if list.Born != 0 && list.Born != t.born {
+	if list.Born != 0 && list.Born != t.startUnixMillis {
 		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker has been restarted")
-		k.restart()
+		k.resetWorkerState()
 		info := *k.worker
 		info.StartUnixMillis = list.Born
-		k.worker, k.number = &info, 0
+		k.worker, k.heartbeatNumber = &info, 0
 	}
 	now := k.clock()
-	k.lease.observe(now, list.Clock)
-	if list.Clock < k.runs.Clock || t.epoch < k.listed {
+	k.lease.observeClock(now, list.Clock)
+	if list.Clock < k.runs.Clock || t.epoch < k.listedEpoch {
 		return
 	}
-	news := k.listed != t.epoch || differs(k.runs, list)
-	k.runs, k.listed, k.listedAt = list, t.epoch, now
-	if k.silent {
-		k.silent = false
+	changed := k.listedEpoch != t.epoch || runsDiffer(k.runs, list)
+	k.runs, k.listedEpoch, k.listedAt = list, t.epoch, now
+	if k.unresponsive {
+		k.unresponsive = false
 		k.log.Info().Msg("worker answers again")
 	}
-	if news {
+	if changed {
 		wake(k.wakeSend)
 	}
 }
 
-// differs reports whether other runs are listed, whatever their progress.
-func differs(a, b external.RunList) bool {
+// runsDiffer reports whether other runs are listed, whatever their progress.
+func runsDiffer(a, b external.RunList) bool {
 	if len(a.Running) != len(b.Running) || len(a.Ended) != len(b.Ended) {
 		return true
 	}
@@ -306,10 +306,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return map[string]any{
-		"worker": k.worker, "epoch": k.epoch, "listed_epoch": k.listed, "running": len(k.runs.Running),
-		"ended": len(k.runs.Ended), "acknowledged": k.seen, "orders": len(k.orders),
-		"lease_age_ms": k.lease.age(k.clock()).Milliseconds(), "answering": k.answering(),
+		"worker": k.worker, "epoch": k.epoch, "listed_epoch": k.listedEpoch, "running": len(k.runs.Running),
+		"ended": len(k.runs.Ended), "acknowledged": k.acknowledged, "orders": len(k.orders),
+		"lease_age_ms": k.lease.age(k.clock()).Milliseconds(), "answering": k.workerResponsive(),
 	}
 }
 
-var errStale = errors.New("a higher epoch is known")
+var errStaleEpoch = errors.New("a higher epoch is known")
--- a/internal/agent/keeper/lease_test.go
+++ b/internal/agent/keeper/lease_test.go
@@ -12,11 +12,11 @@
 // counts from the owner's receipt of the last granted report.
 func TestLeaseMachine(t *testing.T) {
 	const length = 6 * time.Second
-	bound := time.Duration(float64(length)*(1+2*clockRate)) + 300*time.Millisecond
+	bound := time.Duration(float64(length)*(1+2*maxClockDrift)) + 300*time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		// True time, the agent's clock (which may stand still) and the worker's.
 		var now, agent, worker time.Duration
-		rate := 1 - rapid.Float64Range(0, clockRate).Draw(t, "rate")
+		rate := 1 - rapid.Float64Range(0, maxClockDrift).Draw(t, "rate")
 		pass := func(d time.Duration, suspended bool) {
 			now += d
 			worker += time.Duration(float64(d) * rate)
@@ -28,23 +28,23 @@
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
 		var l lease
-		l.restart(0)
+		l.reset(0)
 		var deadline, granted time.Duration
 		for beat := uint64(1); beat <= 30; beat++ {
 			pass(ms("rest", 1500), rapid.IntRange(0, 9).Draw(t, "suspended") == 0)
 			if rapid.Bool().Draw(t, "answer") {
 				clock := worker
 				pass(ms("way back", 400), false)
-				l.observe(agent, clock)
+				l.observeClock(agent, clock)
 			}
-			l.sent(beat, agent)
+			l.recordReport(beat, agent)
 			pass(ms("to the owner", 400), false)
 			if rapid.IntRange(0, 3).Draw(t, "granted") > 0 {
 				granted = now
 				pass(ms("from the owner", 400), false)
-				l.granted(beat, length)
+				l.applyGrant(beat, length)
 			}
-			deadline = max(deadline, l.order())
+			deadline = max(deadline, l.takeDeadline())
 			// When the worker's clock reaches the deadline, in true time.
 			end := now + time.Duration(float64(deadline-worker)/rate)
 			if deadline > 0 && end > granted+bound {
--- a/internal/agent/keeper/orders.go
+++ b/internal/agent/keeper/orders.go
@@ -15,10 +15,10 @@
 const (
 	// orderTimeout bounds one call with an order. A gang waits three seconds
 	// for its members, within which a start is tried startTries times.
-	orderTimeout = 600 * time.Millisecond
-	startTries   = 3
-	// settleRetry is the time between two tries to settle an order.
-	settleRetry = 150 * time.Millisecond
+	orderTimeout     = 600 * time.Millisecond
+	maxStartAttempts = 3
+	// settleRetryInterval is the time between two tries to settle an order.
+	settleRetryInterval = 150 * time.Millisecond
 )
 
 // order is a start or a stop that is being carried out.
@@ -28,9 +28,9 @@
 	stopEpoch uint64
 }
 
-// begin marks an order as being carried out; nil if one for the run is in
+// beginOrder marks an order as being carried out; nil if one for the run is in
 // progress already, which then also carries the stop out.
-func (k *Keeper) begin(ref runRef, stopEpoch uint64) *order {
+func (k *Keeper) beginOrder(ref runRef, stopEpoch uint64) *order {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o := k.orders[ref]; o != nil {
@@ -42,76 +42,76 @@
 	return o
 }
 
-// mayEnd ends an order unless an owner with a higher epoch than settled has
+// finishUnlessStopOrdered ends an order unless an owner with a higher epoch than settled has
 // ordered its run's stop.
-func (k *Keeper) mayEnd(ref runRef, o *order, settled uint64) bool {
+func (k *Keeper) finishUnlessStopOrdered(ref runRef, o *order, settledEpoch uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.orders[ref] == o && o.stopEpoch > settled {
+	if k.orders[ref] == o && o.stopEpoch > settledEpoch {
 		return false
 	}
-	k.drop(ref, o)
+	k.removeOrder(ref, o)
 	return true
 }
 
-// drop removes an order; the caller holds the lock.
-func (k *Keeper) drop(ref runRef, o *order) {
+// removeOrder removes an order; the caller holds the lock.
+func (k *Keeper) removeOrder(ref runRef, o *order) {
 	if k.orders[ref] == o {
 		delete(k.orders, ref)
 	}
 }
 
-// finish ends an order whose run was never handed to the worker.
-func (k *Keeper) finish(ref runRef, o *order) {
+// finishOrder ends an order whose run was never handed to the worker.
+func (k *Keeper) finishOrder(ref runRef, o *order) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.drop(ref, o)
+	k.removeOrder(ref, o)
 }
 
-// settleAll settles a run for the owner of t, and anew for each later owner that
+// settleOrder settles a run for the owner of t, and anew for each later owner that
 // orders its stop meanwhile.
-func (k *Keeper) settleAll(ctx context.Context, t target, ref runRef, o *order, reason string) {
+func (k *Keeper) settleOrder(ctx context.Context, t callTarget, ref runRef, o *order, reason string) {
 	for {
-		k.settle(ctx, t, ref, reason)
-		if ctx.Err() != nil || k.mayEnd(ref, o, t.epoch) {
+		k.settleRun(ctx, t, ref, reason)
+		if ctx.Err() != nil || k.finishUnlessStopOrdered(ref, o, t.epoch) {
 			return
 		}
 		t = k.target()
 	}
 }
 
-// start carries out a start order.
-func (k *Keeper) start(ctx context.Context, o *rpc.StartTask) {
+// executeStart carries out a executeStart order.
+func (k *Keeper) executeStart(ctx context.Context, o *rpc.StartTask) {
 	task, run := rpc.TaskOf(o.Ref)
 	ref := runRef{task, run}
-	doing := k.begin(ref, 0)
-	if doing == nil {
+	inProgress := k.beginOrder(ref, 0)
+	if inProgress == nil {
 		return
 	}
-	if k.draining() {
-		k.refused(ref, "worker drains")
-		k.finish(ref, doing)
+	if k.workerLeaving() {
+		k.reportAbsent(ref, "worker drains")
+		k.finishOrder(ref, inProgress)
 		return
 	}
 	t := k.target()
-	err := k.tryStart(ctx, t, o, ref)
-	if err == nil && k.mayEnd(ref, doing, 0) {
+	err := k.startWithRetries(ctx, t, o, ref)
+	if err == nil && k.finishUnlessStopOrdered(ref, inProgress, 0) {
 		return
 	}
 	if err == nil {
-		k.settleAll(ctx, t, ref, doing, "stopped")
+		k.settleOrder(ctx, t, ref, inProgress, "stopped")
 		return
 	}
 	k.log.Info().Err(err).Str("job", string(task.Job)).Str("task", task.String()).Uint64("run", run).Msg("start refused or in doubt")
-	k.settleAll(ctx, t, ref, doing, err.Error())
+	k.settleOrder(ctx, t, ref, inProgress, err.Error())
 }
 
-// tryStart returns nil once the worker has the run.
-func (k *Keeper) tryStart(ctx context.Context, t target, o *rpc.StartTask, ref runRef) (err error) {
-	order := external.StartRun{Task: ref.task, Run: ref.run, Spec: o.Spec, Checkpoint: o.Checkpoint, Deadline: t.deadline, Epoch: t.epoch}
-	for range startTries {
+// startWithRetries returns nil once the worker has the run.
+func (k *Keeper) startWithRetries(ctx context.Context, t callTarget, o *rpc.StartTask, ref runRef) (err error) {
+	startRun := external.StartRun{Task: ref.task, Run: ref.run, Spec: o.Spec, Checkpoint: o.Checkpoint, Deadline: t.deadline, Epoch: t.epoch}
+	for range maxStartAttempts {
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
-		_, err = k.runner.Start(callCtx, t.instance, order)
+		_, err = k.runner.Start(callCtx, t.instance, startRun)
 		cancel()
 		if err == nil || !errors.Is(err, external.ErrUnavailable) {
 			metrics.GetOrRegisterCounter("keeper.starts", k.registry).Inc(1)
@@ -121,35 +121,35 @@
 	return err
 }
 
-func (k *Keeper) draining() bool {
+func (k *Keeper) workerLeaving() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.worker == nil || k.worker.Draining || k.leftAt > 0
 }
 
-// refused reports a run that never began and never will.
-func (k *Keeper) refused(ref runRef, reason string) {
+// reportAbsent reports a run that never began and never will.
+func (k *Keeper) reportAbsent(ref runRef, reason string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.absent = append(k.absent, &rpc.AbsentTask{Ref: rpc.TaskRefOf(ref.task, ref.run), Reason: reason})
 	wake(k.wakeSend)
 }
 
-// stop carries out a stop order.
-func (k *Keeper) stop(ctx context.Context, epoch uint64, r *rpc.TaskRef) {
+// executeStop carries out a executeStop order.
+func (k *Keeper) executeStop(ctx context.Context, epoch uint64, r *rpc.TaskRef) {
 	task, run := rpc.TaskOf(r)
 	ref := runRef{task, run}
-	doing := k.begin(ref, epoch)
-	if doing == nil {
+	inProgress := k.beginOrder(ref, epoch)
+	if inProgress == nil {
 		return
 	}
-	k.settleAll(ctx, k.target(), ref, doing, "stopped")
+	k.settleOrder(ctx, k.target(), ref, inProgress, "stopped")
 }
 
-// settle stops a run, which also keeps one from beginning that is still on its
+// settleRun stops a run, which also keeps one from beginning that is still on its
 // way, and reports it absent unless the worker lists it.
-func (k *Keeper) settle(ctx context.Context, t target, ref runRef, reason string) {
-	for ctx.Err() == nil && k.same(t) {
+func (k *Keeper) settleRun(ctx context.Context, t callTarget, ref runRef, reason string) {
+	for ctx.Err() == nil && k.isCurrent(t) {
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		_, err := k.runner.Stop(callCtx, t.instance, external.StopRun{Task: ref.task, Run: ref.run, Epoch: t.epoch})
 		cancel()
@@ -157,24 +157,24 @@
 			return // the next owner, or the new incarnation, settles it
 		}
 		if err == nil && k.hold(ctx, 0) == nil {
-			if !k.lists(ref) {
-				k.refused(ref, reason)
+			if !k.listsRun(ref) {
+				k.reportAbsent(ref, reason)
 			}
 			return
 		}
-		kernel.Sleep(ctx, settleRetry)
+		kernel.Sleep(ctx, settleRetryInterval)
 	}
 }
 
-// same reports whether the worker and the epoch are still those of t.
-func (k *Keeper) same(t target) bool {
+// isCurrent reports whether the worker and the epoch are still those of t.
+func (k *Keeper) isCurrent(t callTarget) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.worker != nil && k.worker.Incarnation() == t.incarnation && k.epoch == t.epoch
 }
 
-// lists reports whether the worker runs a run or lists its end.
-func (k *Keeper) lists(ref runRef) bool {
+// listsRun reports whether the worker runs a run or listsRun its end.
+func (k *Keeper) listsRun(ref runRef) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.runs.Running {
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -16,20 +16,20 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/standin"
 )
 
-// TestNextOwnersStopOfAStartInDoubtIsSettled shows that the stop which the next
+// TestNextOwnersStopSettlesUnansweredStart shows that the stop which the next
 // owner orders, while an earlier owner's start gets no answer, is settled under
 // the next owner's epoch: it would wait for the outcome for ever.
-func TestNextOwnersStopOfAStartInDoubtIsSettled(t *testing.T) {
+func TestNextOwnersStopSettlesUnansweredStart(t *testing.T) {
 	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
-	k := New(runner, NewOwnerFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
+	k := New(runner, NewOwnerFinder(unavailableRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
 	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Born()}
 	k.HandleHeartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
 		o := &rpc.WorkerOrders{Epoch: epoch, Incarnation: worker.Incarnation()}
 		change(o)
-		if err := k.obey(ctx, o); err != nil {
+		if err := k.applyOrders(ctx, o); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,7 +41,7 @@
 	kernel.Sleep(ctx, orderTimeout)
 	runner.SetFaults(standin.RunnerFaults{})
 
-	bound, cancel := context.WithTimeout(ctx, (startTries+1)*orderTimeout+10*settleRetry)
+	bound, cancel := context.WithTimeout(ctx, (maxStartAttempts+1)*orderTimeout+10*settleRetryInterval)
 	defer cancel()
 	settled := func() bool {
 		k.mu.Lock()
--- a/internal/agent/keeper/session.go
+++ b/internal/agent/keeper/session.go
@@ -13,69 +13,69 @@
 )
 
 const (
-	// beatInterval is the time between two reports without news. An owner that is
+	// reportInterval is the time between two reports without news. An owner that is
 	// gone is noticed by the report that it does not answer.
-	beatInterval = 600 * time.Millisecond
-	// beatSpacing is the least time between two reports.
-	beatSpacing = 20 * time.Millisecond
-	// silenceLimit is how long the owner may take to answer a report before
+	reportInterval = 600 * time.Millisecond
+	// minReportSpacing is the least time between two reports.
+	minReportSpacing = 20 * time.Millisecond
+	// ownerReplyTimeout is how long the owner may take to answer a report before
 	// the agent looks for it anew.
-	silenceLimit = 1200 * time.Millisecond
-	// answerWait is how long the owner may take before the agent asks the other
+	ownerReplyTimeout = 1200 * time.Millisecond
+	// successorCheckDelay is how long the owner may take before the agent asks the other
 	// entries whether there is another one, and between two such questions. An
 	// owner answers each report within milliseconds.
-	answerWait = 300 * time.Millisecond
-	// findRetry is the time between two looks for the owner.
-	findRetry = 100 * time.Millisecond
+	successorCheckDelay = 300 * time.Millisecond
+	// findRetryInterval is the time between two looks for the owner.
+	findRetryInterval = 100 * time.Millisecond
 )
 
-// attendLoop keeps a connection with the owner.
-func (k *Keeper) attendLoop(ctx context.Context) {
-	last := "" // why the last connection ended; repetitions are not logged
+// ownerLoop keeps a connection with the owner.
+func (k *Keeper) ownerLoop(ctx context.Context) {
+	lastReason := "" // why the last connection ended; repetitions are not logged
 	for ctx.Err() == nil {
-		if !k.announced() {
-			kernel.Sleep(ctx, findRetry)
+		if !k.workerKnown() {
+			kernel.Sleep(ctx, findRetryInterval)
 			continue
 		}
 		client, address := k.finder.Find(ctx)
 		if client == nil {
-			kernel.Sleep(ctx, findRetry)
+			kernel.Sleep(ctx, findRetryInterval)
 			continue
 		}
 		began := k.clock()
-		err := k.attend(ctx, client, address)
+		err := k.serveOwner(ctx, client, address)
 		if ctx.Err() != nil {
 			return
 		}
-		if lasted := k.clock() - began; lasted > findRetry || err.Error() != last {
-			last = err.Error()
+		if lasted := k.clock() - began; lasted > findRetryInterval || err.Error() != lastReason {
+			lastReason = err.Error()
 			k.log.Info().Err(err).Str("owner", address).Dur("lasted_ms", lasted).Msg("connection with the owner ended")
 		}
-		if !errors.Is(err, errSucceeded) {
-			kernel.Sleep(ctx, findRetry)
+		if !errors.Is(err, errOwnerSuperseded) {
+			kernel.Sleep(ctx, findRetryInterval)
 		}
 	}
 }
 
-func (k *Keeper) announced() bool {
+func (k *Keeper) workerKnown() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.worker != nil
 }
 
-// link is one connection with an owner.
-type link struct {
-	keeper *Keeper
-	owner  string // address
-	stream grpc.BidiStreamingClient[rpc.WorkerReport, rpc.WorkerOrders]
-	beat   uint64
-	// heard is signalled for each message of the owner.
-	heard chan struct{}
-	ended chan error
+// ownerLink is one connection with an owner.
+type ownerLink struct {
+	keeper       *Keeper
+	owner        string // address
+	stream       grpc.BidiStreamingClient[rpc.WorkerReport, rpc.WorkerOrders]
+	reportNumber uint64
+	// received is signalled for each message of the owner.
+	received chan struct{}
+	ended    chan error
 }
 
-// attend serves the owner until the connection ends, and returns why.
-func (k *Keeper) attend(ctx context.Context, client rpc.FleetClient, owner string) error {
+// serveOwner serves the owner until the connection ends, and returns why.
+func (k *Keeper) serveOwner(ctx context.Context, client rpc.FleetClient, owner string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := client.Attend(ctx)
@@ -84,111 +84,111 @@
 	}
 	k.mu.Lock()
 	k.absent = nil // the owner settles anew what an earlier connection was to tell
-	k.lease.forgetBeats()
+	k.lease.forgetReports()
 	k.mu.Unlock()
-	l := &link{keeper: k, owner: owner, stream: stream, heard: make(chan struct{}, 1), ended: make(chan error, 1)}
-	go l.receive(ctx)
-	return l.send(ctx)
+	l := &ownerLink{keeper: k, owner: owner, stream: stream, received: make(chan struct{}, 1), ended: make(chan error, 1)}
+	go l.receiveOrders(ctx)
+	return l.reportLoop(ctx)
 }
 
-// send reports to the owner until it is silent or the connection ends. The
+// reportLoop reports to the owner until it is silent or the connection ends. The
 // first report only asks for the owner's epoch.
-func (l *link) send(ctx context.Context) error {
+func (l *ownerLink) reportLoop(ctx context.Context) error {
 	k := l.keeper
-	if err := l.report(false); err != nil {
+	if err := l.sendReport(false); err != nil {
 		return err
 	}
-	silence := time.NewTimer(silenceLimit)
-	defer silence.Stop()
-	beat := time.NewTimer(beatInterval)
-	defer beat.Stop()
-	answer := time.NewTimer(answerWait)
-	defer answer.Stop()
+	replyTimer := time.NewTimer(ownerReplyTimeout)
+	defer replyTimer.Stop()
+	reportTimer := time.NewTimer(reportInterval)
+	defer reportTimer.Stop()
+	successorTimer := time.NewTimer(successorCheckDelay)
+	defer successorTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-l.ended:
 			return err
-		case <-silence.C:
+		case <-replyTimer.C:
 			return errors.Timeoutf("answer of the owner")
-		case <-l.heard:
-			silence.Reset(silenceLimit + beatInterval)
-			answer.Stop()
+		case <-l.received:
+			replyTimer.Reset(ownerReplyTimeout + reportInterval)
+			successorTimer.Stop()
 			continue
-		case <-answer.C:
-			if err := l.successor(ctx); err != nil {
+		case <-successorTimer.C:
+			if err := l.checkSuccessor(ctx); err != nil {
 				return err
 			}
-			answer.Reset(answerWait)
+			successorTimer.Reset(successorCheckDelay)
 			continue
 		case <-k.wakeSend:
-		case <-beat.C:
+		case <-reportTimer.C:
 		}
-		if k.current() {
-			if err := l.report(true); err != nil {
+		if k.listIsCurrent() {
+			if err := l.sendReport(true); err != nil {
 				return err
 			}
-			answer.Reset(answerWait)
+			successorTimer.Reset(successorCheckDelay)
 		}
-		beat.Reset(beatInterval)
-		kernel.Sleep(ctx, beatSpacing)
+		reportTimer.Reset(reportInterval)
+		kernel.Sleep(ctx, minReportSpacing)
 	}
 }
 
-// errSucceeded says that another entry has become the owner.
-const errSucceeded = errors.ConstError("another entry owns scheduling")
+// errOwnerSuperseded says that another entry has become the owner.
+const errOwnerSuperseded = errors.ConstError("another entry owns scheduling")
 
-// successor returns an error if the other entries know another owner.
-func (l *link) successor(ctx context.Context) error {
+// checkSuccessor returns an error if the other entries know another owner.
+func (l *ownerLink) checkSuccessor(ctx context.Context) error {
 	address := l.keeper.finder.Successor(ctx, l.owner)
 	if address == "" {
 		return nil
 	}
-	return errors.Annotatef(errSucceeded, "%s instead of %s", address, l.owner)
+	return errors.Annotatef(errOwnerSuperseded, "%s instead of %s", address, l.owner)
 }
 
-// current reports whether the lists come from a call with the highest epoch.
-func (k *Keeper) current() bool {
+// listIsCurrent reports whether the lists come from a call with the highest epoch.
+func (k *Keeper) listIsCurrent() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.epoch > 0 && k.listed == k.epoch || k.gone()
+	return k.epoch > 0 && k.listedEpoch == k.epoch || k.workerGone()
 }
 
-// gone reports whether the worker has left. The caller holds the lock.
-func (k *Keeper) gone() bool { return k.leftAt > 0 && k.clock()-k.leftAt >= goneDelay }
+// workerGone reports whether the worker has left. The caller holds the lock.
+func (k *Keeper) workerGone() bool { return k.leftAt > 0 && k.clock()-k.leftAt >= exitDelay }
 
-func (l *link) report(listed bool) error {
-	r := l.keeper.report(l, listed)
+func (l *ownerLink) sendReport(listed bool) error {
+	r := l.keeper.nextReport(l, listed)
 	return errors.Annotate(l.stream.Send(r), "reporting to the owner")
 }
 
-// report returns the next report of a link.
-func (k *Keeper) report(l *link, listed bool) *rpc.WorkerReport {
+// nextReport returns the next nextReport of a link.
+func (k *Keeper) nextReport(l *ownerLink, listed bool) *rpc.WorkerReport {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	l.beat++
+	l.reportNumber++
 	r := rpc.ReportOf(*k.worker)
-	r.Beat, r.Listed = l.beat, listed
+	r.Beat, r.Listed = l.reportNumber, listed
 	now := k.clock()
-	r.Answering, r.Gone = k.answering(), k.gone()
+	r.Answering, r.Gone = k.workerResponsive(), k.workerGone()
 	if listed {
 		r.Running = rpc.RunningTasksOf(k.runs.Running)
 		r.Ended = rpc.EndedTasksOf(k.runs.Ended)
 		r.Absent, k.absent = k.absent, nil
-		k.lease.sent(l.beat, now)
+		k.lease.recordReport(l.reportNumber, now)
 	}
 	return r
 }
 
-// receive carries out the owner's orders. They go on when the connection ends:
+// receiveOrders carries out the owner's orders. They go on when the connection ends:
 // the keeper's own context bounds them.
-func (l *link) receive(ctx context.Context) {
+func (l *ownerLink) receiveOrders(ctx context.Context) {
 	first := true
 	for {
 		o, err := l.stream.Recv()
 		if err == nil {
-			err = l.keeper.obey(l.keeper.loops.Context(), o)
+			err = l.keeper.applyOrders(l.keeper.loops.Context(), o)
 		}
 		if first {
 			first = false
@@ -199,7 +199,7 @@
 			return
 		}
 		select {
-		case l.heard <- struct{}{}:
+		case l.received <- struct{}{}:
 		default:
 		}
 		if ctx.Err() != nil {
@@ -208,48 +208,48 @@
 	}
 }
 
-// obey takes the owner's orders, unless a higher epoch is known.
-func (k *Keeper) obey(ctx context.Context, o *rpc.WorkerOrders) error {
+// applyOrders takes the owner's orders, unless a higher epoch is known.
+func (k *Keeper) applyOrders(ctx context.Context, o *rpc.WorkerOrders) error {
 	k.mu.Lock()
 	if o.Epoch < k.epoch {
 		defer k.mu.Unlock()
 		k.log.Warn().Uint64("epoch", o.Epoch).Uint64("highest", k.epoch).Msg("orders of an earlier owner refused")
-		return errStale
+		return errStaleEpoch
 	}
 	if o.Epoch > k.epoch {
 		k.log.Info().Uint64("epoch", o.Epoch).Uint64("before", k.epoch).Msg("owner changed")
 		k.epoch = o.Epoch
-		go k.listAgain(ctx)
+		go k.relistRuns(ctx)
 	}
-	meant := k.worker != nil && o.Incarnation == k.worker.Incarnation()
-	if meant {
-		k.lease.granted(o.GrantedBeat, time.Duration(o.LeaseMs)*time.Millisecond)
-		if o.Acknowledged > k.seen {
-			k.seen = o.Acknowledged
+	forThisIncarnation := k.worker != nil && o.Incarnation == k.worker.Incarnation()
+	if forThisIncarnation {
+		k.lease.applyGrant(o.GrantedBeat, time.Duration(o.LeaseMs)*time.Millisecond)
+		if o.Acknowledged > k.acknowledged {
+			k.acknowledged = o.Acknowledged
 			wake(k.wakeHold)
 		}
 	}
 	k.mu.Unlock()
-	if !meant {
+	if !forThisIncarnation {
 		return nil
 	}
 	for _, s := range o.Stops {
-		go k.stop(ctx, o.Epoch, s)
+		go k.executeStop(ctx, o.Epoch, s)
 	}
 	for _, s := range o.Starts {
-		go k.start(ctx, s)
+		go k.executeStart(ctx, s)
 	}
 	return nil
 }
 
-// listAgain lists the runs under a new epoch at once, beside the call that waits.
-func (k *Keeper) listAgain(ctx context.Context) {
-	for ctx.Err() == nil && !k.current() {
+// relistRuns lists the runs under a new epoch at once, beside the call that waits.
+func (k *Keeper) relistRuns(ctx context.Context) {
+	for ctx.Err() == nil && !k.listIsCurrent() {
 		if err := k.hold(ctx, 0); err == nil {
 			return
 		} else if errors.Is(err, external.ErrRunEpoch) {
 			return
 		}
-		kernel.Sleep(ctx, holdRetry)
+		kernel.Sleep(ctx, holdRetryInterval)
 	}
 }
--- a/internal/agent/keeper/session_test.go
+++ b/internal/agent/keeper/session_test.go
@@ -17,32 +17,32 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/standin"
 )
 
-// muteEntry takes agents' reports and answers none; it tells which entry owns
+// unresponsiveEntry takes agents' reports and answers none; it tells which entry owns
 // scheduling.
-type muteEntry struct {
+type unresponsiveEntry struct {
 	rpc.UnimplementedFleetServer
 	address  string
 	owner    *atomic.Pointer[rpc.LocateReply]
-	attended chan struct{}
+	sessions chan struct{}
 }
 
-func (m *muteEntry) Locate(context.Context, *rpc.LocateRequest) (*rpc.LocateReply, error) {
+func (m *unresponsiveEntry) Locate(context.Context, *rpc.LocateRequest) (*rpc.LocateReply, error) {
 	return m.owner.Load(), nil
 }
 
-func (m *muteEntry) Attend(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
-	m.attended <- struct{}{}
+func (m *unresponsiveEntry) Attend(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
+	m.sessions <- struct{}{}
 	<-stream.Context().Done()
 	return nil
 }
 
-func startMute(t *testing.T, owner *atomic.Pointer[rpc.LocateReply]) *muteEntry {
+func startUnresponsiveEntry(t *testing.T, owner *atomic.Pointer[rpc.LocateReply]) *unresponsiveEntry {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &muteEntry{address: listener.Addr().String(), owner: owner, attended: make(chan struct{}, 16)}
+	m := &unresponsiveEntry{address: listener.Addr().String(), owner: owner, sessions: make(chan struct{}, 16)}
 	server := grpc.NewServer()
 	rpc.RegisterFleetServer(server, m)
 	served := make(chan error, 1)
@@ -56,22 +56,22 @@
 	return m
 }
 
-type noRows struct{}
+type unavailableRows struct{}
 
-func (noRows) Get(context.Context, ledger.Cause, ...string) ([]ledger.Row, error) {
+func (unavailableRows) Get(context.Context, ledger.Cause, ...string) ([]ledger.Row, error) {
 	return nil, context.DeadlineExceeded
 }
 
-// TestSilentOwnerIsLeftForItsSuccessor shows that an agent whose owner does not
+// TestAgentLeavesSilentOwnerForSuccessor shows that an agent whose owner does not
 // answer goes to the entry that has taken over long before it would give the
 // owner up by itself, and that without a successor it stays that long.
-func TestSilentOwnerIsLeftForItsSuccessor(t *testing.T) {
+func TestAgentLeavesSilentOwnerForSuccessor(t *testing.T) {
 	var located atomic.Pointer[rpc.LocateReply]
-	first, second := startMute(t, &located), startMute(t, &located)
+	first, second := startUnresponsiveEntry(t, &located), startUnresponsiveEntry(t, &located)
 	located.Store(&rpc.LocateReply{OwnerAddress: first.address, Epoch: 1})
 
 	clock := ledger.NewMonotonicClock()
-	finder := NewOwnerFinder(noRows{}, "all", []string{first.address, second.address}, clock, zerolog.Nop())
+	finder := NewOwnerFinder(unavailableRows{}, "all", []string{first.address, second.address}, clock, zerolog.Nop())
 	k := New(standin.NewRunner(), finder, clock, metrics.NewRegistry(), zerolog.Nop())
 	k.HandleHeartbeat(plan.WorkerInfo{ID: "w", Instance: "i", StartUnixMillis: 1}, 1)
 	if err := k.Start(context.Background()); err != nil {
@@ -82,22 +82,22 @@
 			t.Error(err)
 		}
 	})
-	await(t, first.attended, 5*time.Second)
+	await(t, first.sessions, 5*time.Second)
 	select {
-	case <-first.attended:
+	case <-first.sessions:
 		t.Fatal("attended a second time before the owner was given up")
-	case <-time.After(silenceLimit * 3 / 4):
+	case <-time.After(ownerReplyTimeout * 3 / 4):
 	}
-	await(t, first.attended, 5*time.Second)
+	await(t, first.sessions, 5*time.Second)
 	// An entry that has not heard of the present owner names an earlier one.
 	located.Store(&rpc.LocateReply{OwnerAddress: second.address, Epoch: 1})
 	select {
-	case <-second.attended:
+	case <-second.sessions:
 		t.Fatal("left the owner for an earlier one")
-	case <-time.After(answerWait * 3 / 2):
+	case <-time.After(successorCheckDelay * 3 / 2):
 	}
 	located.Store(&rpc.LocateReply{OwnerAddress: second.address, Epoch: 2})
-	await(t, second.attended, silenceLimit*3/4)
+	await(t, second.sessions, ownerReplyTimeout*3/4)
 }
 
 func await(t *testing.T, c <-chan struct{}, bound time.Duration) {
