--- a/internal/entry/graphs/term.go
+++ b/internal/entry/graphs/term.go
@@ -18,10 +18,10 @@
 
 // term is the time in which this process owns scheduling under one epoch.
 type term struct {
-	epoch        uint64 // of the ownership
-	token        uint64 // fencing token of the term
-	fenceVersion uint64 // version of the fence's row
-	startedAt    time.Duration
+	epoch        uint64        // epoch of the ownership
+	token        uint64        // fencing token of the term
+	fenceVersion uint64        // version of the fence row
+	startedAt    time.Duration // on clock; time 0 of the core
 	clock        func() time.Duration
 	owner        Ownership
 	store        *Store
@@ -33,8 +33,8 @@
 
 	mu               sync.Mutex
 	core             *plan.Core
-	progressVersions map[graph.JobID]uint64 // of the progress rows
-	sessions         map[string]*session    // by worker
+	progressVersions map[graph.JobID]uint64 // versions of the progress rows, by job
+	sessions         map[string]*session    // by worker ID
 	closed           bool
 }
 
