--- a/internal/entry/graphs/front.go
+++ b/internal/entry/graphs/front.go
@@ -16,44 +16,46 @@
 )
 
 const (
-	// defaultWait is how long a caller is taken to wait if it does not say.
+	// defaultWait is the assumed caller timeout when the request gives none.
 	defaultWait = 2500 * time.Millisecond
-	// answerMargin is the part of the caller's time that is left for the answer
-	// to reach it.
+	// answerMargin is the part of the caller's timeout that is reserved for the
+	// answer to reach it.
 	answerMargin = 150 * time.Millisecond
-	// retryAfterStoreFailure is when a caller may come back after the table was not
-	// reachable, retryNoPolicy when the configuration is not known.
+	// retryAfterStoreFailure is the retry delay told to callers when the table
+	// was not reachable, retryAfterStaleConfig when the configuration is not
+	// known to be current.
 	retryAfterStoreFailure = time.Second
 	retryAfterStaleConfig  = time.Second
-	// retryAfterUnsupported is for what this version of the program does not serve.
+	// retryAfterUnsupported is the retry delay for features that this version of
+	// the program does not support.
 	retryAfterUnsupported = time.Hour
 	// jobIDDigits is the number of hexadecimal digits of a job's ID.
 	jobIDDigits = 16
 )
 
-// Call is what all requests of callers have in common.
+// Call holds the parameters common to all caller requests.
 type Call struct {
 	Host string
 	Path string
 	Key  string
-	Wait time.Duration // how long the caller waits; 0 if it does not say
-	// MinConfigVersion is the oldest version of the configuration that may be used.
+	Wait time.Duration // how long the caller waits; 0 if unknown
+	// MinConfigVersion is the oldest configuration version that may be used.
 	MinConfigVersion uint64
 }
 
-// Outcome is the kind of an answer.
+// Outcome classifies an answer.
 type Outcome int
 
-// The outcomes. Refused, Overloaded, NoQueue, Unauthorized and Invalid promise that
-// a job was not accepted and never runs because of this request.
+// The outcomes. Refused, Overloaded, NoQueue, Unauthorized and Invalid guarantee
+// that no job was accepted and that none will run because of this request.
 const (
 	OK           Outcome = iota
-	Refused              // for now; RetryAfter tells when to come back
-	Overloaded           // likewise
+	Refused              // temporarily; RetryAfter gives the delay before a retry
+	Overloaded           // temporarily, as for Refused
 	NoQueue              // no such queue
-	Unauthorized         // no account has the key
+	Unauthorized         // the key belongs to no account
 	Invalid              // the request can never be served
-	Unknown              // it may or may not have taken effect
+	Unknown              // the request may or may not have taken effect
 	NoJob                // no such job
 )
 
@@ -68,59 +70,64 @@
 	Detail     string
 	State      graph.State
 	Pending    *int
-	// ConfigVersion is that of the configuration by which the call was let in or
-	// turned away; 0 if there was none.
+	// ConfigVersion is the configuration version by which the call was admitted
+	// or rejected; 0 if there was none.
 	ConfigVersion uint64
 }
 
-// Policies is where the front finds the configuration.
+// Policies provides the configuration to the front.
 type Policies interface {
 	FreshSnapshot() (*policy.Snapshot, time.Duration)
 	StoreOutage() time.Duration
-	// MaxConfirmationAge is the age that the last confirmation reaches while all is well.
+	// MaxConfirmationAge is the highest age that the last confirmation reaches
+	// in normal operation.
 	MaxConfirmationAge() time.Duration
 }
 
-// Relay serves requests through another entry.
+// Relay forwards requests to other entries.
 type Relay interface {
 	// Forward returns false if no other entry has answered; the request may have
-	// taken effect all the same.
+	// taken effect nevertheless.
 	Forward(ctx context.Context, verb string, call Call, job *graph.Job, minConfigVersion uint64) (Answer, bool)
 }
 
-// OwnerQuerier answers what only the owner of scheduling knows, wherever it runs.
+// OwnerQuerier queries state that only the owner of scheduling has, in whichever
+// process the owner runs.
 type OwnerQuerier interface {
 	// JobState returns a job's state; known is false if the owner cannot be
-	// asked or does not know the job.
+	// reached or does not know the job.
 	JobState(ctx context.Context, id graph.JobID) (state graph.State, known bool)
-	// PendingJobs returns the number of a queue's jobs of which no task has started.
+	// PendingJobs returns the number of the queue's jobs that have not started
+	// any task.
 	PendingJobs(ctx context.Context, queue string) (n int, known bool)
 }
 
-// Front serves the requests of callers.
+// Front serves caller requests.
 type Front struct {
 	policies Policies
 	store    *Store
 	owner    OwnerQuerier
 	relay    Relay
 	now      func() time.Time
-	// configVersionFloor is the newest version that any answer of this entry has rested on,
-	// through another entry too: callers never see an older one again.
+	// configVersionFloor is the newest configuration version that any answer of
+	// this entry was based on, including relayed answers. Callers never get an
+	// answer based on an older one afterwards.
 	configVersionFloor atomic.Uint64
 	log                zerolog.Logger
 	registry           metrics.Registry
 }
 
-// NewFront returns a front. now is the time of day.
+// NewFront returns a front. now returns the time of day.
 func NewFront(p Policies, s *Store, o OwnerQuerier, r Relay, now func() time.Time, registry metrics.Registry, log zerolog.Logger) *Front {
 	return &Front{policies: p, store: s, owner: o, relay: r, now: now, log: log, registry: registry}
 }
 
-// readyOutageLimit is how long the store may fail to confirm the configuration before
-// callers are sent to other entries: the balancer takes two more seconds.
+// readyOutageLimit is how long the store may fail to confirm the configuration,
+// beyond MaxConfirmationAge, before this entry reports itself not ready. The
+// balancer takes two more seconds to send callers to other entries.
 const readyOutageLimit = 300 * time.Millisecond
 
-// Ready returns nil while callers can be served from here.
+// Ready returns nil while this entry can serve callers.
 func (f *Front) Ready() error {
 	if outage := f.policies.StoreOutage(); outage > f.policies.MaxConfirmationAge()+readyOutageLimit {
 		return errors.Errorf("the store has not answered for %v", outage)
@@ -131,17 +138,17 @@
 	return nil
 }
 
-// target is what a call is about, once it has been let in.
+// target is the queue or job that an admitted call refers to.
 type target struct {
 	queue         *policy.Queue
 	account       string
-	id            graph.JobID // empty for the queue itself
+	id            graph.JobID // empty if the call refers to the queue itself
 	configVersion uint64
 	configAge     time.Duration
 }
 
-// admit finds the queue of a call and checks its key. A nil target comes with
-// the answer.
+// admit finds the queue of a call and checks the caller's key. If the target is
+// nil, the call is rejected with the returned answer.
 func (f *Front) admit(call Call) (*target, Answer) {
 	snapshot, age := f.policies.FreshSnapshot()
 	if snapshot == nil {
@@ -167,7 +174,7 @@
 	return t, Answer{}
 }
 
-// raiseConfigVersionFloor notes that an answer rests on a version.
+// raiseConfigVersionFloor records that an answer is based on a version.
 func (f *Front) raiseConfigVersionFloor(version uint64) {
 	for {
 		old := f.configVersionFloor.Load()
@@ -177,7 +184,8 @@
 	}
 }
 
-// Submit accepts a job.
+// Submit accepts a job. While the store is not reachable from here, it first
+// tries to relay the request to another entry.
 func (f *Front) Submit(call Call, decode func() (*graph.Job, error)) Answer {
 	start := time.Now()
 	if f.policies.StoreOutage() > 0 {
@@ -189,11 +197,11 @@
 	return f.SubmitLocal(call, decode)
 }
 
-// relaySubmit submits through another entry.
+// relaySubmit submits a job through another entry.
 func (f *Front) relaySubmit(call Call, decode func() (*graph.Job, error)) (Answer, bool) {
 	job, err := decode()
 	if err != nil {
-		return Answer{}, false // refused here as well, once the caller is known
+		return Answer{}, false // SubmitLocal rejects it too, after checking the caller's key
 	}
 	return f.relayCall(verbSubmit, call, job)
 }
@@ -204,7 +212,7 @@
 	a, served := f.relay.Forward(ctx, verb, call, job, f.configVersionFloor.Load())
 	f.raiseConfigVersionFloor(a.ConfigVersion)
 	if served && a.Outcome == Refused {
-		return a, false // this entry may still do better
+		return a, false // serving it locally may still succeed
 	}
 	if served {
 		metrics.GetOrRegisterCounter("front.relayed", f.registry).Inc(1)
@@ -212,7 +220,7 @@
 	return a, served
 }
 
-// SubmitLocal accepts a job with this entry's own view of the store.
+// SubmitLocal accepts a job using only this entry's connection to the store.
 func (f *Front) SubmitLocal(call Call, decode func() (*graph.Job, error)) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
@@ -248,7 +256,7 @@
 	return answerForWrite(f.store.InsertJob(ctx, job))
 }
 
-// answerForWrite is the answer to a request that had to be made durable.
+// answerForWrite returns the answer for the result of a durable write.
 func answerForWrite(err error) Answer {
 	switch {
 	case err == nil:
@@ -260,7 +268,7 @@
 	}
 }
 
-// Lookup answers for a job's state, or for a queue's length.
+// Lookup returns a job's state or a queue's number of pending jobs.
 func (f *Front) Lookup(call Call) Answer {
 	if f.policies.StoreOutage() > 0 {
 		if a, served := f.relayCall(verbLookup, call, nil); served {
@@ -270,7 +278,7 @@
 	return f.LookupLocal(call)
 }
 
-// LookupLocal is Lookup with this entry's own view of the store.
+// LookupLocal is Lookup using only this entry's connection to the store.
 func (f *Front) LookupLocal(call Call) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
@@ -315,7 +323,7 @@
 	}
 }
 
-// Cancel ends a job.
+// Cancel requests the cancellation of a job.
 func (f *Front) Cancel(call Call) Answer {
 	if f.policies.StoreOutage() > 0 {
 		if a, served := f.relayCall(verbCancel, call, nil); served {
@@ -325,7 +333,7 @@
 	return f.CancelLocal(call)
 }
 
-// CancelLocal is Cancel with this entry's own view of the store.
+// CancelLocal is Cancel using only this entry's connection to the store.
 func (f *Front) CancelLocal(call Call) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
@@ -347,7 +355,8 @@
 	return answerForWrite(err)
 }
 
-// callContext ends shortly before the caller stops waiting.
+// callContext returns a context that ends shortly before the caller stops
+// waiting.
 func (f *Front) callContext(call Call) (context.Context, context.CancelFunc) {
 	wait := call.Wait
 	if wait == 0 {
@@ -356,7 +365,7 @@
 	return context.WithTimeout(context.Background(), max(wait-answerMargin, wait/2))
 }
 
-// recordAnswer counts and logs one answer.
+// recordAnswer counts and logs an answer.
 func (f *Front) recordAnswer(verb string, call Call, t *target, answer Answer, start time.Time) {
 	took := time.Since(start)
 	metrics.GetOrRegisterCounter("front."+verb+"."+answer.Outcome.String(), f.registry).Inc(1)
--- a/internal/entry/graphs/handover.go
+++ b/internal/entry/graphs/handover.go
@@ -13,73 +13,75 @@
 )
 
 const (
-	// handoverPollInterval is the time between two looks at the owner's table.
+	// handoverPollInterval is the time between two checks of the owner's table.
 	handoverPollInterval = 100 * time.Millisecond
-	// rejectedLimit and outageLimit are how long the table may reject every
-	// call at once, or answer none, before an owner looks for a successor. One
-	// connection that is silent stays below; a slow table may not, which is why
-	// a successor has to be prompt.
+	// rejectedLimit and outageLimit are how long the table may reject all calls
+	// immediately, or leave all calls unanswered, before an owner looks for a
+	// successor. A single silent connection does not reach these limits. A slow
+	// table may, which is why a successor has to read the table promptly.
 	rejectedLimit = 300 * time.Millisecond
 	outageLimit   = time.Second
-	// handoverCallTimeout bounds one question to another entry.
+	// handoverCallTimeout bounds one HandOver call to another entry.
 	handoverCallTimeout = 250 * time.Millisecond
-	// promptReadTimeout is how soon the table has to answer an entry that is to take
-	// over: a slower one would keep its term from beginning for seconds. It is
-	// below handoverTimeout and far above a healthy table's few milliseconds.
+	// promptReadTimeout is the maximum time for a table read by an entry that is
+	// to take over: a slower table would delay the start of its term by seconds.
+	// It is below handoverCallTimeout and far above the few milliseconds that a
+	// healthy table takes.
 	promptReadTimeout = 100 * time.Millisecond
 )
 
-// Resigner is the ownership that can be given up without the table.
+// Resigner is an ownership that can be given up without access to the table.
 type Resigner interface {
 	Current() owner.Authority
 	Resign(epoch uint64)
 	ObserveResignation(epoch uint64)
 }
 
-// TableHealth tells how the table answers this process.
+// TableHealth reports how the table responds to this process.
 type TableHealth interface {
 	Rejected() time.Duration
 	Outage() time.Duration
 	Get(ctx context.Context, cause ledger.Cause, keys ...string) ([]ledger.Row, error)
 }
 
-// Handover gives the ownership to an entry that reaches the table when this one
-// does not. While the table fails or is slow for all entries, the owner stays:
-// its workers need nothing of the table.
+// Handover transfers the ownership to an entry that can reach the table when this
+// one cannot. While the table fails or is slow for all entries, the owner keeps
+// the ownership, because its workers do not depend on the table.
 type Handover struct {
 	owner       Resigner
 	table       TableHealth
-	storeOutage func() time.Duration // since when the configuration is not confirmed
+	storeOutage func() time.Duration // time since the configuration was last confirmed; 0 if it is confirmed
 	peers       *Peers
 	log         zerolog.Logger
 	loops       kernel.Loops
 }
 
-// NewHandover returns a service that is not running yet.
+// NewHandover returns a Handover that is not running yet.
 func NewHandover(o Resigner, t TableHealth, p Policies, peers *Peers, log zerolog.Logger) *Handover {
 	return &Handover{owner: o, table: t, storeOutage: p.StoreOutage, peers: peers, log: log}
 }
 
-// Start begins to watch the table.
+// Start begins to monitor the table.
 func (h *Handover) Start(context.Context) error {
 	h.loops.Begin()
 	h.loops.Every(handoverPollInterval, h.handOverIfFailing)
 	return nil
 }
 
-// Stop ends the watch.
+// Stop ends the monitoring.
 func (h *Handover) Stop(context.Context) error {
 	h.loops.End()
 	return nil
 }
 
-// tableFailing reports whether this process's table has failed for too long.
+// tableFailing reports whether the table has failed for this process beyond one
+// of the limits.
 func (h *Handover) tableFailing() bool {
 	return h.table.Rejected() >= rejectedLimit || h.table.Outage() >= outageLimit
 }
 
-// handOverIfFailing hands the ownership over if this process owns scheduling without a
-// table and another entry has one.
+// handOverIfFailing resigns the ownership if this process owns scheduling, its
+// table is failing and another entry is able to take over.
 func (h *Handover) handOverIfFailing(ctx context.Context) {
 	a := h.owner.Current()
 	if !a.Owner || !h.tableFailing() {
@@ -89,7 +91,7 @@
 		if !h.sendHandOver(ctx, address, a.Epoch, false) {
 			continue
 		}
-		// The term ends here before any other entry may begin one.
+		// The term ends here, before any other entry may begin one.
 		h.owner.Resign(a.Epoch)
 		for _, p := range h.peers.candidates() {
 			h.sendHandOver(ctx, p, a.Epoch, true)
@@ -98,36 +100,38 @@
 	}
 }
 
-// sendHandOver asks an entry whether it could take over, or tells it that it may.
+// sendHandOver asks an entry whether it is able to take over or, if resigned is
+// set, informs it that the owner has resigned.
 func (h *Handover) sendHandOver(ctx context.Context, address string, epoch uint64, resigned bool) bool {
 	client, err := h.peers.pool.Fleet(address)
 	if err != nil {
-		h.log.Error().Err(err).Str("entry", address).Msg("address cannot be dialled")
+		h.log.Error().Err(err).Str("entry", address).Msg("failed to create gRPC client for entry address")
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, handoverCallTimeout)
 	defer cancel()
 	reply, err := client.HandOver(ctx, &rpc.HandOverRequest{Epoch: epoch, Resigned: resigned})
-	return err == nil && reply.Able // an entry that does not answer is no successor
+	return err == nil && reply.Able // an entry that does not answer cannot take over
 }
 
-// handleHandOver answers another entry's question.
+// handleHandOver serves a HandOver call of another entry.
 func (h *Handover) handleHandOver(ctx context.Context, r *rpc.HandOverRequest) *rpc.HandOverReply {
 	if r.Resigned {
 		h.owner.ObserveResignation(r.Epoch)
-		return &rpc.HandOverReply{} // told, not asked
+		return &rpc.HandOverReply{} // a notification; the caller ignores the reply
 	}
 	return &rpc.HandOverReply{Able: !h.tableFailing() && h.storeOutage() == 0 && h.tableRespondsPromptly(ctx)}
 }
 
-// tableRespondsPromptly reports whether the table answers this process promptly now. What it
-// answered earlier says nothing about one that has just become slow.
+// tableRespondsPromptly reads from the table and reports whether it answered
+// within promptReadTimeout. Earlier answers don't count, because the table may
+// have become slow since.
 func (h *Handover) tableRespondsPromptly(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, promptReadTimeout)
 	defer cancel()
 	_, err := h.table.Get(ctx, ledger.CauseOwner, fenceKey)
 	if err != nil {
-		h.log.Info().Err(err).Msg("no successor to the owner: the table does not answer promptly")
+		h.log.Info().Err(err).Msg("cannot take over ownership: table did not answer promptly")
 	}
 	return err == nil
 }
--- a/internal/entry/graphs/relay.go
+++ b/internal/entry/graphs/relay.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// relayTimeout bounds one try at another entry, so that a second one fits
-	// into the time that callers usually wait.
+	// relayTimeout bounds one call to another entry, so that a second attempt
+	// fits into the usual timeout of callers.
 	relayTimeout = 700 * time.Millisecond
-	// maxRelayAttempts bounds the entries that are tried for one request.
+	// maxRelayAttempts is the maximum number of entries tried for one request.
 	maxRelayAttempts = 2
-	// failedPeerBackoff is how long an entry that did not answer is tried last.
+	// failedPeerBackoff is how long an entry that did not answer is ranked behind
+	// the others.
 	failedPeerBackoff = 5 * time.Second
 )
 
@@ -32,8 +33,8 @@
 	verbCancel = "cancel"
 )
 
-// Peers relays requests to other entries: the owner first, which is known to
-// reach the table, then those that the host's settings name.
+// Peers relays requests to other entries. It tries the owner first, which is
+// known to reach the table, then the entries named in the host's settings.
 type Peers struct {
 	self  string
 	seeds []string
@@ -43,23 +44,23 @@
 	pool rpc.Pool
 
 	mu       sync.Mutex
-	failedAt map[string]time.Time // when an entry last failed to answer
+	failedAt map[string]time.Time // time of the last failure, by address
 }
 
 var _ Relay = (*Peers)(nil)
 
-// NewPeers returns a relay of the entry at self.
+// NewPeers returns a relay for the entry with the address self.
 func NewPeers(self string, seeds []string, o Ownership, log zerolog.Logger) *Peers {
 	return &Peers{self: self, seeds: seeds, owner: o, log: log, failedAt: map[string]time.Time{}}
 }
 
-// Forward asks other entries, one after the other.
+// Forward sends the request to other entries in turn until one answers.
 func (p *Peers) Forward(ctx context.Context, verb string, call Call, job *graph.Job, minConfigVersion uint64) (Answer, bool) {
 	request := &rpc.RelayRequest{Verb: verb, Host: call.Host, Path: call.Path, Key: call.Key, WaitMs: call.Wait.Milliseconds(), LeastVersion: minConfigVersion}
 	if job != nil {
 		data, err := json.Marshal(job)
 		if err != nil {
-			p.log.Error().Err(err).Msg("job cannot be relayed")
+			p.log.Error().Err(err).Msg("failed to encode job for relay")
 			return Answer{}, false
 		}
 		request.Job = data
@@ -67,7 +68,7 @@
 	for _, address := range p.candidates() {
 		reply, err := p.relayTo(ctx, address, request)
 		if newFailure := p.recordResult(address, err); newFailure {
-			p.log.Warn().Err(err).Str("entry", address).Str("verb", verb).Str("path", call.Path).Msg("request not relayed")
+			p.log.Warn().Err(err).Str("entry", address).Str("verb", verb).Str("path", call.Path).Msg("failed to relay request to entry")
 		}
 		if err == nil {
 			return answerFromReply(reply), true
@@ -79,8 +80,8 @@
 	return Answer{}, false
 }
 
-// recordResult remembers whether an entry has answered, and reports whether it has just
-// begun to fail.
+// recordResult records whether an entry has answered. newFailure is true if the
+// call failed and the entry had no failure within failedPeerBackoff before.
 func (p *Peers) recordResult(address string, err error) (newFailure bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +94,8 @@
 	return !failing || time.Since(last) > failedPeerBackoff
 }
 
-// mayHaveTakenEffect reports whether the other entry may have taken the request.
+// mayHaveTakenEffect reports whether the other entry may have carried out the
+// request in spite of the error.
 func mayHaveTakenEffect(err error) bool { return status.Code(err) == codes.DeadlineExceeded }
 
 func (p *Peers) candidates() []string {
@@ -113,8 +115,8 @@
 	return addresses[:min(len(addresses), maxRelayAttempts)]
 }
 
-// failureRank is 1 for an entry that has failed lately, else 0. The caller holds
-// the lock.
+// failureRank returns 1 for an entry that failed within failedPeerBackoff,
+// otherwise 0. The caller holds the lock.
 func (p *Peers) failureRank(address string) int {
 	if at, ok := p.failedAt[address]; ok && time.Since(at) < failedPeerBackoff {
 		return 1
@@ -141,7 +143,7 @@
 	return a
 }
 
-// serveRelayed serves a request of another entry's caller.
+// serveRelayed serves a request relayed by another entry.
 func serveRelayed(f *Front, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
 	call := Call{Host: r.Host, Path: r.Path, Key: r.Key, Wait: min(time.Duration(r.WaitMs)*time.Millisecond, relayTimeout), MinConfigVersion: r.LeastVersion}
 	var answer Answer
--- a/internal/entry/graphs/scheduler.go
+++ b/internal/entry/graphs/scheduler.go
@@ -19,34 +19,38 @@
 )
 
 const (
-	// LeaseDuration is how long a worker runs on without a grant of the owner: long
-	// enough for a takeover and a short outage of the table.
+	// LeaseDuration is how long a worker continues to run without a lease grant
+	// of the owner: long enough for a takeover and a short outage of the table.
 	LeaseDuration = 6 * time.Second
-	// maxClockDrift is by how much a worker's clock may be slow.
+	// maxClockDrift is the maximum relative rate by which a worker's clock may
+	// be slow.
 	maxClockDrift = 0.02
-	// leaseSlack is added for the grain of the workers' clocks.
+	// leaseSlack covers the resolution of the workers' clocks.
 	leaseSlack = 300 * time.Millisecond
-	// tickInterval is the time between two looks of the core at the clock.
+	// tickInterval is the time between two Tick events of the core.
 	tickInterval = 200 * time.Millisecond
-	// termRetryInterval is the time between two tries to begin a term.
+	// termRetryInterval is the delay before the next attempt to begin a term or
+	// to read the feed after a failure.
 	termRetryInterval = 150 * time.Millisecond
 	// feedPollTimeout is how long one call of the feed waits for a row.
 	feedPollTimeout = 2 * time.Second
-	// saveRetryInterval is the time between two tries to save a job's progress.
+	// saveRetryInterval is the delay before the next attempt to save a job's
+	// progress.
 	saveRetryInterval = 150 * time.Millisecond
-	// loadTimeout bounds the reading of all jobs.
+	// loadTimeout bounds the fencing and the reading of all jobs when a term
+	// begins.
 	loadTimeout = 8 * time.Second
 )
 
-// Limits are the bounds that a deployment sets to what its workers do.
+// Limits are deployment-specific limits of the workers.
 type Limits struct {
-	// MaxLease is the longest lease that a worker grants; 0 for any.
+	// MaxLease is the longest lease that a worker accepts; 0 if unlimited.
 	MaxLease time.Duration
-	// StopTime is how long a worker may take to stop a run; 0 for the usual time.
+	// StopTime is how long a worker may take to stop a run; 0 for the default.
 	StopTime time.Duration
 }
 
-// leaseDuration is how long a worker runs on without a grant.
+// leaseDuration is how long a worker continues to run without a grant.
 func (l Limits) leaseDuration() time.Duration {
 	if l.MaxLease == 0 {
 		return LeaseDuration
@@ -54,17 +58,17 @@
 	return min(LeaseDuration, l.MaxLease)
 }
 
-// leaseBound is how long after a worker's last report its lease has ended on
-// any clock.
+// leaseBound is the time after a worker's last report by which its lease has
+// expired, for any clock drift up to maxClockDrift.
 func (l Limits) leaseBound() time.Duration {
 	return time.Duration(float64(l.leaseDuration())*(1+2*maxClockDrift)) + leaseSlack
 }
 
-// Ownership tells whether this process owns scheduling.
+// Ownership reports whether this process owns scheduling.
 type Ownership interface {
 	Current() owner.Authority
 	Subscribe(fn func(owner.Authority))
-	// Overlap is for how long an earlier owner may still act after this process
+	// Overlap is how long a previous owner may still act after this process
 	// has become the owner.
 	Overlap() time.Duration
 }
@@ -91,7 +95,7 @@
 	return &Scheduler{owner: o, store: s, policies: p, limits: limits, clock: clock, now: now, registry: registry, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Start starts to follow the ownership.
+// Start begins to follow changes of ownership and policy.
 func (s *Scheduler) Start(context.Context) error {
 	s.loops.Begin()
 	s.owner.Subscribe(func(owner.Authority) { s.wakeUp() })
@@ -104,7 +108,8 @@
 	return nil
 }
 
-// Stop ends the term. Workers run on until the next owner is there.
+// Stop ends the term. Workers continue to run until the next owner takes over or
+// their lease expires.
 func (s *Scheduler) Stop(context.Context) error {
 	s.loops.End()
 	return nil
@@ -117,7 +122,7 @@
 	}
 }
 
-// currentTerm returns the term in progress, nil without one.
+// currentTerm returns the term in progress, or nil.
 func (s *Scheduler) currentTerm() *term {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,13 +146,14 @@
 			continue
 		}
 		if err := s.runTerm(ctx, a.Epoch); err != nil && ctx.Err() == nil {
-			s.log.Warn().Err(err).Uint64("epoch", a.Epoch).Msg("term ended")
+			s.log.Warn().Err(err).Uint64("epoch", a.Epoch).Msg("scheduling term ended")
 			kernel.Sleep(ctx, termRetryInterval)
 		}
 	}
 }
 
-// runTerm begins a term, runs it until it ends and returns why.
+// runTerm begins a term, runs it until it ends and returns the reason for its
+// end.
 func (s *Scheduler) runTerm(ctx context.Context, epoch uint64) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -177,7 +183,7 @@
 	}
 }
 
-// beginTerm fences earlier owners off and loads all jobs.
+// beginTerm fences off earlier owners and loads all jobs.
 func (s *Scheduler) beginTerm(ctx context.Context, epoch uint64, cancelTerm context.CancelCauseFunc) (*term, error) {
 	start := s.clock()
 	loadCtx, cancel := context.WithTimeout(ctx, loadTimeout)
@@ -196,17 +202,19 @@
 		t.step(plan.PolicyChanged{Policy: p})
 	}
 	t.loadJobs(jobs)
-	t.log.Info().Int("jobs", len(jobs)).Dur("took_ms", s.clock()-start).Msg("term began")
+	t.log.Info().Int("jobs", len(jobs)).Dur("took_ms", s.clock()-start).Msg("scheduling term began")
 	return t, nil
 }
 
-// Owns reports whether this process runs a term.
+// Owns reports whether this process has a term in progress and still owns
+// scheduling.
 func (s *Scheduler) Owns() bool {
 	t := s.currentTerm()
 	return t != nil && t.ownsScheduling()
 }
 
-// JobState returns a job's state if this process is the owner and knows it.
+// JobState returns a job's state; the result is false if this process is not the
+// owner or does not know the job.
 func (s *Scheduler) JobState(id graph.JobID) (graph.State, bool) {
 	t := s.currentTerm()
 	if t == nil || !t.ownsScheduling() {
@@ -218,7 +226,8 @@
 	return v.State, ok
 }
 
-// PendingJobs returns a queue's length if this process is the owner.
+// PendingJobs returns the number of a queue's pending jobs; the result is false if
+// this process is not the owner.
 func (s *Scheduler) PendingJobs(queue string) (int, bool) {
 	t := s.currentTerm()
 	if t == nil || !t.ownsScheduling() {
@@ -229,7 +238,7 @@
 	return t.core.PendingJobs(queue), true
 }
 
-// DumpState returns the state for the dump on request.
+// DumpState returns the core's state for the state dump, nil without a term.
 func (s *Scheduler) DumpState() any {
 	t := s.currentTerm()
 	if t == nil {
@@ -240,7 +249,7 @@
 	return t.core.Dump()
 }
 
-// followFeed takes in what callers have stored since the term began.
+// followFeed applies the rows that entries have written since the term began.
 func (t *term) followFeed(ctx context.Context) {
 	after := t.fenceVersion
 	failing := false
@@ -251,7 +260,7 @@
 			after = upTo
 			if failing {
 				failing = false
-				t.log.Info().Msg("feed of jobs regained")
+				t.log.Info().Msg("job feed recovered")
 			}
 			continue
 		}
@@ -260,14 +269,15 @@
 		}
 		if !failing {
 			failing = true
-			t.log.Warn().Err(err).Uint64("after", after).Msg("feed of jobs lost")
+			t.log.Warn().Err(err).Uint64("after", after).Msg("job feed failed; retrying")
 		}
 		after = t.recoverFeed(ctx, after, err)
 	}
 }
 
-// recoverFeed waits after a failure of the feed and, where its history is gone,
-// reads all jobs. It returns the version to go on from.
+// recoverFeed waits after a failure of the feed and reloads all jobs if the
+// history after the given version is no longer available. It returns the version
+// from which to continue.
 func (t *term) recoverFeed(ctx context.Context, after uint64, cause error) uint64 {
 	kernel.Sleep(ctx, termRetryInterval)
 	if !errors.Is(cause, external.ErrHistoryGone) {
@@ -288,7 +298,7 @@
 func (t *term) applyRows(rows []ledger.Row) {
 	jobs, err := decodeJobs(rows)
 	if err != nil {
-		t.log.Error().Err(err).Msg("row of the feed cannot be read")
+		t.log.Error().Err(err).Msg("failed to decode rows of job feed")
 		return
 	}
 	t.loadJobs(jobs)
--- a/internal/entry/graphs/server.go
+++ b/internal/entry/graphs/server.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// ownerQueryTimeout bounds one question to the owner.
+	// ownerQueryTimeout bounds one query to the owner.
 	ownerQueryTimeout = 400 * time.Millisecond
-	// keepaliveTime and keepaliveTimeout find connections that have gone silent.
+	// keepaliveTime and keepaliveTimeout detect dead connections.
 	keepaliveTime    = 2 * time.Second
 	keepaliveTimeout = time.Second
 )
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Locate tells which entry owns scheduling.
+// Locate returns the address and epoch of the entry that owns scheduling.
 func (s *Server) Locate(context.Context, *rpc.LocateRequest) (*rpc.LocateReply, error) {
 	a := s.owner.Current()
 	return &rpc.LocateReply{OwnerAddress: a.OwnerAddr, Epoch: a.Epoch}, nil
@@ -78,13 +78,14 @@
 	return s.scheduler.ServeAgent(stream)
 }
 
-// JobStatus answers for a job.
+// JobStatus returns the state of a job, if this entry knows it as the owner.
 func (s *Server) JobStatus(_ context.Context, r *rpc.JobStatusRequest) (*rpc.JobStatusReply, error) {
 	state, known := s.scheduler.JobState(graph.JobID(r.Job))
 	return &rpc.JobStatusReply{Known: known, State: string(state)}, nil
 }
 
-// PendingJobs answers for a queue.
+// PendingJobs returns the number of a queue's pending jobs. It fails on entries
+// that don't own scheduling.
 func (s *Server) PendingJobs(_ context.Context, r *rpc.PendingJobsRequest) (*rpc.PendingJobsReply, error) {
 	n, known := s.scheduler.PendingJobs(r.Queue)
 	if !known {
@@ -93,17 +94,18 @@
 	return &rpc.PendingJobsReply{Pending: int64(n)}, nil
 }
 
-// Relay serves a request that another entry's caller has made.
+// Relay serves a caller request forwarded by another entry.
 func (s *Server) Relay(_ context.Context, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
 	return serveRelayed(s.front, r)
 }
 
-// HandOver tells an owner without the table whether this entry has it.
+// HandOver tells an owner that has lost the table whether this entry can take
+// over.
 func (s *Server) HandOver(ctx context.Context, r *rpc.HandOverRequest) (*rpc.HandOverReply, error) {
 	return s.handover.handleHandOver(ctx, r), nil
 }
 
-// OwnerClient asks the owner, in this process or in another entry.
+// OwnerClient queries the owner, in this process or over gRPC in another entry.
 type OwnerClient struct {
 	scheduler *Scheduler
 	owner     Ownership
@@ -112,12 +114,12 @@
 
 var _ OwnerQuerier = (*OwnerClient)(nil)
 
-// NewOwnerClient returns a router without connections.
+// NewOwnerClient returns a client without connections.
 func NewOwnerClient(s *Scheduler, o Ownership) *OwnerClient {
 	return &OwnerClient{scheduler: s, owner: o}
 }
 
-// remoteOwner returns a client of the owner in another process, nil if there is none.
+// remoteOwner returns a client of the owner in another process, or nil.
 func (r *OwnerClient) remoteOwner() rpc.FleetClient {
 	a := r.owner.Current()
 	if a.Owner || a.OwnerAddr == "" {
@@ -125,12 +127,12 @@
 	}
 	client, err := r.pool.Fleet(a.OwnerAddr)
 	if err != nil {
-		return nil // an address that cannot be dialled is as good as none
+		return nil // treated like an unknown owner
 	}
 	return client
 }
 
-// JobState asks for a job's state.
+// JobState returns a job's state as the owner knows it.
 func (r *OwnerClient) JobState(ctx context.Context, id graph.JobID) (graph.State, bool) {
 	if state, known := r.scheduler.JobState(id); known {
 		return state, true
@@ -148,7 +150,7 @@
 	return graph.State(reply.State), true
 }
 
-// PendingJobs asks for a queue's length.
+// PendingJobs returns the number of a queue's pending jobs.
 func (r *OwnerClient) PendingJobs(ctx context.Context, queue string) (int, bool) {
 	if n, known := r.scheduler.PendingJobs(queue); known {
 		return n, true
--- a/internal/entry/graphs/session.go
+++ b/internal/entry/graphs/session.go
@@ -12,12 +12,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// session is one connection with a worker's agent.
+// session is one connection of a worker's agent.
 type session struct {
 	id string
 
 	mu            sync.Mutex
-	pendingOrders []*rpc.WorkerOrders // one for each incarnation that is meant
+	pendingOrders []*rpc.WorkerOrders // one element per addressed worker incarnation
 	ready         chan struct{}
 	done          chan struct{}
 	closed        bool
@@ -27,7 +27,7 @@
 	return &session{id: uuid.NewString(), ready: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// addOrder changes the orders that are sent next to an incarnation.
+// addOrder applies change to the pending orders of a worker incarnation.
 func (s *session) addOrder(token uint64, incarnation string, change func(*rpc.WorkerOrders)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	change(s.pendingOrders[n-1])
 }
 
-// flush wakes the sender if there is something to send.
+// flush wakes the sender if orders are pending.
 func (s *session) flush() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,10 +69,11 @@
 	}
 }
 
-// errNotOwner tells an agent to look for the owner.
+// errNotOwner tells an agent to locate the owner again.
 var errNotOwner = status.Error(codes.FailedPrecondition, "this entry does not own scheduling")
 
-// ServeAgent serves one agent until the connection or the term ends.
+// ServeAgent exchanges reports and orders with one agent until the connection or
+// the term ends.
 func (s *Scheduler) ServeAgent(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
 	t := s.currentTerm()
 	if t == nil || !t.ownsScheduling() {
@@ -122,8 +123,8 @@
 	}
 }
 
-// acknowledgeReport answers a report even if there is no order for it: the agent learns the
-// term's token, and that the owner hears it.
+// acknowledgeReport answers a report even if there are no orders, so that the
+// agent learns the term's token and that the owner receives its reports.
 func (t *term) acknowledgeReport(r *rpc.WorkerReport, sess *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +135,7 @@
 	sess.flush()
 }
 
-// setSession makes a connection the worker's present one.
+// setSession makes sess the worker's current session and closes the previous one.
 func (t *term) setSession(worker string, sess *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -1,6 +1,6 @@
 // Package graphs is the part of an entry that serves jobs which are graphs of
-// steps: it accepts them, answers for them and, while the entry owns
-// scheduling, drives their decision core with the agents of the workers.
+// steps. It accepts jobs, answers queries about them and, while the entry owns
+// scheduling, connects their decision core with the agents of the workers.
 package graphs
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// The rows. A job has up to three: what the caller asked for, written once by
-// the entry that accepts it; its cancelling, written once by any entry; and its
-// progress, written by the owner alone.
+// Row keys. A job has up to three rows: the request, written once by the entry
+// that accepts it; its cancellation, written once by any entry; and its progress,
+// written only by the owner.
 const (
 	jobsPrefix     = "graph/j/"
 	jobSuffix      = "/job"
 	cancelSuffix   = "/cancel"
 	progressSuffix = "/progress"
-	// fenceKey is written by each new owner before it reads the jobs. All its
-	// writes of progress require it unchanged, so that none of an earlier owner
-	// takes effect after that.
+	// fenceKey is the row that each new owner writes before it reads the jobs.
+	// Each write of progress requires this row to be unchanged, so that no write
+	// of an earlier owner can take effect afterwards.
 	fenceKey = "graph/fence"
 )
 
-// scanPageRows is the number of rows of one call of a scan.
+// scanPageRows is the page size of scans.
 const scanPageRows = 500
 
-// Table is the lasting state that jobs live in.
+// Table is the durable storage of jobs.
 type Table interface {
 	ledger.Ledger
 	Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]ledger.Row, uint64, error)
@@ -44,15 +44,15 @@
 // Store reads and writes the rows of jobs.
 type Store struct{ table Table }
 
-// NewStore returns the rows of jobs in a table.
+// NewStore returns a store on a table.
 func NewStore(t Table) *Store { return &Store{t} }
 
 func jobKey(id graph.JobID) string      { return jobsPrefix + string(id) + jobSuffix }
 func cancelKey(id graph.JobID) string   { return jobsPrefix + string(id) + cancelSuffix }
 func progressKey(id graph.JobID) string { return jobsPrefix + string(id) + progressSuffix }
 
-// InsertJob makes a job durable. A job with the same ID that is there already
-// stands for it.
+// InsertJob makes a job durable. It succeeds without a write if a job with the same
+// ID exists already.
 func (s *Store) InsertJob(ctx context.Context, job *graph.Job) error {
 	_, err := s.table.Commit(ctx, ledger.CauseJob, ledger.Write{Key: jobKey(job.ID), Data: ledger.Encode(job)})
 	if errors.Is(err, ledger.ErrConflict) {
@@ -61,8 +61,8 @@
 	return errors.Annotatef(err, "accepting job %q", job.ID)
 }
 
-// CancelJob makes the cancelling of a job durable; found is false if there is no
-// such job.
+// CancelJob makes the cancellation of a job durable; found is false if the job does
+// not exist.
 func (s *Store) CancelJob(ctx context.Context, id graph.JobID) (found bool, err error) {
 	rows, err := s.table.Get(ctx, ledger.CauseJob, jobKey(id))
 	if err != nil {
@@ -78,7 +78,8 @@
 	return true, errors.Annotatef(err, "cancelling job %q", id)
 }
 
-// JobState reads a job's state from its rows; found is false if there is no such job.
+// JobState reads a job's state from its rows; found is false if the job does not
+// exist.
 func (s *Store) JobState(ctx context.Context, id graph.JobID) (state graph.State, found bool, err error) {
 	rows, err := s.table.Scan(ctx, ledger.CauseJob, jobsPrefix+string(id)+"/", "", scanPageRows)
 	if err != nil {
@@ -91,10 +92,10 @@
 	return loaded[0].state(), true, nil
 }
 
-// storedJob is a job as its rows tell.
+// storedJob is a job decoded from its rows.
 type storedJob struct {
 	id              graph.JobID
-	job             *graph.Job // nil if only its other rows were read
+	job             *graph.Job // nil if the job's request row was not among the rows
 	cancelled       bool
 	progress        *graph.Progress
 	progressVersion uint64 // of the progress row
@@ -113,7 +114,7 @@
 	}
 }
 
-// decodeJobs groups rows by job, in order of the first row of each.
+// decodeJobs groups rows by job, in the order of each job's first row.
 func decodeJobs(rows []ledger.Row) ([]*storedJob, error) {
 	var out []*storedJob
 	byID := map[graph.JobID]*storedJob{}
@@ -166,7 +167,7 @@
 	return graph.JobID(rest[:i]), rest[i:], true
 }
 
-// LoadJobs returns all jobs, in order of their IDs.
+// LoadJobs returns all jobs, ordered by ID.
 func (s *Store) LoadJobs(ctx context.Context) ([]*storedJob, error) {
 	var rows []ledger.Row
 	after := ""
@@ -183,8 +184,8 @@
 	}
 }
 
-// RetentionRule removes jobs that have been final for long, the progress last: its
-// row names the job.
+// RetentionRule returns the rule that removes jobs some time after they have
+// become final. The progress row is removed last, because it names the job.
 func (s *Store) RetentionRule() retention.Rule {
 	return retention.Rule{
 		Name:   "graphs",
@@ -203,7 +204,7 @@
 	}
 }
 
-// deleteRows deletes those of the rows that are there.
+// deleteRows deletes the given rows, skipping those that do not exist.
 func (s *Store) deleteRows(ctx context.Context, keys ...string) error {
 	for _, key := range keys {
 		rows, err := s.table.Get(ctx, ledger.CauseCleanup, key)
@@ -221,15 +222,15 @@
 }
 
 // fenceRow is the row that an owner writes at the start of each term. Token counts
-// the terms: an owner that has lost its ownership for a moment and found it
-// unclaimed begins another term under the same epoch.
+// terms: an owner that has lost its ownership briefly and regained it without
+// another owner in between begins a new term under the same epoch.
 type fenceRow struct {
 	Epoch uint64 `json:"epoch"`
 	Token uint64 `json:"token"`
 }
 
-// AdvanceFence keeps the writes of all earlier terms from taking effect. It returns
-// the term's fencing token and the version of the fence's row.
+// AdvanceFence prevents the writes of all earlier terms from taking effect. It
+// returns the term's fencing token and the version of the fence row.
 func (s *Store) AdvanceFence(ctx context.Context, epoch uint64) (token, version uint64, err error) {
 	rows, err := s.table.Get(ctx, ledger.CauseOwner, fenceKey)
 	if err != nil {
@@ -252,8 +253,8 @@
 	return next.Token, written[0].Version, nil
 }
 
-// SaveProgress writes a job's progress as long as the fence is unchanged. With
-// ErrConflict it returns the versions of the fence and of the progress row.
+// SaveProgress writes a job's progress if the fence row is unchanged. On
+// ErrConflict it returns the current versions of the fence and progress rows.
 func (s *Store) SaveProgress(ctx context.Context, fenceVersion uint64, id graph.JobID, progressVersion uint64, p graph.Progress) (currentFenceVersion, currentProgressVersion uint64, err error) {
 	rows, err := s.table.Commit(ctx, ledger.CauseJob,
 		ledger.Write{Key: progressKey(id), Version: progressVersion, Data: ledger.Encode(p)},
--- a/internal/entry/graphs/term.go
+++ b/internal/entry/graphs/term.go
@@ -16,7 +16,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// term is the time in which this process owns scheduling under one epoch.
+// term is a period in which this process owns scheduling under one epoch.
 type term struct {
 	epoch        uint64        // epoch of the ownership
 	token        uint64        // fencing token of the term
@@ -69,7 +69,8 @@
 	return a.Owner && a.Epoch == t.epoch
 }
 
-// loadJobs hands jobs from the table to the core, which ignores those it knows.
+// loadJobs passes jobs from the table to the core, which ignores jobs that it
+// knows already.
 func (t *term) loadJobs(jobs []*storedJob) {
 	for _, j := range jobs {
 		if j.job != nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// step gives the core one event and carries out what follows.
+// step passes one event to the core and applies the resulting actions.
 func (t *term) step(ev plan.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,8 +97,8 @@
 	t.applyActions(t.core.Step(t.clock()-t.startedAt, ev))
 }
 
-// applyActions hands the actions on. Orders are dropped with the term once the
-// ownership is over: the next owner decides then.
+// applyActions applies the core's actions. If the ownership has ended, the
+// remaining orders are dropped along with the term: the next owner decides.
 func (t *term) applyActions(actions []plan.Action) {
 	ownershipChecked := false
 	for _, a := range actions {
@@ -141,8 +142,8 @@
 	}
 }
 
-// recordQueueTime records how long a job has waited for its first start; work within a
-// guarantee has a histogram of its own.
+// recordQueueTime records how long a job has waited for its first start. Jobs
+// within a guarantee are recorded in a second histogram as well.
 func (t *term) recordQueueTime(a plan.StartRun) {
 	if !a.FirstOfJob {
 		return
@@ -157,7 +158,8 @@
 	return t.log.Info().Str("job", string(job)).Str("what", what)
 }
 
-// addOrder adds something addOrder the orders for an incarnation of a worker.
+// addOrder applies add to the pending orders of a worker incarnation. Orders to a
+// worker without a session are dropped.
 func (t *term) addOrder(worker string, incarnation string, add func(*rpc.WorkerOrders)) {
 	s := t.sessions[worker]
 	if s == nil {
@@ -188,7 +190,8 @@
 	e.Msg("decision")
 }
 
-// saveProgress writes a job's progress; it is tried until it is written or the term ends.
+// saveProgress writes a job's progress, retrying until it succeeds or the term
+// ends.
 func (t *term) saveProgress(a plan.SaveProgress, version uint64) {
 	start := time.Now()
 	for attempt := 0; t.ctx.Err() == nil; attempt++ {
@@ -206,7 +209,7 @@
 		default:
 			metrics.GetOrRegisterCounter("plan.save_retries", t.registry).Inc(1)
 			if attempt == 0 && t.ctx.Err() == nil {
-				t.log.Warn().Err(err).Str("job", string(a.Job)).Msg("progress not saved; tried again until it is")
+				t.log.Warn().Err(err).Str("job", string(a.Job)).Msg("failed to save job progress; retrying")
 			}
 			kernel.Sleep(t.ctx, saveRetryInterval)
 		}
@@ -220,7 +223,7 @@
 	t.step(plan.ProgressSaved{Job: a.Job, Number: a.Number})
 }
 
-// close ends all sessions; their agents look for the next owner.
+// close ends all sessions, so that their agents look for the next owner.
 func (t *term) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
