--- a/internal/agent/keeper/finder.go
+++ b/internal/agent/keeper/finder.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// locateTimeout bounds one round of questions to all known entries.
+	// locateTimeout bounds one round of Locate calls to all known entries.
 	locateTimeout = 400 * time.Millisecond
-	// lateReplyTimeout is how long the others may take once one entry has named an
-	// owner: a host that is gone answers nothing.
+	// lateReplyTimeout is how long to wait for the other replies once one entry
+	// has named an owner: a dead host never replies.
 	lateReplyTimeout = 30 * time.Millisecond
-	// rowReadTimeout bounds one read of the ownership's row.
+	// rowReadTimeout bounds one read of the ownership row.
 	rowReadTimeout = 600 * time.Millisecond
-	// rowReadInterval is the least time between two reads of it.
+	// rowReadInterval is the minimum time between two reads of the ownership row.
 	rowReadInterval = time.Second
-	// maxEntries bounds the entries that are remembered.
+	// maxEntries is the maximum number of remembered entries.
 	maxEntries = 16
 )
 
@@ -33,8 +33,8 @@
 	Get(ctx context.Context, cause ledger.Cause, keys ...string) ([]ledger.Row, error)
 }
 
-// OwnerFinder finds the entry that owns scheduling: it asks the entries that it
-// knows and, if none of them tells, reads the row of the ownership.
+// OwnerFinder finds the entry that owns scheduling. It asks the known entries and,
+// if none of them names an owner, reads the ownership row from the table.
 type OwnerFinder struct {
 	pool   rpc.Pool
 	rows   RowReader
@@ -43,18 +43,18 @@
 	log    zerolog.Logger
 
 	mu        sync.Mutex
-	entries   []string // addresses, the last owner first
-	lastEpoch uint64   // of the ownership that was found last
+	entries   []string // addresses, starting with the last owner
+	lastEpoch uint64   // epoch of the owner found last
 	rowReadAt time.Duration
 	rowRead   bool
 }
 
-// NewOwnerFinder returns a finder that knows some addresses to begin with.
+// NewOwnerFinder returns a finder with the initial addresses of entries.
 func NewOwnerFinder(rows RowReader, cell string, entries []string, clock func() time.Duration, log zerolog.Logger) *OwnerFinder {
 	return &OwnerFinder{rows: rows, rowKey: owner.RowKey(cell), entries: entries, clock: clock, log: log}
 }
 
-// Find returns a client of the owner and its address, nil if there is none now.
+// Find returns a client of the owner and its address, nil if no owner is known.
 func (f *OwnerFinder) Find(ctx context.Context) (rpc.FleetClient, string) {
 	located := f.locateAll(ctx, "")
 	if located == nil {
@@ -67,8 +67,9 @@
 	return f.client(located.OwnerAddress), located.OwnerAddress
 }
 
-// Successor returns the address of an owner with a higher epoch than the one that
-// was found last, as the entries besides it know; empty if they know of none.
+// Successor returns the address of an owner with a higher epoch than the one found
+// last. It asks the entries other than currentOwner; the result is empty if none of
+// them knows such an owner.
 func (f *OwnerFinder) Successor(ctx context.Context, currentOwner string) string {
 	located := f.locateAll(ctx, currentOwner)
 	f.mu.Lock()
@@ -79,8 +80,8 @@
 	return located.OwnerAddress
 }
 
-// locateAll asks all known entries but one at once and takes the answer with the
-// highest epoch, nil if none names an owner.
+// locateAll asks all known entries except one concurrently and returns the reply
+// with the highest epoch, nil if no reply names an owner.
 func (f *OwnerFinder) locateAll(ctx context.Context, except string) *rpc.LocateReply {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
@@ -94,8 +95,8 @@
 	return highestEpochReply(replies, len(entries))
 }
 
-// highestEpochReply returns the answer with the highest epoch among up to n. Once one
-// names an owner, those that are still missing have lateReplies.
+// highestEpochReply returns the reply with the highest epoch among up to n. Once
+// one reply names an owner, the outstanding ones have lateReplyTimeout to arrive.
 func highestEpochReply(replies <-chan *rpc.LocateReply, n int) (best *rpc.LocateReply) {
 	var late <-chan time.Time
 	for range n {
@@ -124,7 +125,7 @@
 	}
 	reply, err := client.Locate(ctx, &rpc.LocateRequest{})
 	if err != nil {
-		return nil // it is asked again in the next round
+		return nil // asked again in the next round
 	}
 	return reply
 }
@@ -132,7 +133,7 @@
 func (f *OwnerFinder) client(address string) rpc.FleetClient {
 	client, err := f.pool.Fleet(address)
 	if err != nil {
-		f.log.Error().Err(err).Str("entry", address).Msg("address cannot be dialled")
+		f.log.Error().Err(err).Str("entry", address).Msg("failed to create gRPC client for entry address")
 		return nil
 	}
 	return client
@@ -151,7 +152,8 @@
 	f.entries = entries
 }
 
-// readOwnerRow reads the owner from the table, nil if it names none.
+// readOwnerRow reads the owner from the table. It returns nil if the row names no
+// owner, cannot be read or was read less than rowReadInterval ago.
 func (f *OwnerFinder) readOwnerRow(ctx context.Context) *rpc.LocateReply {
 	f.mu.Lock()
 	due := !f.rowRead || f.clock()-f.rowReadAt >= rowReadInterval
@@ -166,12 +168,12 @@
 	defer cancel()
 	rows, err := f.rows.Get(ctx, ledger.CauseOwner, f.rowKey)
 	if err != nil || rows[0].Version == 0 {
-		f.log.Info().Err(err).Msg("no entry tells who owns scheduling, nor does the table")
+		f.log.Info().Err(err).Msg("no owner found: no entry names one and the ownership row is missing or unreadable")
 		return nil
 	}
 	var row owner.Row
 	if err := json.Unmarshal(rows[0].Data, &row); err != nil {
-		f.log.Error().Err(err).Str("row", f.rowKey).Msg("row cannot be read")
+		f.log.Error().Err(err).Str("row", f.rowKey).Msg("failed to decode ownership row")
 		return nil
 	}
 	if row.Addr == "" {
--- a/internal/agent/keeper/finder_test.go
+++ b/internal/agent/keeper/finder_test.go
@@ -7,8 +7,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// TestSilentEntryDoesNotDelayLocate shows that an entry which never answers holds
-// nobody up, and that a later answer with a higher epoch is still taken.
+// TestSilentEntryDoesNotDelayLocate guards against waiting until locateTimeout for
+// an entry that never answers. A late reply with a higher epoch must still win, and
+// replies without an owner must not yield one.
 func TestSilentEntryDoesNotDelayLocate(t *testing.T) {
 	replies := make(chan *rpc.LocateReply, 3)
 	replies <- &rpc.LocateReply{OwnerAddress: "old", Epoch: 4}
--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper keeps one worker's leases and carries out the owner's orders
-// on it. It is the worker's only caller: it lists what runs there under the
-// owner's epoch, extends the lease by the owner's grants, and settles every
-// order so that the owner learns its outcome.
+// Package keeper maintains the lease of one worker and executes the owner's
+// orders on it. It is the worker's only caller: it lists the worker's runs under
+// the owner's epoch, extends the lease when the owner grants it, and settles every
+// order, so that the owner learns its outcome.
 package keeper
 
 import (
@@ -21,22 +21,23 @@
 )
 
 const (
-	// holdWait is how long a call waits for an end; it is also the time between
-	// two extensions of the lease.
+	// holdWait is how long a Hold call waits for a run to end; it is also the
+	// interval at which the lease is extended.
 	holdWait = time.Second
-	// holdReplyMargin is how long an answer may take beyond that.
+	// holdReplyMargin is how long the reply may take beyond the requested wait.
 	holdReplyMargin = 500 * time.Millisecond
-	// holdRetryInterval is the time between two calls after a failure, or while ends
-	// wait for their acknowledgement.
+	// holdRetryInterval is the delay before the next call after a failure or
+	// while ended runs have not been acknowledged.
 	holdRetryInterval = 100 * time.Millisecond
-	// responsiveWindow is the age of the last answer up to which a worker counts as
-	// answering.
+	// responsiveWindow is the maximum age of the last run list for the worker to
+	// count as responsive.
 	responsiveWindow = 2 * time.Second
-	// exitDelay is the time after a worker's farewell by which it has ended.
+	// exitDelay is the time after which a worker that has announced its exit is
+	// taken to have ended.
 	exitDelay = 300 * time.Millisecond
 )
 
-// Keeper keeps one worker.
+// Keeper maintains the lease and executes the orders of one worker.
 type Keeper struct {
 	runner   external.Runner
 	finder   *OwnerFinder
@@ -46,23 +47,23 @@
 
 	mu              sync.Mutex
 	worker          *plan.WorkerInfo // nil before its first heartbeat
-	heartbeatNumber uint64           // of its last heartbeat
-	leftAt          time.Duration    // of its farewell, 0 if there was none
+	heartbeatNumber uint64           // number of its last heartbeat
+	leftAt          time.Duration    // when it announced its exit, 0 if it did not
 	lease           lease
-	epoch           uint64
-	listedEpoch     uint64 // epoch of the lists below
+	epoch           uint64 // highest known epoch of an owner
+	listedEpoch     uint64 // epoch under which runs was listed
 	listedAt        time.Duration
-	unresponsive    bool // the worker was found not to answer
+	unresponsive    bool // logged as unresponsive
 	runs            external.RunList
-	acknowledged    uint64 // ends up to it are acknowledged
+	acknowledged    uint64 // number of the last end acknowledged by the owner
 	absent          []*rpc.AbsentTask
-	orders          map[runRef]*order // those that are being carried out
+	orders          map[runRef]*order // orders in progress
 	wakeHold        chan struct{}
 	wakeSend        chan struct{}
 	loops           kernel.Loops
 }
 
-// runRef names a run.
+// runRef identifies a run of a task.
 type runRef struct {
 	task graph.TaskID
 	run  uint64
@@ -84,7 +85,7 @@
 	return k
 }
 
-// Start begins to keep the worker.
+// Start begins to extend the lease and to follow the owner.
 func (k *Keeper) Start(context.Context) error {
 	k.loops.Begin()
 	k.loops.Go(k.holdLoop)
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// Stop ends the loops. What runs on the worker goes on until its lease ends.
+// Stop ends the loops. Runs on the worker continue until its lease expires.
 func (k *Keeper) Stop(context.Context) error {
 	k.loops.End()
 	return nil
@@ -105,8 +106,8 @@
 	}
 }
 
-// HandleHeartbeat takes what the worker says of itself. One that is older than the
-// last is left.
+// HandleHeartbeat records the state that the worker reports of itself. Heartbeats
+// older than the last one are ignored.
 func (k *Keeper) HandleHeartbeat(info plan.WorkerInfo, number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -119,7 +120,7 @@
 		k.resetWorkerState()
 	}
 	if !changed && info.Draining && !k.worker.Draining {
-		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.DrainRemaining).Msg("worker drains")
+		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.DrainRemaining).Msg("worker is draining")
 		wake(k.wakeSend)
 	}
 	k.worker, k.heartbeatNumber = &info, number
@@ -129,7 +130,7 @@
 	}
 }
 
-// resetWorkerState forgets what belongs to an earlier incarnation of the worker.
+// resetWorkerState discards the state of an earlier incarnation of the worker.
 func (k *Keeper) resetWorkerState() {
 	k.lease.reset(k.clock())
 	k.runs = external.RunList{}
@@ -138,7 +139,7 @@
 	k.orders = map[runRef]*order{}
 }
 
-// HandleWorkerLeft takes the worker's farewell.
+// HandleWorkerLeft records that the worker has announced its exit.
 func (k *Keeper) HandleWorkerLeft(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -150,7 +151,7 @@
 	time.AfterFunc(exitDelay, func() { wake(k.wakeSend) })
 }
 
-// holdLoop extends the lease and waits for ends.
+// holdLoop extends the lease and waits for runs to end.
 func (k *Keeper) holdLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !k.canHold() {
@@ -167,7 +168,7 @@
 	}
 }
 
-// waitForWake waits for a time or until something has changed.
+// waitForWake waits for d or until wakeHold is signalled.
 func (k *Keeper) waitForWake(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -196,7 +197,7 @@
 	return holdWait
 }
 
-// callTarget is what a call needs to know of the worker at one moment.
+// callTarget is a snapshot of the parameters of a call to the worker.
 type callTarget struct {
 	instance        string
 	startUnixMillis int64
@@ -206,8 +207,8 @@
 	acknowledged    uint64
 }
 
-// target returns what to call the worker with, and notes that the deadline is
-// on its way.
+// target returns the parameters for a call and records that its deadline may reach
+// the worker.
 func (k *Keeper) target() callTarget {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -215,8 +216,8 @@
 	if k.worker != nil {
 		t.instance, t.incarnation, t.startUnixMillis = k.worker.Instance, k.worker.Incarnation(), k.worker.StartUnixMillis
 	}
-	// While the worker does not answer, a call may still reach it later: its
-	// lease is not extended before it answers again.
+	// While the worker is unresponsive, an earlier call may still reach it later.
+	// Its lease is therefore not extended until it answers again.
 	if k.workerResponsive() || k.lease.usedReportAt >= k.lease.grantReportAt {
 		t.deadline = k.lease.takeDeadline()
 	}
@@ -227,7 +228,7 @@
 	return k.listedEpoch > 0 && k.clock()-k.listedAt <= responsiveWindow
 }
 
-// hold makes one call and takes its lists.
+// hold makes one Hold call and applies the returned list.
 func (k *Keeper) hold(ctx context.Context, wait time.Duration) error {
 	t := k.target()
 	ctx, cancel := context.WithTimeout(ctx, wait+holdReplyMargin)
@@ -249,11 +250,11 @@
 		return
 	}
 	k.unresponsive = true
-	k.log.Warn().Err(err).Dur("answered_ago_ms", k.clock()-k.listedAt).Msg("worker does not answer")
+	k.log.Warn().Err(err).Dur("answered_ago_ms", k.clock()-k.listedAt).Msg("worker is unresponsive")
 }
 
-// applyList takes over lists that were asked for with t. Lists can overtake each
-// other: one with an earlier clock is left.
+// applyList records a list that was requested with t. Replies can arrive out of
+// order: a list with an earlier worker clock than the last one is ignored.
 func (k *Keeper) applyList(t callTarget, list external.RunList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -261,7 +262,7 @@
 		return
 	}
 	if list.Born != 0 && list.Born != t.startUnixMillis {
-		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker has been restarted")
+		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker restarted")
 		k.resetWorkerState()
 		info := *k.worker
 		info.StartUnixMillis = list.Born
@@ -276,14 +277,15 @@
 	k.runs, k.listedEpoch, k.listedAt = list, t.epoch, now
 	if k.unresponsive {
 		k.unresponsive = false
-		k.log.Info().Msg("worker answers again")
+		k.log.Info().Msg("worker is responsive again")
 	}
 	if changed {
 		wake(k.wakeSend)
 	}
 }
 
-// runsDiffer reports whether other runs are listed, whatever their progress.
+// runsDiffer reports whether the lists contain different runs or ends. Progress is
+// not compared.
 func runsDiffer(a, b external.RunList) bool {
 	if len(a.Running) != len(b.Running) || len(a.Ended) != len(b.Ended) {
 		return true
@@ -301,7 +303,7 @@
 	return false
 }
 
-// DumpState returns the state for the dump on request.
+// DumpState returns the keeper's state for the state dump.
 func (k *Keeper) DumpState() any {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/agent/keeper/lease.go
+++ b/internal/agent/keeper/lease.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// maxClockDrift is by how much the worker's clock may be slow against ours.
+// maxClockDrift is the maximum relative rate by which the worker's clock may be
+// slow against the agent's.
 const maxClockDrift = 0.02
 
-// lease computes deadlines on a worker's clock from the owner's grants. It is
-// pure; times without a name are on the agent's clock. A grant counts from when
-// its report was sent, so that the owner, which counts from the receipt, always
-// takes the lease to last longer than it does.
+// lease computes deadlines on a worker's clock from the owner's grants. It does no
+// I/O; times are on the agent's clock unless stated otherwise. A grant counts from
+// the time its report was sent. The owner counts from the receipt of the report, so
+// it always assumes a later end of the lease than the actual one.
 type lease struct {
 	clockKnown  bool
-	workerClock time.Duration // the worker's clock at the time at, or earlier
+	workerClock time.Duration // lower bound of the worker's clock at observedAt
 	observedAt  time.Duration
 
 	reports []sentReport
-	// deadline is the granted one, on the worker's clock; grantedAt is when the
-	// report was sent that it rests on.
+	// deadline is the granted deadline on the worker's clock; grantReportAt is
+	// the send time of the report that the grant refers to.
 	deadline      time.Duration
 	grantReportAt time.Duration
-	// usedReportAt is grantedAt of the last deadline that the worker may have got.
+	// usedReportAt is grantReportAt of the last deadline that may have reached
+	// the worker.
 	usedReportAt time.Duration
 }
 
@@ -29,10 +31,10 @@
 	minWorkerClock time.Duration // lower bound of the worker's clock
 }
 
-// maxPendingReports bounds the reports that wait for a grant.
+// maxPendingReports is the maximum number of reports remembered for a grant.
 const maxPendingReports = 32
 
-// observeClock takes an answer that arrived at now and carried the worker's clock.
+// observeClock records the worker's clock from a reply that arrived at now.
 func (l *lease) observeClock(now, workerClock time.Duration) {
 	if l.clockKnown && l.minWorkerClock(now) > workerClock {
 		return
@@ -40,12 +42,12 @@
 	l.clockKnown, l.workerClock, l.observedAt = true, workerClock, now
 }
 
-// minWorkerClock is a lower bound of the worker's minWorkerClock.
+// minWorkerClock returns a lower bound of the worker's clock at now.
 func (l *lease) minWorkerClock(now time.Duration) time.Duration {
 	return l.workerClock + time.Duration(float64(now-l.observedAt)*(1-maxClockDrift))
 }
 
-// recordReport notes that a report is recordReport now.
+// recordReport records that a report is sent at now.
 func (l *lease) recordReport(number uint64, now time.Duration) {
 	if !l.clockKnown {
 		return
@@ -56,7 +58,7 @@
 	}
 }
 
-// applyGrant takes the owner's grant for a report.
+// applyGrant applies the owner's grant of a lease for a report.
 func (l *lease) applyGrant(number uint64, length time.Duration) {
 	for i, b := range l.reports {
 		if b.number != number {
@@ -70,18 +72,19 @@
 	}
 }
 
-// takeDeadline returns the deadline to send to the worker now.
+// takeDeadline returns the deadline to send to the worker now and records it as
+// possibly received.
 func (l *lease) takeDeadline() time.Duration {
 	l.usedReportAt = max(l.usedReportAt, l.grantReportAt)
 	return l.deadline
 }
 
-// age is how long ago the report was sent on which the worker's lease may rest.
+// age returns the age of the report on which the worker's lease may be based.
 func (l *lease) age(now time.Duration) time.Duration { return now - l.usedReportAt }
 
-// forgetReports drops what belongs to an earlier connection.
+// forgetReports discards the reports of an earlier connection.
 func (l *lease) forgetReports() { l.reports = nil }
 
-// reset begins anew for another incarnation of the worker, or for one whose
-// lease is not known.
+// reset discards all state, for a new incarnation of the worker or one whose lease
+// is unknown.
 func (l *lease) reset(now time.Duration) { *l = lease{usedReportAt: now, grantReportAt: now} }
--- a/internal/agent/keeper/orders.go
+++ b/internal/agent/keeper/orders.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// orderTimeout bounds one call with an order. A gang waits three seconds
-	// for its members, within which a start is tried startTries times.
+	// orderTimeout bounds one call with an order. A gang waits three seconds for
+	// its members; maxStartAttempts calls fit into that time.
 	orderTimeout     = 600 * time.Millisecond
 	maxStartAttempts = 3
-	// settleRetryInterval is the time between two tries to settle an order.
+	// settleRetryInterval is the delay between two attempts to settle an order.
 	settleRetryInterval = 150 * time.Millisecond
 )
 
-// order is a start or a stop that is being carried out.
+// order is a start or stop order in progress.
 type order struct {
-	// stopEpoch is the epoch of the last owner that has ordered the run's stop,
-	// 0 for none: it follows the order that is in progress.
+	// stopEpoch is the epoch of the last owner that ordered the run to stop, 0 if
+	// none. The stop is executed after the order in progress.
 	stopEpoch uint64
 }
 
-// beginOrder marks an order as being carried out; nil if one for the run is in
-// progress already, which then also carries the stop out.
+// beginOrder registers an order as in progress. It returns nil if the run already
+// has an order in progress, which then executes the stop as well.
 func (k *Keeper) beginOrder(ref runRef, stopEpoch uint64) *order {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -42,8 +42,8 @@
 	return o
 }
 
-// finishUnlessStopOrdered ends an order unless an owner with a higher epoch than settled has
-// ordered its run's stop.
+// finishUnlessStopOrdered ends an order unless an owner with an epoch above
+// settledEpoch has ordered the run to stop. It reports whether the order ended.
 func (k *Keeper) finishUnlessStopOrdered(ref runRef, o *order, settledEpoch uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,22 +54,22 @@
 	return true
 }
 
-// removeOrder removes an order; the caller holds the lock.
+// removeOrder removes an order. The caller holds the lock.
 func (k *Keeper) removeOrder(ref runRef, o *order) {
 	if k.orders[ref] == o {
 		delete(k.orders, ref)
 	}
 }
 
-// finishOrder ends an order whose run was never handed to the worker.
+// finishOrder ends an order whose run was never sent to the worker.
 func (k *Keeper) finishOrder(ref runRef, o *order) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.removeOrder(ref, o)
 }
 
-// settleOrder settles a run for the owner of t, and anew for each later owner that
-// orders its stop meanwhile.
+// settleOrder settles a run for the owner of t and again for each later owner that
+// orders the run to stop meanwhile.
 func (k *Keeper) settleOrder(ctx context.Context, t callTarget, ref runRef, o *order, reason string) {
 	for {
 		k.settleRun(ctx, t, ref, reason)
@@ -80,7 +80,7 @@
 	}
 }
 
-// executeStart carries out a executeStart order.
+// executeStart executes a start order.
 func (k *Keeper) executeStart(ctx context.Context, o *rpc.StartTask) {
 	task, run := rpc.TaskOf(o.Ref)
 	ref := runRef{task, run}
@@ -102,11 +102,11 @@
 		k.settleOrder(ctx, t, ref, inProgress, "stopped")
 		return
 	}
-	k.log.Info().Err(err).Str("job", string(task.Job)).Str("task", task.String()).Uint64("run", run).Msg("start refused or in doubt")
+	k.log.Info().Err(err).Str("job", string(task.Job)).Str("task", task.String()).Uint64("run", run).Msg("start order failed or has unknown outcome")
 	k.settleOrder(ctx, t, ref, inProgress, err.Error())
 }
 
-// startWithRetries returns nil once the worker has the run.
+// startWithRetries returns nil once the worker has accepted the run.
 func (k *Keeper) startWithRetries(ctx context.Context, t callTarget, o *rpc.StartTask, ref runRef) (err error) {
 	startRun := external.StartRun{Task: ref.task, Run: ref.run, Spec: o.Spec, Checkpoint: o.Checkpoint, Deadline: t.deadline, Epoch: t.epoch}
 	for range maxStartAttempts {
@@ -127,7 +127,8 @@
 	return k.worker == nil || k.worker.Draining || k.leftAt > 0
 }
 
-// reportAbsent reports a run that never began and never will.
+// reportAbsent queues a report that the worker does not have the run and will not
+// start it.
 func (k *Keeper) reportAbsent(ref runRef, reason string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -135,7 +136,7 @@
 	wake(k.wakeSend)
 }
 
-// executeStop carries out a executeStop order.
+// executeStop executes a stop order.
 func (k *Keeper) executeStop(ctx context.Context, epoch uint64, r *rpc.TaskRef) {
 	task, run := rpc.TaskOf(r)
 	ref := runRef{task, run}
@@ -146,15 +147,15 @@
 	k.settleOrder(ctx, k.target(), ref, inProgress, "stopped")
 }
 
-// settleRun stops a run, which also keeps one from beginning that is still on its
-// way, and reports it absent unless the worker lists it.
+// settleRun stops a run, which also prevents a delayed start call from starting it,
+// and reports the run absent unless the worker lists it.
 func (k *Keeper) settleRun(ctx context.Context, t callTarget, ref runRef, reason string) {
 	for ctx.Err() == nil && k.isCurrent(t) {
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		_, err := k.runner.Stop(callCtx, t.instance, external.StopRun{Task: ref.task, Run: ref.run, Epoch: t.epoch})
 		cancel()
 		if errors.Is(err, external.ErrRunEpoch) || errors.Is(err, external.ErrRunOtherOne) {
-			return // the next owner, or the new incarnation, settles it
+			return // left to the next owner or the new incarnation
 		}
 		if err == nil && k.hold(ctx, 0) == nil {
 			if !k.listsRun(ref) {
@@ -166,14 +167,15 @@
 	}
 }
 
-// isCurrent reports whether the worker and the epoch are still those of t.
+// isCurrent reports whether the worker's incarnation and the epoch are still those
+// of t.
 func (k *Keeper) isCurrent(t callTarget) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.worker != nil && k.worker.Incarnation() == t.incarnation && k.epoch == t.epoch
 }
 
-// listsRun reports whether the worker runs a run or listsRun its end.
+// listsRun reports whether the worker lists a run as running or ended.
 func (k *Keeper) listsRun(ref runRef) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -16,9 +16,10 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/standin"
 )
 
-// TestNextOwnersStopSettlesUnansweredStart shows that the stop which the next
-// owner orders, while an earlier owner's start gets no answer, is settled under
-// the next owner's epoch: it would wait for the outcome for ever.
+// TestNextOwnersStopSettlesUnansweredStart guards against a stop order that is
+// never settled. The next owner orders the stop while an earlier owner's start is
+// unanswered; the run must be settled under the next owner's epoch, because that
+// owner would otherwise wait for the outcome forever.
 func TestNextOwnersStopSettlesUnansweredStart(t *testing.T) {
 	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
--- a/internal/agent/keeper/session.go
+++ b/internal/agent/keeper/session.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// reportInterval is the time between two reports without news. An owner that is
-	// gone is noticed by the report that it does not answer.
+	// reportInterval is the time between two reports while nothing changes. A
+	// dead owner is detected when it does not answer a report.
 	reportInterval = 600 * time.Millisecond
-	// minReportSpacing is the least time between two reports.
+	// minReportSpacing is the minimum time between two reports.
 	minReportSpacing = 20 * time.Millisecond
 	// ownerReplyTimeout is how long the owner may take to answer a report before
-	// the agent looks for it anew.
+	// the agent closes the connection and locates the owner again.
 	ownerReplyTimeout = 1200 * time.Millisecond
-	// successorCheckDelay is how long the owner may take before the agent asks the other
-	// entries whether there is another one, and between two such questions. An
-	// owner answers each report within milliseconds.
+	// successorCheckDelay is how long the owner may take to answer a report
+	// before the agent asks the other entries for a new owner, and the interval
+	// of repeated checks. A healthy owner answers each report within
+	// milliseconds.
 	successorCheckDelay = 300 * time.Millisecond
-	// findRetryInterval is the time between two looks for the owner.
+	// findRetryInterval is the delay between two attempts to find the owner.
 	findRetryInterval = 100 * time.Millisecond
 )
 
-// ownerLoop keeps a connection with the owner.
+// ownerLoop maintains a connection with the owner.
 func (k *Keeper) ownerLoop(ctx context.Context) {
-	lastReason := "" // why the last connection ended; repetitions are not logged
+	lastReason := "" // reason of the last disconnect; repetitions are not logged
 	for ctx.Err() == nil {
 		if !k.workerKnown() {
 			kernel.Sleep(ctx, findRetryInterval)
@@ -49,7 +50,7 @@
 		}
 		if lasted := k.clock() - began; lasted > findRetryInterval || err.Error() != lastReason {
 			lastReason = err.Error()
-			k.log.Info().Err(err).Str("owner", address).Dur("lasted_ms", lasted).Msg("connection with the owner ended")
+			k.log.Info().Err(err).Str("owner", address).Dur("lasted_ms", lasted).Msg("connection to owner ended")
 		}
 		if !errors.Is(err, errOwnerSuperseded) {
 			kernel.Sleep(ctx, findRetryInterval)
@@ -66,15 +67,16 @@
 // ownerLink is one connection with an owner.
 type ownerLink struct {
 	keeper       *Keeper
-	owner        string // address
+	owner        string // address of the owner
 	stream       grpc.BidiStreamingClient[rpc.WorkerReport, rpc.WorkerOrders]
 	reportNumber uint64
-	// received is signalled for each message of the owner.
+	// received is signalled for each message from the owner.
 	received chan struct{}
 	ended    chan error
 }
 
-// serveOwner serves the owner until the connection ends, and returns why.
+// serveOwner reports to the owner and executes its orders until the connection
+// ends. It returns the reason.
 func (k *Keeper) serveOwner(ctx context.Context, client rpc.FleetClient, owner string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -83,7 +85,7 @@
 		return errors.Trace(err)
 	}
 	k.mu.Lock()
-	k.absent = nil // the owner settles anew what an earlier connection was to tell
+	k.absent = nil // the owner orders again what an earlier connection left unreported
 	k.lease.forgetReports()
 	k.mu.Unlock()
 	l := &ownerLink{keeper: k, owner: owner, stream: stream, received: make(chan struct{}, 1), ended: make(chan error, 1)}
@@ -91,8 +93,8 @@
 	return l.reportLoop(ctx)
 }
 
-// reportLoop reports to the owner until it is silent or the connection ends. The
-// first report only asks for the owner's epoch.
+// reportLoop reports to the owner until the connection ends or the owner does not
+// answer. The first report carries no run list; it only requests the owner's epoch.
 func (l *ownerLink) reportLoop(ctx context.Context) error {
 	k := l.keeper
 	if err := l.sendReport(false); err != nil {
@@ -136,10 +138,10 @@
 	}
 }
 
-// errOwnerSuperseded says that another entry has become the owner.
+// errOwnerSuperseded means that another entry has become the owner.
 const errOwnerSuperseded = errors.ConstError("another entry owns scheduling")
 
-// checkSuccessor returns an error if the other entries know another owner.
+// checkSuccessor returns an error if the other entries know a newer owner.
 func (l *ownerLink) checkSuccessor(ctx context.Context) error {
 	address := l.keeper.finder.Successor(ctx, l.owner)
 	if address == "" {
@@ -148,14 +150,15 @@
 	return errors.Annotatef(errOwnerSuperseded, "%s instead of %s", address, l.owner)
 }
 
-// listIsCurrent reports whether the lists come from a call with the highest epoch.
+// listIsCurrent reports whether the run list was obtained under the highest epoch
+// or the worker has ended.
 func (k *Keeper) listIsCurrent() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.epoch > 0 && k.listedEpoch == k.epoch || k.workerGone()
 }
 
-// workerGone reports whether the worker has left. The caller holds the lock.
+// workerGone reports whether the worker has ended. The caller holds the lock.
 func (k *Keeper) workerGone() bool { return k.leftAt > 0 && k.clock()-k.leftAt >= exitDelay }
 
 func (l *ownerLink) sendReport(listed bool) error {
@@ -163,7 +166,7 @@
 	return errors.Annotate(l.stream.Send(r), "reporting to the owner")
 }
 
-// nextReport returns the next nextReport of a link.
+// nextReport returns the next report for a connection.
 func (k *Keeper) nextReport(l *ownerLink, listed bool) *rpc.WorkerReport {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -181,8 +184,8 @@
 	return r
 }
 
-// receiveOrders carries out the owner's orders. They go on when the connection ends:
-// the keeper's own context bounds them.
+// receiveOrders executes the owner's orders. Their execution continues when the
+// connection ends: it is bounded by the context of the keeper's loops.
 func (l *ownerLink) receiveOrders(ctx context.Context) {
 	first := true
 	for {
@@ -192,7 +195,7 @@
 		}
 		if first {
 			first = false
-			wake(l.keeper.wakeSend) // the epoch is known now
+			wake(l.keeper.wakeSend) // the owner's epoch is known now
 		}
 		if err != nil {
 			l.ended <- err
@@ -208,12 +211,12 @@
 	}
 }
 
-// applyOrders takes the owner's orders, unless a higher epoch is known.
+// applyOrders executes the owner's orders, unless a higher epoch is known.
 func (k *Keeper) applyOrders(ctx context.Context, o *rpc.WorkerOrders) error {
 	k.mu.Lock()
 	if o.Epoch < k.epoch {
 		defer k.mu.Unlock()
-		k.log.Warn().Uint64("epoch", o.Epoch).Uint64("highest", k.epoch).Msg("orders of an earlier owner refused")
+		k.log.Warn().Uint64("epoch", o.Epoch).Uint64("highest", k.epoch).Msg("rejected orders of an earlier owner")
 		return errStaleEpoch
 	}
 	if o.Epoch > k.epoch {
@@ -242,7 +245,8 @@
 	return nil
 }
 
-// relistRuns lists the runs under a new epoch at once, beside the call that waits.
+// relistRuns lists the runs under a new epoch immediately, concurrently with the
+// Hold call that waits for ends.
 func (k *Keeper) relistRuns(ctx context.Context) {
 	for ctx.Err() == nil && !k.listIsCurrent() {
 		if err := k.hold(ctx, 0); err == nil {
--- a/internal/agent/keeper/session_test.go
+++ b/internal/agent/keeper/session_test.go
@@ -17,8 +17,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/standin"
 )
 
-// unresponsiveEntry takes agents' reports and answers none; it tells which entry owns
-// scheduling.
+// unresponsiveEntry accepts agents' reports without answering them. It answers
+// Locate with the configured owner.
 type unresponsiveEntry struct {
 	rpc.UnimplementedFleetServer
 	address  string
@@ -62,9 +62,9 @@
 	return nil, context.DeadlineExceeded
 }
 
-// TestAgentLeavesSilentOwnerForSuccessor shows that an agent whose owner does not
-// answer goes to the entry that has taken over long before it would give the
-// owner up by itself, and that without a successor it stays that long.
+// TestAgentLeavesSilentOwnerForSuccessor checks that an agent whose owner does not
+// answer switches to the entry that has taken over, long before ownerReplyTimeout.
+// Without a successor it keeps the connection until that timeout.
 func TestAgentLeavesSilentOwnerForSuccessor(t *testing.T) {
 	var located atomic.Pointer[rpc.LocateReply]
 	first, second := startUnresponsiveEntry(t, &located), startUnresponsiveEntry(t, &located)
@@ -89,7 +89,7 @@
 	case <-time.After(ownerReplyTimeout * 3 / 4):
 	}
 	await(t, first.sessions, 5*time.Second)
-	// An entry that has not heard of the present owner names an earlier one.
+	// An entry that does not know of the current owner yet names an earlier one.
 	located.Store(&rpc.LocateReply{OwnerAddress: second.address, Epoch: 1})
 	select {
 	case <-second.sessions:
