--- a/internal/confstate/service.go
+++ b/internal/confstate/service.go
@@ -14,34 +14,35 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// Config sets up a service. Zero values take the defaults.
+// Config configures a service. Zero values take the defaults.
 type Config struct {
 	PollInterval time.Duration
-	// Sleep waits for a duration or the end of ctx.
+	// Sleep waits for d or until ctx ends.
 	Sleep   func(ctx context.Context, d time.Duration)
 	Metrics metrics.Registry
 	Log     zerolog.Logger
 }
 
-// Service is the Store over the ledger.
+// Service implements Store over the ledger.
 type Service struct {
 	ledger ledger.Ledger
 	peers  PeerView
 	clock  func() time.Duration
 	cfg    Config
 
-	mu   sync.Mutex
-	view *view
-	base *base // rows as last seen, nil if unknown
+	mu     sync.Mutex
+	view   *view
+	stored *storedConfig // rows as last seen, nil if not known
 
-	editing chan struct{} // holds one token while an edit is in progress
-	feed    *feed
-	loops   kernel.Loops
+	editSlot chan struct{} // holds one token while an edit is in progress
+	notifier *notifier
+	loops    kernel.Loops
 }
 
 var _ Store = (*Service)(nil)
 
-// New returns a service that is not polling yet. The clock is monotonic.
+// New returns a service that polls the store only after Start. The clock is
+// monotonic.
 func New(l ledger.Ledger, peers PeerView, clock func() time.Duration, cfg Config) *Service {
 	if cfg.PollInterval == 0 {
 		cfg.PollInterval = PollInterval
@@ -53,31 +54,31 @@
 		cfg.Sleep = kernel.Sleep
 	}
 	return &Service{
-		ledger:  l,
-		peers:   peers,
-		clock:   clock,
-		cfg:     cfg,
-		view:    newView(),
-		editing: make(chan struct{}, 1),
-		feed:    newFeed(),
+		ledger:   l,
+		peers:    peers,
+		clock:    clock,
+		cfg:      cfg,
+		view:     newView(),
+		editSlot: make(chan struct{}, 1),
+		notifier: newNotifier(),
 	}
 }
 
-// Start starts the polling.
+// Start starts polling and the delivery to subscribers.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(s.cfg.PollInterval, s.Poll)
-	s.loops.Go(func(ctx context.Context) { s.feed.run(ctx, s.Current) })
+	s.loops.Go(func(ctx context.Context) { s.notifier.run(ctx, s.Current) })
 	return nil
 }
 
-// Stop ends the polling.
+// Stop ends polling and the delivery to subscribers.
 func (s *Service) Stop(context.Context) error {
 	s.loops.End()
 	return nil
 }
 
-// Poll reads the head and, if it is newer, the document.
+// Poll reads the head and, if its version is newer, the document.
 func (s *Service) Poll(ctx context.Context) {
 	start := s.clock()
 	have := s.Current().Version
@@ -88,13 +89,13 @@
 	}
 	version, err := decodeHead(rows[0])
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("configuration cannot be read")
+		s.cfg.Log.Error().Err(err).Msg("failed to decode configuration rows")
 		return
 	}
 	switch {
 	case version > have:
 		// An error leaves the version unconfirmed; the next poll tries again.
-		_, _ = s.readBase(ctx)
+		_, _ = s.readStored(ctx)
 	case version < have:
 		s.count("config.store_behind")
 	default:
@@ -102,33 +103,34 @@
 	}
 }
 
-// readBase reads head and document and applies what is newer.
-func (s *Service) readBase(ctx context.Context) (*base, error) {
+// readStored reads head and document and applies the configuration if it is newer.
+func (s *Service) readStored(ctx context.Context) (*storedConfig, error) {
 	start := s.clock()
 	have := s.Current().Version
 	rows, err := s.ledger.Get(ctx, ledger.CauseConfig, headKey, docKey)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	b, err := decodeBase(rows)
+	stored, err := decodeStoredConfig(rows)
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("configuration cannot be read")
+		s.cfg.Log.Error().Err(err).Msg("failed to decode configuration rows")
 		return nil, err
 	}
-	s.learn(b, start, b.config.Version >= have)
-	return b, nil
+	s.applyStored(stored, start, stored.config.Version >= have)
+	return stored, nil
 }
 
-// learn takes over rows that were read by a call that began at start.
-func (s *Service) learn(b *base, start time.Duration, confirms bool) {
+// applyStored applies the configuration of rows that were read or written by a call
+// that began at start. If confirms is set, it also confirms the version as of start.
+func (s *Service) applyStored(stored *storedConfig, start time.Duration, confirms bool) {
 	s.mu.Lock()
-	s.base = b
-	applied := s.view.apply(b.config)
+	s.stored = stored
+	applied := s.view.apply(stored.config)
 	if confirms {
-		s.view.confirm(b.config.Version, start)
+		s.view.confirm(stored.config.Version, start)
 	}
 	s.mu.Unlock()
-	s.announce(applied, b.config)
+	s.notifyApplied(applied, stored.config)
 }
 
 func (s *Service) confirm(version uint64, start time.Duration) {
@@ -137,76 +139,77 @@
 	s.view.confirm(version, start)
 }
 
-// announce tells the subscribers of an applied configuration.
-func (s *Service) announce(applied bool, c *api.Config) {
+// notifyApplied records and announces a configuration if it has been applied.
+func (s *Service) notifyApplied(applied bool, c *api.Config) {
 	if !applied {
 		return
 	}
 	metrics.GetOrRegisterGauge("config.version", s.cfg.Metrics).Update(int64(c.Version))
 	s.cfg.Log.Info().Uint64("version", c.Version).Msg("configuration in force")
-	s.feed.wake()
+	s.notifier.wake()
 }
 
-// Current returns the configuration in force. It must not be changed.
+// Current returns the configuration in force. Callers must not modify it.
 func (s *Service) Current() *api.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view.current
 }
 
-// Snapshot returns the configuration in force and, as one, how long ago it was
-// confirmed; ok is false before the first confirmation.
+// Snapshot returns the configuration in force together with the time since it was
+// last confirmed; ok is false before the first confirmation.
 func (s *Service) Snapshot() (c *api.Config, age time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.view.current, s.clock() - s.view.confirmed, s.view.known
+	return s.view.current, s.clock() - s.view.confirmedAt, s.view.everConfirmed
 }
 
-// StoreFailing reports whether the store has answered no call of this entry
-// for longer than FreshLimit.
+// StoreFailing reports whether the store has answered none of this entry's calls
+// for longer than MaxConfigAge.
 func (s *Service) StoreFailing() bool { return s.ledger.Outage() > MaxConfigAge }
 
-// StoreDownEverywhere reports whether this entry and all its peers fail to
-// reach the store.
+// StoreDownEverywhere reports whether neither this entry nor any of its peers
+// reaches the store.
 func (s *Service) StoreDownEverywhere() bool {
 	return downEverywhere(s.clock(), s.ledger.Outage(), s.peers)
 }
 
-// Permit reports whether work may start now: the configuration was confirmed
-// within FreshLimit, or the store is down for every entry.
+// Permit reports whether work may start now: either the configuration was confirmed
+// within MaxConfigAge, or it was confirmed at some time and the store is down for
+// every entry.
 func (s *Service) Permit() bool {
 	s.mu.Lock()
-	fresh := s.view.fresh(s.clock())
-	known := s.view.known
+	fresh := s.view.isFresh(s.clock())
+	known := s.view.everConfirmed
 	s.mu.Unlock()
 	return fresh || known && s.StoreDownEverywhere()
 }
 
-// Offer brings a configuration relayed by a peer, confirmed age ago.
+// Offer applies a configuration that a peer relayed and that was confirmed age ago.
 func (s *Service) Offer(c *api.Config, age time.Duration) {
 	s.mu.Lock()
 	applied := s.view.apply(c)
 	s.view.confirm(c.Version, s.clock()-age)
 	s.mu.Unlock()
-	s.announce(applied, c)
+	s.notifyApplied(applied, c)
 }
 
-// Confirm says that the store's version was the given one age ago, according
-// to a peer.
+// Confirm records that, according to a peer, the store had the given version age
+// ago.
 func (s *Service) Confirm(version uint64, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view.confirm(version, s.clock()-age)
 }
 
-// Subscribe calls fn with the present and each newer configuration.
-func (s *Service) Subscribe(fn func(*api.Config)) { s.feed.add(fn) }
+// Subscribe calls fn with the current configuration and each newer one.
+func (s *Service) Subscribe(fn func(*api.Config)) { s.notifier.add(fn) }
 
 func (s *Service) count(name string) {
 	metrics.GetOrRegisterCounter(name, s.cfg.Metrics).Inc(1)
 }
 
-// State is the dump of a service.
+// State is the state dump of a service.
 type State struct {
 	Version             uint64 `json:"version"`
 	Confirmed           bool   `json:"confirmed"`
@@ -216,7 +219,7 @@
 	Permit              bool   `json:"permit"`
 }
 
-// DumpState returns the service's state.
+// DumpState returns the state dump of the service.
 func (s *Service) DumpState() any {
 	c, age, ok := s.Snapshot()
 	return State{
--- a/internal/entry/requests/lookup.go
+++ b/internal/entry/requests/lookup.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	lookupTimeout = 1500 * time.Millisecond
-	lookupBatch   = 200 // keys in one read
-	// maxLookups bounds the calls that wait for a read.
+	lookupTimeout  = 1500 * time.Millisecond
+	maxLookupBatch = 200 // keys in one read
+	// maxLookups bounds the calls that wait for the next read.
 	maxLookups = 8192
 )
 
@@ -22,14 +22,14 @@
 	errLookupTimeout  = errors.ConstError("the call's timeout has passed before its row was read")
 )
 
-// lookups reads rows for many callers with one read at a time: what comes
-// while a read is in progress goes into the next one.
+// lookups batches the reads of rows for many callers. One read is in progress at a
+// time; lookups that arrive during it go into the next one.
 type lookups struct {
 	ledger ledger.Ledger
 
 	mu      sync.Mutex
 	waiting []lookup
-	busy    bool
+	reading bool
 }
 
 type lookup struct {
@@ -42,53 +42,53 @@
 	err error
 }
 
-// get returns the row of a key, or fails after the timeout.
+// get returns the row of a key, or errLookupTimeout after the timeout.
 func (l *lookups) get(key string, timeout time.Duration) (ledger.Row, error) {
-	one := lookup{key, make(chan lookupResult, 1)}
+	pending := lookup{key, make(chan lookupResult, 1)}
 	l.mu.Lock()
 	if len(l.waiting) >= maxLookups {
 		l.mu.Unlock()
 		return ledger.Row{}, errors.Trace(errTooManyLookups)
 	}
-	l.waiting = append(l.waiting, one)
-	if !l.busy {
-		l.busy = true
-		go l.run()
+	l.waiting = append(l.waiting, pending)
+	if !l.reading {
+		l.reading = true
+		go l.readBatches()
 	}
 	l.mu.Unlock()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case r := <-one.result:
+	case r := <-pending.result:
 		return r.row, r.err
 	case <-timer.C:
 		return ledger.Row{}, errors.Trace(errLookupTimeout)
 	}
 }
 
-func (l *lookups) run() {
+func (l *lookups) readBatches() {
 	for {
-		batch := l.next()
+		batch := l.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
-		l.read(batch)
+		l.readBatch(batch)
 	}
 }
 
-// next takes the lookups of the next read; without any, no read is in
-// progress from then on.
-func (l *lookups) next() []lookup {
+// nextBatch removes and returns the lookups of the next read. If there are none,
+// it clears reading, and readBatches returns.
+func (l *lookups) nextBatch() []lookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := min(len(l.waiting), lookupBatch)
+	n := min(len(l.waiting), maxLookupBatch)
 	batch := l.waiting[:n:n]
 	l.waiting = l.waiting[n:]
-	l.busy = n > 0
+	l.reading = n > 0
 	return batch
 }
 
-func (l *lookups) read(batch []lookup) {
+func (l *lookups) readBatch(batch []lookup) {
 	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	keys := make([]string, len(batch))
--- a/internal/entry/requests/requests.go
+++ b/internal/entry/requests/requests.go
@@ -1,5 +1,5 @@
-// Package requests runs the route core in an entry: it keeps the bodies, the
-// waiting callers and the claims, and sends what the core decides.
+// Package requests runs the route core in an entry: it holds the bodies, the
+// waiting callers and the claims, and carries out the core's actions.
 package requests
 
 import (
@@ -23,7 +23,7 @@
 
 const idlePollInterval = 20 * time.Millisecond
 
-// ErrTooManyRequests says that the entry holds as many requests as it may.
+// ErrTooManyRequests says that Config.MaxRequests requests are in progress.
 const ErrTooManyRequests = errors.ConstError("entry holds too many requests")
 
 // Members lists the live entries, this one included.
@@ -31,11 +31,11 @@
 	Entries() []*rpc.EntryAddress
 }
 
-// Config bounds the service.
+// Config holds the settings of the Service.
 type Config struct {
 	EntryID     string
 	MaxRequests int // in progress at once
-	MaxQueue    int // waiting for a slot in one profile that sets no bound itself
+	MaxQueue    int // queued in one profile that sets no bound of its own
 }
 
 // Call is one caller's request.
@@ -49,8 +49,8 @@
 	Body        []byte
 }
 
-// Reply is the one final answer to a call. Status is the minion's, and Body
-// its complete answer, when there is one.
+// Reply is the final answer to a call. If HasBody is set, Status, ContentType and
+// Body are those of the minion's complete answer.
 type Reply struct {
 	Outcome     api.Outcome
 	Reason      route.Reason
@@ -62,19 +62,20 @@
 	Body        []byte
 }
 
-// PermitSource tells whether work may start and in which zones.
+// PermitSource tells whether work may start, and in which zones.
 type PermitSource interface {
 	Permit() bool
 	Current() *api.Config
 }
 
+// waiter is a caller that waits for its reply.
 type waiter struct {
-	call   Call
-	stored *claimRow // the recorded answer of an earlier execution of the key
-	reply  chan Reply
+	call        Call
+	recordedRow *claimRow // answer of an earlier execution with the key, or nil
+	reply       chan Reply
 }
 
-// Service is the request side of an entry.
+// Service handles the requests of an entry.
 type Service struct {
 	cfg      Config
 	links    *links.Server
@@ -84,18 +85,18 @@
 	registry metrics.Registry
 	log      zerolog.Logger
 	started  time.Time
-	prefix   string
+	idPrefix string
 
-	mu      sync.Mutex
-	core    *route.Core
-	waiters map[string]*waiter
-	serial  uint64
-	result  *rpc.RequestResult // of the event in progress
+	mu            sync.Mutex
+	core          *route.Core
+	waiters       map[string]*waiter
+	lastSerial    uint64
+	currentResult *rpc.RequestResult // of the route.Result being handled, or nil
 
 	loops kernel.Loops
 }
 
-// New returns the service; it listens to srv from now on.
+// New returns the service and registers it as a listener of srv.
 func New(cfg Config, srv *links.Server, permits PermitSource, members Members, l ledger.Ledger, objects external.Objects, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
 		cfg:      cfg,
@@ -105,7 +106,7 @@
 		registry: registry,
 		log:      log,
 		started:  time.Now(),
-		prefix:   cfg.EntryID + "." + uuid.NewString()[:8],
+		idPrefix: cfg.EntryID + "." + uuid.NewString()[:8],
 		core:     route.New(route.Config{MaxOpen: cfg.MaxRequests, MaxQueue: cfg.MaxQueue}),
 		waiters:  map[string]*waiter{},
 	}
@@ -116,36 +117,37 @@
 
 func (s *Service) now() time.Duration { return time.Since(s.started) }
 
-// Start begins the core's ticks.
+// Start starts the ticks of the core.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(route.TickInterval, func(context.Context) { s.tick() })
 	return nil
 }
 
-// Stop refuses new requests and waits until those in progress are answered.
+// Stop refuses new requests and waits until those in progress are answered or ctx
+// has ended.
 func (s *Service) Stop(ctx context.Context) error {
 	s.step(route.Drain{})
-	idle := kernel.Until(ctx, idlePollInterval, func() bool { return s.waiting() == 0 })
+	idle := kernel.Until(ctx, idlePollInterval, func() bool { return s.waitingCalls() == 0 })
 	s.loops.End()
-	s.claims.wait(ctx)
+	s.claims.waitIdle(ctx)
 	if !idle {
-		return errors.Timeoutf("%d requests in progress: stop", s.waiting())
+		return errors.Timeoutf("%d requests in progress: stop", s.waitingCalls())
 	}
 	return nil
 }
 
-func (s *Service) waiting() int {
+func (s *Service) waitingCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiters)
 }
 
 func (s *Service) tick() {
-	s.step(s.permit(), route.Peers{Entries: len(s.members.Entries())}, route.Tick{})
+	s.step(s.currentPermit(), route.Peers{Entries: len(s.members.Entries())}, route.Tick{})
 }
 
-func (s *Service) permit() route.Permit {
+func (s *Service) currentPermit() route.Permit {
 	p := route.Permit{Fresh: s.permits.Permit(), ZonesOut: map[string]bool{}}
 	for name, z := range s.permits.Current().Zones {
 		if z.State == api.ZoneOut {
@@ -161,27 +163,28 @@
 	if call.Key == "" || call.Idempotent {
 		return s.submit(call, deadline)
 	}
-	known := s.claims.standing(call)
-	if known.reply != nil {
-		return *known.reply, nil
+	status := s.claims.lookUpKey(call)
+	if status.reply != nil {
+		return *status.reply, nil
 	}
 	reply, err := s.submit(call, deadline)
-	if known.mayHaveRun && (err != nil || refused(reply)) {
-		reply = refusedAgain(reply, err)
+	if status.mayHaveRun && (err != nil || isRefusal(reply)) {
+		reply = unknownForUsedKey(reply, err)
 		err = nil
 	}
 	return reply, err
 }
 
-// refused reports whether a call with a key was refused without regard to what
-// became of the key's request: neither by that request's result nor because
-// the key belongs to a request with another body.
-func refused(reply Reply) bool {
+// isRefusal reports whether the reply to a call with a key says nothing about
+// earlier calls with the key: it is OutcomeNotRun, but neither the result of the
+// key's execution nor a refusal because of another body.
+func isRefusal(reply Reply) bool {
 	return reply.Outcome == api.OutcomeNotRun && reply.Reason != route.ReasonResult && reply.Reason != ReasonKeyReused
 }
 
-// refusedAgain is the answer to a refused call whose key an earlier call has used.
-func refusedAgain(reply Reply, err error) Reply {
+// unknownForUsedKey returns the reply to a refused call whose key was used by an
+// earlier call that may have run.
+func unknownForUsedKey(reply Reply, err error) Reply {
 	if err != nil {
 		reply = Reply{RetryAfter: keyRetryAfter, Detail: err.Error()}
 	}
@@ -197,8 +200,8 @@
 		s.mu.Unlock()
 		return Reply{}, errors.Trace(ErrTooManyRequests)
 	}
-	s.serial++
-	id := fmt.Sprintf("%s-%d", s.prefix, s.serial)
+	s.lastSerial++
+	id := fmt.Sprintf("%s-%d", s.idPrefix, s.lastSerial)
 	s.waiters[id] = w
 	s.stepLocked(route.Submit{Request: route.Request{
 		ID:         id,
@@ -221,30 +224,32 @@
 	s.stepLocked(events...)
 }
 
+// stepLocked passes the events to the core and applies its actions. Service.mu is
+// held.
 func (s *Service) stepLocked(events ...route.Event) {
 	for _, ev := range events {
-		for _, act := range s.core.Step(s.now(), ev) {
-			s.apply(act)
+		for _, action := range s.core.Step(s.now(), ev) {
+			s.apply(action)
 		}
 	}
 }
 
-func (s *Service) apply(act route.Action) {
-	switch act := act.(type) {
+func (s *Service) apply(action route.Action) {
+	switch action := action.(type) {
 	case route.Execute:
-		s.execute(act)
+		s.sendExecute(action)
 	case route.Void:
-		s.send(act.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Void{Void: &rpc.Void{
-			RequestId: act.ID, Attempt: act.Attempt, Incarnation: act.Incarnation, StampMs: act.StampMS,
+		s.send(action.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Void{Void: &rpc.Void{
+			RequestId: action.ID, Attempt: action.Attempt, Incarnation: action.Incarnation, StampMs: action.StampMS,
 		}}})
 	case route.Ack:
-		s.claims.ack(act)
+		s.claims.ackOrDefer(action)
 	case route.Claim:
-		s.claims.claim(act)
+		s.claims.startClaim(action)
 	case route.Record:
-		s.claims.record(act, s.result)
+		s.claims.startRecord(action, s.currentResult)
 	case route.Answer:
-		s.answer(act)
+		s.deliverAnswer(action)
 	}
 }
 
@@ -252,20 +257,20 @@
 	s.links.Send(agent, func(int64) *rpc.EntryMessage { return m })
 }
 
-func (s *Service) execute(act route.Execute) {
-	w := s.waiters[act.ID]
+func (s *Service) sendExecute(action route.Execute) {
+	w := s.waiters[action.ID]
 	if w == nil {
 		return
 	}
 	metrics.GetOrRegisterCounter("requests.executes", s.registry).Inc(1)
-	s.send(act.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Execute{Execute: &rpc.Execute{
-		RequestId:   act.ID,
-		Attempt:     act.Attempt,
-		Incarnation: act.Incarnation,
-		StampMs:     act.StampMS,
-		PermitMs:    act.PermitTTL.Milliseconds(),
-		TimeoutMs:   act.Timeout.Milliseconds(),
-		Idempotent:  act.Idempotent,
+	s.send(action.Agent, &rpc.EntryMessage{Body: &rpc.EntryMessage_Execute{Execute: &rpc.Execute{
+		RequestId:   action.ID,
+		Attempt:     action.Attempt,
+		Incarnation: action.Incarnation,
+		StampMs:     action.StampMS,
+		PermitMs:    action.PermitTTL.Milliseconds(),
+		TimeoutMs:   action.Timeout.Milliseconds(),
+		Idempotent:  action.Idempotent,
 		ContentType: w.call.ContentType,
 		Body:        w.call.Body,
 		Digest:      rpc.Digest(w.call.Body),
@@ -273,33 +278,33 @@
 	}}})
 }
 
-func (s *Service) answer(act route.Answer) {
-	w := s.waiters[act.ID]
+func (s *Service) deliverAnswer(action route.Answer) {
+	w := s.waiters[action.ID]
 	if w == nil {
 		return
 	}
-	delete(s.waiters, act.ID)
-	metrics.GetOrRegisterCounter("requests.answers."+string(act.Outcome), s.registry).Inc(1)
-	if act.Reason != route.ReasonResult && act.Reason != "" {
-		metrics.GetOrRegisterCounter("requests.reasons."+string(act.Reason), s.registry).Inc(1)
+	delete(s.waiters, action.ID)
+	metrics.GetOrRegisterCounter("requests.answers."+string(action.Outcome), s.registry).Inc(1)
+	if action.Reason != route.ReasonResult && action.Reason != "" {
+		metrics.GetOrRegisterCounter("requests.reasons."+string(action.Reason), s.registry).Inc(1)
 	}
-	reply := Reply{Outcome: act.Outcome, Reason: act.Reason, Detail: act.Detail, RetryAfter: act.RetryAfter}
+	reply := Reply{Outcome: action.Outcome, Reason: action.Reason, Detail: action.Detail, RetryAfter: action.RetryAfter}
 	switch {
-	case act.FromResult && s.result != nil:
+	case action.FromResult && s.currentResult != nil:
 		reply.HasBody = true
-		reply.Status = int(s.result.Status)
-		reply.ContentType = s.result.ContentType
-		reply.Body = s.result.Body
-	case w.stored != nil && w.stored.Status != 0:
+		reply.Status = int(s.currentResult.Status)
+		reply.ContentType = s.currentResult.ContentType
+		reply.Body = s.currentResult.Body
+	case w.recordedRow != nil && w.recordedRow.Status != 0:
 		reply.HasBody = true
-		reply.Status = w.stored.Status
-		reply.ContentType = w.stored.ContentType
-		reply.Body = w.stored.Body
+		reply.Status = w.recordedRow.Status
+		reply.ContentType = w.recordedRow.ContentType
+		reply.Body = w.recordedRow.Body
 	}
 	w.reply <- reply
 }
 
-// AgentUp takes in a linked minion agent.
+// AgentUp handles a new link with a minion agent.
 func (s *Service) AgentUp(a links.Agent, _ []*rpc.GroupReport) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_MINION {
 		return
@@ -307,14 +312,14 @@
 	s.step(route.AgentUp{Agent: a.ID, Incarnation: a.Incarnation, Service: a.Service, Zone: a.Zone, Slots: a.Slots})
 }
 
-// AgentDown takes in the loss of a link.
+// AgentDown handles the loss of the link with a minion agent.
 func (s *Service) AgentDown(a links.Agent) {
 	if a.Kind == rpc.EndpointKind_ENDPOINT_KIND_MINION {
 		s.step(route.AgentDown{Agent: a.ID})
 	}
 }
 
-// AgentHeartbeat takes in a minion agent's load and clock.
+// AgentHeartbeat handles a minion agent's heartbeat.
 func (s *Service) AgentHeartbeat(a links.Agent, hb *rpc.AgentHeartbeat) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_MINION {
 		return
@@ -328,7 +333,7 @@
 	})
 }
 
-// RequestResult takes in an agent's result. One whose body is not intact is
+// RequestResult handles an agent's result. A result with a corrupt body is
 // dropped; the agent sends it again on its next link.
 func (s *Service) RequestResult(a links.Agent, r *rpc.RequestResult) {
 	if !rpc.Intact(r.Body, r.Length, r.Digest) && r.Status != 0 {
@@ -337,7 +342,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.result = r
+	s.currentResult = r
 	s.stepLocked(route.Result{
 		Agent:   a.ID,
 		ID:      r.RequestId,
@@ -345,10 +350,10 @@
 		Outcome: rpc.ToOutcome(r.Outcome),
 		Detail:  r.Detail,
 	})
-	s.result = nil
+	s.currentResult = nil
 }
 
-// GroupReport is not for requests.
+// GroupReport ignores the report, which does not concern requests.
 func (s *Service) GroupReport(links.Agent, *rpc.GroupReport) {}
 
 // DumpState returns the core's state.
--- a/internal/ledger/client_test.go
+++ b/internal/ledger/client_test.go
@@ -16,11 +16,11 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/kernel"
 )
 
-func put(key string, version uint64, data string) Write {
+func newWrite(key string, version uint64, data string) Write {
 	return Write{Key: key, Version: version, Data: json.RawMessage(data)}
 }
 
-// waitFor polls a condition for a bounded time.
+// waitFor polls a condition and fails the test if it does not hold in time.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -31,8 +31,8 @@
 	t.Fatalf("timeout waiting until %s", what)
 }
 
-// TestConcurrentCallersShareTransactions lets commits gather while one
-// transaction is in flight.
+// TestConcurrentCallersShareTransactions guards against one transaction per commit:
+// commits that queue up while a transaction is in flight must be grouped.
 func TestConcurrentCallersShareTransactions(t *testing.T) {
 	const callers = 300
 	table := newFakeTable()
@@ -41,7 +41,7 @@
 	var wg sync.WaitGroup
 	commit := func(key string) {
 		wg.Go(func() {
-			rows, err := c.Commit(context.Background(), CauseJob, put(key, 0, `1`))
+			rows, err := c.Commit(context.Background(), CauseJob, newWrite(key, 0, `1`))
 			if err != nil || rows[0].Version != 1 {
 				t.Errorf("rows %v, error %v", rows, err)
 			}
@@ -52,7 +52,7 @@
 	waitFor(t, "the first transaction is in flight", func() bool {
 		lane.mu.Lock()
 		defer lane.mu.Unlock()
-		return lane.running > 0 && len(lane.queue) == 0
+		return lane.activeSenders > 0 && len(lane.queue) == 0
 	})
 	for i := range callers {
 		commit(fmt.Sprintf("k%d", i))
@@ -65,13 +65,12 @@
 	}
 }
 
-// TestStalledStoreIsBounded shows that a store which never answers takes no
-// goroutines besides those of the callers, bounds what waits, and lets every
-// caller end.
+// TestStalledStoreIsBounded guards against unbounded goroutines or queues while the
+// store answers no call, and against callers that never return.
 func TestStalledStoreIsBounded(t *testing.T) {
 	const limit, callers = 50, 400
 	table := newFakeTable()
-	table.stall = true
+	table.stalled = true
 	registry := metrics.NewRegistry()
 	c := New(table, Config{
 		Budgets:       map[Cause]Budget{},
@@ -91,7 +90,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_, err := c.Commit(ctx, CauseJob, put(fmt.Sprintf("k%d", i), 0, `1`))
+			_, err := c.Commit(ctx, CauseJob, newWrite(fmt.Sprintf("k%d", i), 0, `1`))
 			mu.Lock()
 			defer mu.Unlock()
 			counts[errors.Cause(err).Error()]++
@@ -105,7 +104,7 @@
 	if n := runtime.NumGoroutine(); n > base+callers+len(laneNames) {
 		t.Errorf("%d goroutines for %d callers, %d before", n, callers, base)
 	}
-	if _, err := c.Commit(ctx, CauseJob, put("late", 0, `1`)); err == nil {
+	if _, err := c.Commit(ctx, CauseJob, newWrite("late", 0, `1`)); err == nil {
 		t.Error("commit succeeded while the store stalls")
 	}
 	cancel()
@@ -117,10 +116,10 @@
 	waitFor(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= base })
 }
 
-// TestReadsAreBounded shows that reads beyond the bound are refused at once.
+// TestReadsAreBounded checks that reads above MaxReads are rejected immediately.
 func TestReadsAreBounded(t *testing.T) {
 	table := newFakeTable()
-	table.stall = true
+	table.stalled = true
 	c := New(table, Config{Budgets: map[Cause]Budget{}, MaxReads: 2, OpTimeout: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -133,7 +132,7 @@
 			}
 		}()
 	}
-	waitFor(t, "reads are in progress", func() bool { return len(c.reads) == 2 })
+	waitFor(t, "reads are in progress", func() bool { return len(c.readSlots) == 2 })
 	if _, err := c.Get(ctx, CauseJob, "a"); !errors.Is(err, ErrOverloaded) {
 		t.Errorf("error %v", err)
 	}
@@ -141,7 +140,8 @@
 	wg.Wait()
 }
 
-// TestBudgetRefusesReads shows that one cause's reads cannot use up the store.
+// TestBudgetRefusesReads checks that a cause that has used up its read budget is
+// rejected while other causes can still read.
 func TestBudgetRefusesReads(t *testing.T) {
 	sim := &simTime{}
 	c := New(newFakeTable(), Config{
@@ -162,56 +162,56 @@
 	}
 }
 
-// TestStopEndsCommits shows that Stop waits for what is in progress and that
-// nothing is accepted after it.
+// TestStopEndsCommits checks that Stop returns after a commit and that commits are
+// rejected afterwards.
 func TestStopEndsCommits(t *testing.T) {
 	table := newFakeTable()
 	c := New(table, Config{})
 	if err := c.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Commit(context.Background(), CauseJob, put("a", 0, `1`)); err != nil {
+	if _, err := c.Commit(context.Background(), CauseJob, newWrite("a", 0, `1`)); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Commit(context.Background(), CauseJob, put("a", 1, `1`)); !errors.Is(err, ErrDown) {
+	if _, err := c.Commit(context.Background(), CauseJob, newWrite("a", 1, `1`)); !errors.Is(err, ErrDown) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// lateTable answers after fixed times; a call that is given up before has no
+// slowTable answers after fixed times. A call whose context ends earlier has no
 // effect.
-type lateTable struct {
+type slowTable struct {
 	*fakeTable
-	read, commit time.Duration
+	readTime, commitTime time.Duration
 }
 
-func (s *lateTable) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
-	if kernel.Sleep(ctx, s.read); ctx.Err() != nil {
+func (s *slowTable) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
+	if kernel.Sleep(ctx, s.readTime); ctx.Err() != nil {
 		return nil, external.ErrUnavailable
 	}
 	return s.fakeTable.Get(ctx, keys...)
 }
 
-func (s *lateTable) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
-	if kernel.Sleep(ctx, s.commit); ctx.Err() != nil {
+func (s *slowTable) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
+	if kernel.Sleep(ctx, s.commitTime); ctx.Err() != nil {
 		return external.TxnResult{}, external.ErrUnavailable
 	}
 	return s.fakeTable.Commit(ctx, txn)
 }
 
-// TestSlowTransactionsAreWaitedFor shows that transactions which take longer
-// than the timeout of a call, while reads take long too, are waited for.
+// TestSlowTransactionsAreWaitedFor guards against giving up transactions that take
+// longer than OpTimeout in a store whose reads are slow as well.
 func TestSlowTransactionsAreWaitedFor(t *testing.T) {
 	const timeout = 200 * time.Millisecond
-	table := &lateTable{newFakeTable(), timeout / 2, timeout * 3 / 2}
+	table := &slowTable{newFakeTable(), timeout / 2, timeout * 3 / 2}
 	c := New(table, Config{Budgets: map[Cause]Budget{}, OpTimeout: timeout})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*timeout)
 	defer cancel()
 	for i := range 3 {
-		if _, err := c.Commit(ctx, CauseJob, put(fmt.Sprint("k", i), 0, `1`)); err != nil {
+		if _, err := c.Commit(ctx, CauseJob, newWrite(fmt.Sprint("k", i), 0, `1`)); err != nil {
 			t.Fatalf("commit %d: %v", i, err)
 		}
 	}
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// breaker keeps claims from a table that does not answer, so that they do not
-// hold slots for nothing. After breakerFailures in a row one claim is tried
-// each breakerPause.
-type breaker struct {
+// circuitBreaker stops claims while the table does not answer, so that claims
+// that are bound to fail do not occupy slots. After breakerThreshold failures in
+// a row it lets one claim through each breakerPause.
+type circuitBreaker struct {
 	failures int
-	until    time.Duration
+	retryAt  time.Duration
 }
 
 // open reports whether no claim may be made now.
-func (b *breaker) open(now time.Duration) bool {
-	return b.failures >= breakerFailures && now < b.until
+func (b *circuitBreaker) open(now time.Duration) bool {
+	return b.failures >= breakerThreshold && now < b.retryAt
 }
 
-// allow reports whether a claim may be made now, and counts it as made.
-func (b *breaker) allow(now time.Duration) bool {
+// allow reports whether a claim may be made now. If so, the caller makes it, and
+// the pause to the next one begins.
+func (b *circuitBreaker) allow(now time.Duration) bool {
 	if b.open(now) {
 		return false
 	}
-	b.until = now + breakerPause
+	b.retryAt = now + breakerPause
 	return true
 }
 
-func (b *breaker) failed(now time.Duration) {
+func (b *circuitBreaker) recordFailure(now time.Duration) {
 	b.failures++
-	b.until = now + breakerPause
+	b.retryAt = now + breakerPause
 }
 
-func (b *breaker) answered() { b.failures = 0 }
+func (b *circuitBreaker) recordSuccess() { b.failures = 0 }
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -7,87 +7,89 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// DefaultLeaseMargin is added to leases to allow for delays of messages and for
-// different clock rates.
+// DefaultLeaseMargin is added to each lease to cover message delays and
+// differences between clock rates.
 const DefaultLeaseMargin = 500 * time.Millisecond
 
-// Config sets up a core.
+// Config configures a Core.
 type Config struct {
-	// TermStart is the wall clock time at time zero.
+	// TermStart is the wall-clock time at which the core's time is zero.
 	TermStart time.Time
-	// LeaseMargin is added to each lease before its capacity counts as free.
+	// LeaseMargin is how long after the end of a lease its capacity still counts
+	// as used.
 	LeaseMargin time.Duration
 }
 
 // Core decides which gang runs where. It is not safe for concurrent use.
 type Core struct {
-	cfg       Config
-	now       time.Duration
-	out       []Action
-	fleet     *fleet.Fleet
-	workers   map[string]*worker
-	ordered   []*worker
-	jobs      map[string]*job
-	config    *api.Config
-	authority Ownership
-	draining  bool
-	timers    timerQueue
-	queue     *queue
-	accounts  map[string]*account
-	early     []GroupReport
-	zones     map[string]*zoneReturn
-	moving    []*job
-	learned   map[string]*learnedProfile
-	counts    map[Reason]int
-	renewed   int64
-	reviewed  time.Duration
-	forgotAt  time.Duration
+	cfg             Config
+	now             time.Duration
+	actions         []Action
+	fleet           *fleet.Fleet
+	workers         map[string]*worker
+	workerList      []*worker
+	jobs            map[string]*job
+	config          *api.Config
+	ownerStatus     OwnerStatus
+	draining        bool
+	timers          timerQueue
+	queue           *queue
+	accounts        map[string]*account
+	earlyReports    []GroupReport
+	reopeningZones  map[string]*zoneReopening
+	pendingMoves    []*job
+	learnedProfiles map[string]*learnedProfile
+	reasonCounts    map[Reason]int
+	lastRenewTick   int64
+	lastReview      time.Duration
+	lastForget      time.Duration
 
-	// slots are the places of the guarantees; slotsOf holds them by profile.
-	slots       []*reservation
-	slotsOf     map[string][]*reservation
-	slotsDirty  bool
-	repackedAt  time.Duration
-	compactedAt time.Duration
-	displacedAt time.Duration
-	repackOwed  bool // a guarantee lacks a place and repackInterval had not passed
-	plannedGen  uint64
-	unbound     []*job // run outside of their profile's guarantee
-	missing     int    // guarantees without a place
-	lacking     int    // size of the guarantees without a place
-	waiting     []*reservation
-	beside      besideGuarantees
+	// guarantees holds one reservation per guaranteed gang; guaranteesOf groups
+	// them by profile.
+	guarantees          []*reservation
+	guaranteesOf        map[string][]*reservation
+	guaranteesDirty     bool
+	lastRepack          time.Duration
+	lastCompaction      time.Duration
+	lastDisplacement    time.Duration
+	repackPending       bool // a guarantee is unplaced and repackInterval has not passed yet
+	placedGeneration    uint64
+	unboundJobs         []*job // running outside of their profile's guarantee
+	unplacedCount       int    // guaranteed gangs without a placement
+	unplacedSize        int    // sum of their weightedSize
+	waitingReservations []*reservation
+	guaranteedFleet     guaranteedFleet
 }
 
-// New returns a core without workers and jobs. It starts nothing before it has
-// the authority and a configuration.
+// New returns a core without workers or jobs. It starts no work until it has
+// received ownership and a configuration.
 func New(cfg Config) *Core {
 	if cfg.LeaseMargin == 0 {
 		cfg.LeaseMargin = DefaultLeaseMargin
 	}
 	return &Core{
-		cfg:      cfg,
-		fleet:    fleet.New(),
-		workers:  map[string]*worker{},
-		jobs:     map[string]*job{},
-		queue:    newQueue(),
-		accounts: map[string]*account{},
-		zones:    map[string]*zoneReturn{},
-		learned:  map[string]*learnedProfile{},
-		counts:   map[Reason]int{},
-		renewed:  -1,
+		cfg:             cfg,
+		fleet:           fleet.New(),
+		workers:         map[string]*worker{},
+		jobs:            map[string]*job{},
+		queue:           newQueue(),
+		accounts:        map[string]*account{},
+		reopeningZones:  map[string]*zoneReopening{},
+		learnedProfiles: map[string]*learnedProfile{},
+		reasonCounts:    map[Reason]int{},
+		lastRenewTick:   -1,
 	}
 }
 
-// Step takes one event at the given time and returns the actions that follow,
-// in order. Time must not go back.
+// Step processes one event and returns the resulting actions in order. The
+// given times must not decrease.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	c.now = max(c.now, now)
-	c.out = nil
-	c.timers.run(c.now)
+	c.actions = nil
+	c.timers.runDue(c.now)
 	c.handle(ev)
 	c.schedule()
-	return c.out
+	return c.actions
 }
 
 func (c *Core) handle(ev Event) {
@@ -97,19 +99,19 @@
 	case Cancel:
 		c.cancel(e.JobID)
 	case WorkerUp:
-		c.workerUp(e)
+		c.handleWorkerUp(e)
 	case WorkerDown:
-		c.workerDown(e.Worker)
+		c.handleWorkerDown(e.Worker)
 	case WorkerStatus:
-		c.workerStatus(e)
+		c.handleWorkerStatus(e)
 	case GroupReport:
-		c.report(e)
+		c.handleReport(e)
 	case SaveResult:
-		c.saved(e)
+		c.handleSaveResult(e)
 	case ConfigUpdate:
-		c.configured(e.Config)
-	case Ownership:
-		c.authority = e
+		c.handleConfigUpdate(e.Config)
+	case OwnerStatus:
+		c.ownerStatus = e
 	case Tick:
 		c.tick()
 	case Drain:
@@ -117,30 +119,30 @@
 	}
 }
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Core) notice(j *job, workerName string, why Reason, detail string) {
-	c.counts[why]++
+func (c *Core) emitNotice(j *job, workerName string, reason Reason, detail string) {
+	c.reasonCounts[reason]++
 	id := ""
 	if j != nil {
 		id = j.id()
 	}
-	c.emit(Notice{JobID: id, Worker: workerName, Reason: why, Detail: detail})
+	c.emit(Notice{JobID: id, Worker: workerName, Reason: reason, Detail: detail})
 }
 
 func (c *Core) after(d time.Duration, run func()) { c.timers.add(c.now+d, run) }
 
-// mayStart reports whether new attempts may begin.
+// mayStart reports whether new attempts may start.
 func (c *Core) mayStart() bool {
-	a := c.authority
+	a := c.ownerStatus
 	return a.Owner && !a.StoreDown && !c.draining && c.now >= a.StartAfter && c.config != nil
 }
 
-func (c *Core) wall() time.Time { return c.cfg.TermStart.Add(c.now) }
+func (c *Core) wallTime() time.Time { return c.cfg.TermStart.Add(c.now) }
 
 func (c *Core) tick() {
-	c.renewDue()
-	c.dropEarly()
-	c.moveFromOutZones()
-	c.review()
+	c.renewDueLeases()
+	c.flushEarlyReports()
+	c.movePendingJobs()
+	c.reviewQueue()
 }
--- a/internal/sched/dump.go
+++ b/internal/sched/dump.go
@@ -6,7 +6,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// Dump is the state of the core for operators.
+// Dump is the state of the core, for operators.
 type Dump struct {
 	Now                string            `json:"now"`
 	ConfigVersion      uint64            `json:"config_version"`
@@ -44,7 +44,7 @@
 	Workers []api.Placement `json:"workers,omitempty"`
 }
 
-// ReservationDump is capacity that is kept for a guarantee or a waiting gang.
+// ReservationDump is capacity reserved for a guarantee or for a waiting gang.
 type ReservationDump struct {
 	Profile string   `json:"profile,omitempty"`
 	Job     string   `json:"job,omitempty"`
@@ -55,13 +55,13 @@
 // Dump returns the state of the core.
 func (c *Core) Dump() any {
 	d := Dump{
-		Now: c.now.String(), Epoch: c.authority.Epoch, Owner: c.authority.Owner,
-		Draining: c.draining, Queued: c.queue.size, UnplacedGuarantees: c.missing, Reasons: map[Reason]int{},
+		Now: c.now.String(), Epoch: c.ownerStatus.Epoch, Owner: c.ownerStatus.Owner,
+		Draining: c.draining, Queued: c.queue.size, UnplacedGuarantees: c.unplacedCount, Reasons: map[Reason]int{},
 	}
 	if c.config != nil {
 		d.ConfigVersion = c.config.Version
 	}
-	for _, w := range c.ordered {
+	for _, w := range c.workerList {
 		d.Workers = append(d.Workers, WorkerDump{
 			Name: w.Name, Zone: w.Zone, Rack: w.Rack.Name, InService: w.InService(), Quarantined: w.Quarantined, Probation: w.Probation,
 			Capacity: w.Capacity, Used: w.Used, Reserved: w.Reserved, Groups: len(w.groups),
@@ -71,14 +71,14 @@
 		j := c.jobs[id]
 		d.Jobs = append(d.Jobs, JobDump{id, j.rec.Job.Profile, string(j.phase), j.attempt, placements(j)})
 	}
-	for _, r := range c.slots {
+	for _, r := range c.guarantees {
 		d.Reservations = append(d.Reservations, r.dump())
 	}
-	for _, r := range c.waiting {
+	for _, r := range c.waitingReservations {
 		d.Reservations = append(d.Reservations, r.dump())
 	}
-	for why, n := range c.counts {
-		d.Reasons[why] = n
+	for reason, n := range c.reasonCounts {
+		d.Reasons[reason] = n
 	}
 	return d
 }
@@ -88,8 +88,8 @@
 	if r.job != nil {
 		d.Job = r.job.id()
 	}
-	for _, s := range r.shares {
-		d.Workers = append(d.Workers, s.worker.Name)
+	for _, part := range r.parts {
+		d.Workers = append(d.Workers, part.worker.Name)
 	}
 	return d
 }
--- a/internal/sched/placement/placement.go
+++ b/internal/sched/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement finds room for a whole gang: best fit by worker, then by
-// rack, so that whole workers and racks stay empty.
+// Package placement finds room for a whole gang. It uses the best fit among
+// workers, then among racks, so that whole workers and racks stay empty.
 package placement
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/fleet"
 )
 
-// Candidate is what one worker offers to a request.
+// Candidate is a worker and the capacity it offers to a request.
 type Candidate struct {
 	Worker    *fleet.Worker
 	Available api.Resources
@@ -22,72 +22,72 @@
 	Tasks  int
 }
 
-// Request asks for room for a gang.
+// Request asks for a placement of a gang.
 type Request struct {
 	Gang api.Shape
 	View fleet.CapacityView
-	// GainedSince limits the search to racks (and their zones) that gained capacity
-	// after this generation.
+	// GainedSince, if not zero, limits the search to racks (and their zones) that
+	// gained capacity after this generation.
 	GainedSince uint64
-	// Exclude excludes workers; nil excludes none.
+	// Exclude filters out workers; nil excludes none.
 	Exclude func(*fleet.Worker) bool
 }
 
-// Find returns the best room for the whole gang, or nil.
-func Find(f *fleet.Fleet, q Request) []Assignment {
-	if q.Gang.Tasks == 1 {
-		q.Gang.Adjacency = api.AdjacentWorker
+// Find returns the best placement of the whole gang, or nil if there is none.
+func Find(f *fleet.Fleet, req Request) []Assignment {
+	if req.Gang.Tasks == 1 {
+		req.Gang.Adjacency = api.AdjacentWorker
 	}
-	switch q.Gang.Adjacency {
+	switch req.Gang.Adjacency {
 	case api.AdjacentWorker:
-		return findWorker(f, q)
+		return findInWorker(f, req)
 	case api.AdjacentRack:
-		return findRack(f, q)
+		return findInRack(f, req)
 	}
-	return findZone(f, q)
+	return findInZone(f, req)
 }
 
-func (q *Request) room(w *fleet.Worker) api.Resources {
-	if q.Exclude != nil && q.Exclude(w) {
+func (req *Request) available(w *fleet.Worker) api.Resources {
+	if req.Exclude != nil && req.Exclude(w) {
 		return api.Resources{}
 	}
-	return w.Available(q.View)
+	return w.Available(req.View)
 }
 
-// indexed reports whether the indexes by free capacity bound the view.
-func (q *Request) indexed() bool { return q.View == fleet.Free || q.View == fleet.Unreserved }
+// usesIndex reports whether the indexes by free capacity bound the view.
+func (req *Request) usesIndex() bool { return req.View == fleet.Free || req.View == fleet.Unreserved }
 
-func findWorker(f *fleet.Fleet, q Request) []Assignment {
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
+func findInWorker(f *fleet.Fleet, req Request) []Assignment {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
 	var best *fleet.Worker
-	if q.GainedSince == 0 && q.indexed() {
+	if req.GainedSince == 0 && req.usesIndex() {
 		f.BestFit(need, func(w *fleet.Worker) bool {
-			if need.Fits(q.room(w)) {
+			if need.Fits(req.available(w)) {
 				best = w
 			}
 			return best == nil
 		})
-		return whole(best, q.Gang.Tasks)
+		return onOneWorker(best, req.Gang.Tasks)
 	}
-	eachRack(f, q, need, func(r *fleet.Rack) bool {
+	eachRack(f, req, need, func(r *fleet.Rack) bool {
 		for _, w := range r.Workers {
-			if need.Fits(q.room(w)) && (best == nil || tighter(w, best, q.View)) {
+			if need.Fits(req.available(w)) && (best == nil || tighterWorker(w, best, req.View)) {
 				best = w
 			}
 		}
 		return true
 	})
-	return whole(best, q.Gang.Tasks)
+	return onOneWorker(best, req.Gang.Tasks)
 }
 
-func whole(w *fleet.Worker, tasks int) []Assignment {
+func onOneWorker(w *fleet.Worker, tasks int) []Assignment {
 	if w == nil {
 		return nil
 	}
 	return []Assignment{{Worker: w, Tasks: tasks}}
 }
 
-func tighter(a, b *fleet.Worker, v fleet.CapacityView) bool {
+func tighterWorker(a, b *fleet.Worker, v fleet.CapacityView) bool {
 	x, y := a.Available(v), b.Available(v)
 	return cmp.Or(
 		cmp.Compare(x.Accelerators, y.Accelerators),
@@ -95,20 +95,20 @@
 		cmp.Compare(a.Name, b.Name)) < 0
 }
 
-// eachRack visits the racks whose total could hold need, changed ones only if
-// the request says so.
-func eachRack(f *fleet.Fleet, q Request, need api.Resources, visit func(*fleet.Rack) bool) {
+// eachRack visits the racks whose total could hold need. If the request sets
+// GainedSince, it visits only racks that gained capacity since then.
+func eachRack(f *fleet.Fleet, req Request, need api.Resources, visit func(*fleet.Rack) bool) {
 	filtered := func(r *fleet.Rack) bool {
-		if !need.Fits(r.Total[q.View]) {
+		if !need.Fits(r.Total[req.View]) {
 			return true
 		}
 		return visit(r)
 	}
-	if q.GainedSince > 0 {
-		f.RacksGainedSince(q.GainedSince, filtered)
+	if req.GainedSince > 0 {
+		f.RacksGainedSince(req.GainedSince, filtered)
 		return
 	}
-	if q.indexed() {
+	if req.usesIndex() {
 		f.RacksByFree(need, filtered)
 		return
 	}
@@ -121,65 +121,65 @@
 	}
 }
 
-func findRack(f *fleet.Fleet, q Request) []Assignment {
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
+func findInRack(f *fleet.Fleet, req Request) []Assignment {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
 	var best []Assignment
 	var bestRack *fleet.Rack
-	eachRack(f, q, need, func(r *fleet.Rack) bool {
-		if bestRack != nil && !fullerRack(r, bestRack, q.View) {
+	eachRack(f, req, need, func(r *fleet.Rack) bool {
+		if bestRack != nil && !tighterRack(r, bestRack, req.View) {
 			return true
 		}
-		parts := Pack(rooms(r.Workers, &q), q.Gang)
-		if parts != nil {
-			best, bestRack = parts, r
+		assignments := Pack(candidates(r.Workers, &req), req.Gang)
+		if assignments != nil {
+			best, bestRack = assignments, r
 		}
-		// The index visits racks from the tightest fit on.
-		return best == nil || q.GainedSince > 0 || !q.indexed()
+		// The index visits the tightest racks first.
+		return best == nil || req.GainedSince > 0 || !req.usesIndex()
 	})
 	return best
 }
 
-func fullerRack(a, b *fleet.Rack, v fleet.CapacityView) bool {
+func tighterRack(a, b *fleet.Rack, v fleet.CapacityView) bool {
 	return cmp.Or(
 		cmp.Compare(a.Total[v].Accelerators, b.Total[v].Accelerators),
 		cmp.Compare(a.Total[v].MilliCPU, b.Total[v].MilliCPU),
 		cmp.Compare(a.Name, b.Name)) < 0
 }
 
-func rooms(workers []*fleet.Worker, q *Request) []Candidate {
+func candidates(workers []*fleet.Worker, req *Request) []Candidate {
 	out := make([]Candidate, 0, len(workers))
 	for _, w := range workers {
-		if avail := q.room(w); q.Gang.PerTask.Fits(avail) {
+		if avail := req.available(w); req.Gang.PerTask.Fits(avail) {
 			out = append(out, Candidate{w, avail})
 		}
 	}
 	return out
 }
 
-func findZone(f *fleet.Fleet, q Request) []Assignment {
-	// One rack is the better place for a gang that may spread over a zone.
-	if parts := findRack(f, q); parts != nil {
-		return parts
+func findInZone(f *fleet.Fleet, req Request) []Assignment {
+	// A single rack is preferred for a gang that may spread over a zone.
+	if assignments := findInRack(f, req); assignments != nil {
+		return assignments
 	}
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
-	for _, z := range zonesToTry(f, q) {
-		if !need.Fits(f.ZoneTotal(z, q.View)) {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
+	for _, z := range candidateZones(f, req) {
+		if !need.Fits(f.ZoneTotal(z, req.View)) {
 			continue
 		}
-		if parts := packZone(f, z, q); parts != nil {
+		if parts := packInZone(f, z, req); parts != nil {
 			return parts
 		}
 	}
 	return nil
 }
 
-// zonesToTry returns the zones from the one with the least room on.
-func zonesToTry(f *fleet.Fleet, q Request) []string {
+// candidateZones returns the zones to search, the one with the least room first.
+func candidateZones(f *fleet.Fleet, req Request) []string {
 	var zones []string
-	if q.GainedSince == 0 {
+	if req.GainedSince == 0 {
 		zones = slices.Clone(f.Zones())
 	} else {
-		f.RacksGainedSince(q.GainedSince, func(r *fleet.Rack) bool {
+		f.RacksGainedSince(req.GainedSince, func(r *fleet.Rack) bool {
 			if !slices.Contains(zones, r.Zone) {
 				zones = append(zones, r.Zone)
 			}
@@ -188,118 +188,118 @@
 	}
 	slices.SortFunc(zones, func(a, b string) int {
 		return cmp.Or(
-			cmp.Compare(f.ZoneTotal(a, q.View).Accelerators, f.ZoneTotal(b, q.View).Accelerators),
+			cmp.Compare(f.ZoneTotal(a, req.View).Accelerators, f.ZoneTotal(b, req.View).Accelerators),
 			cmp.Compare(a, b))
 	})
 	return zones
 }
 
-// packZone spreads a gang over as few racks of the zone as it can.
-func packZone(f *fleet.Fleet, zone string, q Request) []Assignment {
-	type rackRoom struct {
-		rooms []Candidate
-		tasks int
+// packInZone spreads a gang over as few racks of the zone as possible.
+func packInZone(f *fleet.Fleet, zone string, req Request) []Assignment {
+	type rackCapacity struct {
+		candidates []Candidate
+		tasks      int
 	}
-	var racks []rackRoom
+	var racks []rackCapacity
 	total := 0
 	for _, r := range f.Racks(zone) {
-		if !q.Gang.PerTask.Fits(r.Total[q.View]) {
+		if !req.Gang.PerTask.Fits(r.Total[req.View]) {
 			continue
 		}
-		rs := rooms(r.Workers, &q)
+		found := candidates(r.Workers, &req)
 		n := 0
-		for _, room := range rs {
-			n += TasksThatFit(room.Available, q.Gang.PerTask)
+		for _, candidate := range found {
+			n += TasksThatFit(candidate.Available, req.Gang.PerTask)
 		}
 		if n > 0 {
-			racks = append(racks, rackRoom{rs, n})
+			racks = append(racks, rackCapacity{found, n})
 			total += n
 		}
 	}
-	if total < q.Gang.Tasks {
+	if total < req.Gang.Tasks {
 		return nil
 	}
-	slices.SortStableFunc(racks, func(a, b rackRoom) int { return cmp.Compare(b.tasks, a.tasks) })
-	var parts []Assignment
-	for left := q.Gang.Tasks; left > 0; {
-		// The last rack is the tightest that holds what is left.
+	slices.SortStableFunc(racks, func(a, b rackCapacity) int { return cmp.Compare(b.tasks, a.tasks) })
+	var assignments []Assignment
+	for remaining := req.Gang.Tasks; remaining > 0; {
+		// The last rack is the tightest one that holds the remaining tasks.
 		pick := 0
 		for i := range racks {
-			if racks[i].tasks >= left {
+			if racks[i].tasks >= remaining {
 				pick = i
 			}
 		}
-		take := min(left, racks[pick].tasks)
-		parts = append(parts, fill(racks[pick].rooms, q.Gang.PerTask, take)...)
+		take := min(remaining, racks[pick].tasks)
+		assignments = append(assignments, assign(racks[pick].candidates, req.Gang.PerTask, take)...)
 		racks = slices.Delete(racks, pick, pick+1)
-		left -= take
+		remaining -= take
 	}
-	return parts
+	return assignments
 }
 
-// Pack places the gang into the rooms, which are adjacent enough already
-// unless the gang must share one worker. It returns nil if the gang does not fit.
-func Pack(in []Candidate, gang api.Shape) []Assignment {
+// Pack places a gang on the candidates. These already satisfy the gang's adjacency,
+// unless the gang needs a single worker. It returns nil if the gang does not fit.
+func Pack(candidates []Candidate, gang api.Shape) []Assignment {
 	if gang.Adjacency == api.AdjacentWorker {
-		return packOne(in, gang)
+		return packOnOneWorker(candidates, gang)
 	}
 	total := 0
-	for _, r := range in {
+	for _, r := range candidates {
 		total += TasksThatFit(r.Available, gang.PerTask)
 	}
 	if total < gang.Tasks {
 		return nil
 	}
-	return fill(in, gang.PerTask, gang.Tasks)
+	return assign(candidates, gang.PerTask, gang.Tasks)
 }
 
-func packOne(in []Candidate, gang api.Shape) []Assignment {
+func packOnOneWorker(candidates []Candidate, gang api.Shape) []Assignment {
 	var best *Candidate
-	for i := range in {
-		n := TasksThatFit(in[i].Available, gang.PerTask)
+	for i := range candidates {
+		n := TasksThatFit(candidates[i].Available, gang.PerTask)
 		if n >= gang.Tasks && (best == nil || n < TasksThatFit(best.Available, gang.PerTask)) {
-			best = &in[i]
+			best = &candidates[i]
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	return whole(best.Worker, gang.Tasks)
+	return onOneWorker(best.Worker, gang.Tasks)
 }
 
-// fill uses the largest rooms first and the tightest one for the rest. The
-// rooms hold at least the given number of tasks.
-func fill(in []Candidate, perTask api.Resources, tasks int) []Assignment {
-	type slot struct {
+// assign uses the largest candidates first and the tightest one for the rest. The
+// candidates must hold at least the given number of tasks.
+func assign(candidates []Candidate, perTask api.Resources, tasks int) []Assignment {
+	type workerTasks struct {
 		worker *fleet.Worker
 		tasks  int
 	}
-	slots := make([]slot, 0, len(in))
-	for _, r := range in {
+	workers := make([]workerTasks, 0, len(candidates))
+	for _, r := range candidates {
 		if n := TasksThatFit(r.Available, perTask); n > 0 {
-			slots = append(slots, slot{r.Worker, n})
+			workers = append(workers, workerTasks{r.Worker, n})
 		}
 	}
-	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(b.tasks, a.tasks) })
-	var parts []Assignment
-	for left, i := tasks, 0; left > 0; {
-		if slots[i].tasks <= left {
-			parts = append(parts, Assignment{slots[i].worker, slots[i].tasks})
-			left -= slots[i].tasks
+	slices.SortStableFunc(workers, func(a, b workerTasks) int { return cmp.Compare(b.tasks, a.tasks) })
+	var assignments []Assignment
+	for remaining, i := tasks, 0; remaining > 0; {
+		if workers[i].tasks <= remaining {
+			assignments = append(assignments, Assignment{workers[i].worker, workers[i].tasks})
+			remaining -= workers[i].tasks
 			i++
 			continue
 		}
 		last := i
-		for last+1 < len(slots) && slots[last+1].tasks >= left {
+		for last+1 < len(workers) && workers[last+1].tasks >= remaining {
 			last++
 		}
-		parts = append(parts, Assignment{slots[last].worker, left})
-		left = 0
+		assignments = append(assignments, Assignment{workers[last].worker, remaining})
+		remaining = 0
 	}
-	return parts
+	return assignments
 }
 
-// maxTasksPerWorker bounds the count of tasks that ask for nothing.
+// maxTasksPerWorker limits the count for tasks that request no resources.
 const maxTasksPerWorker = 1 << 20
 
 // TasksThatFit returns how many tasks of the given size fit into avail.
@@ -317,32 +317,32 @@
 	return n
 }
 
-// ForEachDomain visits one room for the whole gang in each worker, rack or zone that
-// has one, until visit returns false.
-func ForEachDomain(f *fleet.Fleet, q Request, visit func([]Assignment) bool) {
-	if q.Gang.Tasks == 1 {
-		q.Gang.Adjacency = api.AdjacentWorker
+// ForEachDomain visits one placement of the whole gang in each worker, rack or zone
+// that has room, until visit returns false.
+func ForEachDomain(f *fleet.Fleet, req Request, visit func([]Assignment) bool) {
+	if req.Gang.Tasks == 1 {
+		req.Gang.Adjacency = api.AdjacentWorker
 	}
-	need := q.Gang.PerTask.Times(q.Gang.Tasks)
-	if q.Gang.Adjacency == api.AdjacentZone {
+	need := req.Gang.PerTask.Times(req.Gang.Tasks)
+	if req.Gang.Adjacency == api.AdjacentZone {
 		for _, z := range f.Zones() {
-			if !need.Fits(f.ZoneTotal(z, q.View)) {
+			if !need.Fits(f.ZoneTotal(z, req.View)) {
 				continue
 			}
-			parts := packZone(f, z, q)
-			if parts != nil && !visit(parts) {
+			assignments := packInZone(f, z, req)
+			if assignments != nil && !visit(assignments) {
 				return
 			}
 		}
 		return
 	}
-	eachRack(f, q, need, func(r *fleet.Rack) bool {
-		if q.Gang.Adjacency == api.AdjacentRack {
-			parts := Pack(rooms(r.Workers, &q), q.Gang)
+	eachRack(f, req, need, func(r *fleet.Rack) bool {
+		if req.Gang.Adjacency == api.AdjacentRack {
+			parts := Pack(candidates(r.Workers, &req), req.Gang)
 			return parts == nil || visit(parts)
 		}
 		for _, w := range r.Workers {
-			if need.Fits(q.room(w)) && !visit(whole(w, q.Gang.Tasks)) {
+			if need.Fits(req.available(w)) && !visit(onOneWorker(w, req.Gang.Tasks)) {
 				return false
 			}
 		}
--- a/internal/sched/scenario_test.go
+++ b/internal/sched/scenario_test.go
@@ -12,15 +12,15 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// TestScenarios runs the scripts in testdata/scenarios. The output of each
-// command is what the core decided since the last one, by virtual time.
+// TestScenarios runs the scripts in testdata/scenarios. The output of each command
+// is what the core decided since the previous one, with the virtual time.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		s := &scenario{rig: newRig(), answered: map[string]bool{}}
 		s.fail = t.Fatalf
 		s.config = &api.Config{Version: 1, Profiles: map[string]api.Profile{}, Zones: map[string]api.AvailabilityZone{}}
-		s.onEv = func(at time.Duration, ev Event, acts []Action) { s.record(acts) }
-		s.own(0)
+		s.onEvent = func(at time.Duration, ev Event, acts []Action) { s.record(acts) }
+		s.takeOwnership(0)
 		datadriven.RunTest(t, path, s.command)
 	})
 }
@@ -29,26 +29,26 @@
 	*rig
 	core *Core
 	log  []string
-	// answered is the jobs whose answer is in the log.
+	// answered holds the jobs whose answer is in the log.
 	answered map[string]bool
 }
 
-func (s *scenario) own(startAfter time.Duration) {
+func (s *scenario) takeOwnership(startAfter time.Duration) {
 	s.core = New(Config{TermStart: time.Unix(0, 0).Add(s.now)})
 	s.takeOver(s.core, startAfter)
-	s.tick()
+	s.startTicks()
 }
 
 func (s *scenario) logf(format string, args ...any) {
 	s.log = append(s.log, fmt.Sprintf("%9v  ", s.now.Truncate(10*time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
-// record keeps one line for what a step does for each job.
+// record logs one line per job for the actions of a step.
 func (s *scenario) record(acts []Action) {
 	for i := 0; i < len(acts); i++ {
 		switch a := acts[i].(type) {
 		case Start:
-			s.logf("start %s on %s%s", a.JobID, s.places(a.JobID), resume(a.Checkpoint))
+			s.logf("start %s on %s%s", a.JobID, s.places(a.JobID), formatResume(a.Checkpoint))
 			for i+1 < len(acts) && isStartOf(acts[i+1], a.JobID) {
 				i++
 			}
@@ -72,7 +72,7 @@
 	return ok && s.JobID == id
 }
 
-func resume(checkpoint string) string {
+func formatResume(checkpoint string) string {
 	if checkpoint == "" {
 		return ""
 	}
@@ -106,11 +106,11 @@
 		s.workerCommand(d.CmdArgs[0].Key, d.CmdArgs[1].Key)
 	case "store":
 		s.storeDown = d.CmdArgs[0].Key != "up"
-		s.step(Ownership{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
+		s.step(OwnerStatus{Owner: true, Epoch: uint64(s.term), StoreDown: d.CmdArgs[0].Key == "down"})
 	case "drain":
 		s.step(Drain{})
 	case "takeover":
-		s.own(HoldLease + DefaultLeaseMargin)
+		s.takeOwnership(HoldLease + DefaultLeaseMargin)
 	case "advance":
 		by, err := time.ParseDuration(d.CmdArgs[0].Key)
 		if err != nil {
@@ -146,7 +146,7 @@
 		for r := range scanInt(t, d, "racks", 1) {
 			for w := range scanInt(t, d, "workers", 1) {
 				name := fmt.Sprintf("z%d-r%d-w%d", z+1, r+1, w+1)
-				s.addAgent(name, fmt.Sprintf("z%d", z+1), fmt.Sprintf("r%d", r+1), capacity).up()
+				s.addAgent(name, fmt.Sprintf("z%d", z+1), fmt.Sprintf("r%d", r+1), capacity).connect()
 			}
 		}
 	}
@@ -183,7 +183,8 @@
 	}
 }
 
-// submitCommand submits count jobs; run is the true run time, declared what is declared.
+// submitCommand submits count jobs. run is the true run time, declared the declared
+// one.
 func (s *scenario) submitCommand(t *testing.T, d *datadriven.TestData) {
 	id, run := scanString(t, d, "id", ""), scanString(t, d, "run", "1h")
 	length, err := time.ParseDuration(run)
@@ -203,9 +204,9 @@
 		if deadline, err := time.ParseDuration(scanString(t, d, "deadline", "")); err == nil {
 			job.Deadline = job.Submitted.Add(deadline)
 		}
-		s.run[job.ID] = length
-		s.bad[job.ID] = d.HasArg("bad")
-		s.usage[job.ID] = scanInt(t, d, "uses", 0)
+		s.runTimes[job.ID] = length
+		s.failingJobs[job.ID] = d.HasArg("bad")
+		s.memoryPerTask[job.ID] = scanInt(t, d, "uses", 0)
 		if why, never := s.core.NeverFits(job); never {
 			s.logf("refused %s: %s", job.ID, why)
 			continue
@@ -218,15 +219,15 @@
 	g := s.agents[name]
 	switch what {
 	case "down":
-		g.down()
+		g.disconnect()
 	case "up":
-		g.up()
+		g.connect()
 	case "crash":
 		g.crash()
 	case "faulty", "good":
 		g.faulty = what == "faulty"
 	case "deaf", "hearing":
-		g.deaf = what == "deaf"
+		g.dropsMessages = what == "deaf"
 	case "leaving":
 		s.step(WorkerStatus{Worker: name, Healthy: true, Leaving: true})
 	case "old-lease":
@@ -234,7 +235,7 @@
 	}
 }
 
-// jobs prints the jobs that are not answered yet.
+// jobs prints the jobs that have not been answered yet.
 func (s *scenario) jobs() string {
 	var out []string
 	for _, id := range sortedKeys(s.core.jobs) {
