--- a/internal/agent/keeper/orders.go
+++ b/internal/agent/keeper/orders.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// executeStart executes a start order.
+// executeStart starts a run on the worker. If the call fails or its outcome is
+// unknown, it settles the run, so that the owner learns what became of it.
 func (k *Keeper) executeStart(ctx context.Context, o *rpc.StartTask) {
 	task, run := rpc.TaskOf(o.Ref)
 	ref := runRef{task, run}
@@ -136,7 +137,8 @@
 	wake(k.wakeSend)
 }
 
-// executeStop executes a stop order.
+// executeStop stops a run and settles it. If the run has an order in progress, the
+// stop is left to that order.
 func (k *Keeper) executeStop(ctx context.Context, epoch uint64, r *rpc.TaskRef) {
 	task, run := rpc.TaskOf(r)
 	ref := runRef{task, run}
--- a/internal/entry/graphs/handover.go
+++ b/internal/entry/graphs/handover.go
@@ -50,7 +50,7 @@
 type Handover struct {
 	owner       Resigner
 	table       TableHealth
-	storeOutage func() time.Duration // time since the configuration was last confirmed; 0 if it is confirmed
+	storeOutage func() time.Duration // time since the configuration was last confirmed; 0 while the store confirms it
 	peers       *Peers
 	log         zerolog.Logger
 	loops       kernel.Loops
--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -98,7 +98,7 @@
 	job             *graph.Job // nil if the job's request row was not among the rows
 	cancelled       bool
 	progress        *graph.Progress
-	progressVersion uint64 // of the progress row
+	progressVersion uint64
 }
 
 func (s *storedJob) state() graph.State {
