--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -129,16 +129,16 @@
 }
 
 func hostedOwner(l *ledger.Client, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
-	times := owner.Times{
-		Lease:     hostedTerm,
-		Renew:     hostedRenew,
-		Margin:    200 * time.Millisecond,
-		Poll:      hostedPoll,
-		TakeOver:  hostedTakeOver,
-		PermitTTL: time.Millisecond, // workers' leases are waited for one by one
+	times := owner.Timing{
+		Lease:         hostedTerm,
+		RenewInterval: hostedRenew,
+		ClockMargin:   200 * time.Millisecond,
+		PollInterval:  hostedPoll,
+		TakeoverDelay: hostedTakeOver,
+		PermitTTL:     time.Millisecond, // workers' leases are waited for one by one
 	}
-	self := owner.Self{ID: s.Node, Sole: true, Addr: s.EntryAddress(s.IP)}
-	return owner.New(l, settings.HostedCell, self, c, owner.Config{Times: times, Metrics: registry, Log: log})
+	self := owner.Self{ID: s.Node, ExclusiveID: true, Addr: s.EntryAddress(s.IP)}
+	return owner.New(l, settings.HostedCell, self, c, owner.Config{Timing: times, Metrics: registry, Log: log})
 }
 
 func hostedPeers(s *settings.Hosted, o *owner.Service, log zerolog.Logger) *graphs.Peers {
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -132,7 +132,7 @@
 func newOwner(l ledger.Ledger, s *settings.Entry, m *membership.Service, config *confstate.Service, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
 	self := owner.Self{ID: string(s.ID), Addr: advertised(s)}
 	o := owner.New(l, string(s.Cell), self, c, owner.Config{
-		Times:   ownerTimes(),
+		Timing:  ownerTimes(),
 		Peers:   ownerPeers{config, m},
 		Metrics: registry,
 		Log:     log,
@@ -152,13 +152,13 @@
 
 // ownerTimes lets a takeover after a kill end within the time in which urgent
 // work has to start: lease, margin and permission follow one another.
-func ownerTimes() owner.Times {
-	return owner.Times{
-		Lease:     1500 * time.Millisecond,
-		Renew:     400 * time.Millisecond,
-		Margin:    200 * time.Millisecond,
-		Poll:      200 * time.Millisecond,
-		PermitTTL: route.PermitTTL,
+func ownerTimes() owner.Timing {
+	return owner.Timing{
+		Lease:         1500 * time.Millisecond,
+		RenewInterval: 400 * time.Millisecond,
+		ClockMargin:   200 * time.Millisecond,
+		PollInterval:  200 * time.Millisecond,
+		PermitTTL:     route.PermitTTL,
 	}
 }
 
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -60,7 +60,7 @@
 			s.exchange(ctx, t)
 		})
 	}
-	s.transport.Keep(used)
+	s.transport.RetainConnections(used)
 }
 
 func (s *Service) begin(addr string) bool {
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Keep closes the connections to all other addresses.
-func (d *Dialer) Keep(addrs map[string]bool) {
+// RetainConnections closes the connections to all other addresses.
+func (d *Dialer) RetainConnections(addrs map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for addr, p := range d.conns {
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -58,7 +58,7 @@
 	go func() { _ = server.Serve(listener) }()
 	defer server.Stop()
 	d := NewDialer()
-	defer d.Keep(nil)
+	defer d.RetainConnections(nil)
 	misses := 0
 	for end := time.Now().Add(20 * time.Second); ; misses++ {
 		if time.Now().After(end) {
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -20,8 +20,8 @@
 	PresenceLease = 6 * time.Second
 	// ScanInterval is the time between two reads of all rows.
 	ScanInterval = time.Second
-	// RowLifetime is how long the row of an absent entry stays.
-	RowLifetime = 2 * time.Minute
+	// PresenceRowTTL is how long the row of an absent entry stays.
+	PresenceRowTTL = 2 * time.Minute
 
 	// scanGap is the longest time between two scans of an unbroken watch.
 	scanGap = 3 * ScanInterval
@@ -147,7 +147,7 @@
 	if !unbroken {
 		m.rowSince = now
 	}
-	return now-m.rowSince > RowLifetime && !m.heardWithin(now, PresenceLease)
+	return now-m.rowSince > PresenceRowTTL && !m.heardWithin(now, PresenceLease)
 }
 
 // expire drops the entries that are neither in a scanned row nor heard.
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -39,8 +39,8 @@
 type Transport interface {
 	Exchange(ctx context.Context, addr string, s *rpc.PeerState) (*rpc.PeerState, error)
 	Entries(ctx context.Context, addr string) ([]*rpc.EntryAddress, error)
-	// Keep tells which addresses are still in use.
-	Keep(addrs map[string]bool)
+	// RetainConnections tells which addresses are still in use.
+	RetainConnections(addrs map[string]bool)
 }
 
 // Configuration is the part of the configuration's service that exchanges need.
@@ -146,7 +146,7 @@
 	})
 	s.loops.Every(ScanInterval, s.Scan)
 	s.loops.Every(ExchangeInterval, s.ExchangeAll)
-	s.loops.Every(lookupInterval, s.Lookup)
+	s.loops.Every(lookupInterval, s.QuerySeeds)
 	s.running = true
 	return nil
 }
@@ -177,7 +177,7 @@
 		})
 	}
 	wg.Wait()
-	s.transport.Keep(nil)
+	s.transport.RetainConnections(nil)
 	s.removeRow(ctx)
 }
 
@@ -257,10 +257,10 @@
 	}
 }
 
-// Lookup asks the seeds for the entries while the store does not tell. Such a
+// QuerySeeds asks the seeds for the entries while the store does not tell. Such a
 // list may be short of entries that nobody reached, so it does not count as
 // known for the rule on starts.
-func (s *Service) Lookup(ctx context.Context) {
+func (s *Service) QuerySeeds(ctx context.Context) {
 	s.mu.Lock()
 	needed := !s.roster.watching(s.clock())
 	s.mu.Unlock()
@@ -327,10 +327,10 @@
 
 // PeerReport is a peer's last state and its age.
 type PeerReport struct {
-	State *rpc.PeerState
-	Zone  string
-	Age   time.Duration
-	Heard bool // false while the peer has not answered yet
+	State      *rpc.PeerState
+	Zone       string
+	Age        time.Duration
+	HasReplied bool // false while the peer has not answered yet
 }
 
 // Reports returns the last state of each present peer, in order of id.
@@ -356,20 +356,20 @@
 	Name         string `json:"name"`
 	Addr         string `json:"rpc_address"`
 	Zone         string `json:"zone,omitempty"`
-	Row          uint64 `json:"row_version"`
-	Heard        bool   `json:"heard"`
-	HeardAgeMS   int64  `json:"heard_age_ms"`
+	RowVersion   uint64 `json:"row_version"`
+	HasReplied   bool   `json:"heard"`
+	ReplyAgeMS   int64  `json:"heard_age_ms"`
 	StoreFailing bool   `json:"store_failing"`
 }
 
 // State is the dump of a service.
 type State struct {
-	Self       Self       `json:"self"`
-	Known      bool       `json:"list_known"`
-	Settled    bool       `json:"settled"`
-	ScanAgeMS  int64      `json:"scan_age_ms"`
-	OwnerEpoch uint64     `json:"highest_owner_epoch"`
-	Peers      []PeerDump `json:"peers"`
+	Self              Self       `json:"self"`
+	ListKnown         bool       `json:"list_known"`
+	Settled           bool       `json:"settled"`
+	ScanAgeMS         int64      `json:"scan_age_ms"`
+	HighestOwnerEpoch uint64     `json:"highest_owner_epoch"`
+	Peers             []PeerDump `json:"peers"`
 }
 
 // DumpState returns the service's state.
@@ -378,17 +378,17 @@
 	defer s.mu.Unlock()
 	now := s.clock()
 	st := State{
-		Self:       s.self,
-		Known:      s.roster.scanned,
-		Settled:    s.announced.settled(now) && s.roster.met(),
-		ScanAgeMS:  (now - s.roster.lastScan).Milliseconds(),
-		OwnerEpoch: s.roster.highest,
-		Peers:      []PeerDump{},
+		Self:              s.self,
+		ListKnown:         s.roster.scanned,
+		Settled:           s.announced.settled(now) && s.roster.met(),
+		ScanAgeMS:         (now - s.roster.lastScan).Milliseconds(),
+		HighestOwnerEpoch: s.roster.highest,
+		Peers:             []PeerDump{},
 	}
 	for _, m := range s.roster.list() {
 		st.Peers = append(st.Peers, PeerDump{
-			Name: m.name, Addr: m.addr, Zone: m.zone, Row: m.rowVersion,
-			Heard: m.ever, HeardAgeMS: (now - m.heard).Milliseconds(),
+			Name: m.name, Addr: m.addr, Zone: m.zone, RowVersion: m.rowVersion,
+			HasReplied: m.ever, ReplyAgeMS: (now - m.heard).Milliseconds(),
 			StoreFailing: m.state.GetStoreFailing(),
 		})
 	}
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -105,7 +105,7 @@
 	return nil, errors.New("unreachable")
 }
 
-func (n *network) Keep(map[string]bool) {}
+func (n *network) RetainConnections(map[string]bool) {}
 
 // start starts an incarnation of the entry at an address.
 func (n *network) start(id, addr, incarnation string) *Service {
@@ -128,7 +128,7 @@
 			if s, ok := n.nodes[addr]; ok {
 				s.Announce(ctx)
 				s.Scan(ctx)
-				s.Lookup(ctx)
+				s.QuerySeeds(ctx)
 				s.ExchangeAll(ctx)
 			}
 		}
@@ -185,7 +185,7 @@
 	n.start("b", "addr-b", "1")
 	n.run(time.Second)
 	delete(n.nodes, "addr-b")
-	n.run(RowLifetime + PresenceLease)
+	n.run(PresenceRowTTL + PresenceLease)
 	if len(n.store.rows) != 1 {
 		t.Errorf("rows %v", n.store.rows)
 	}
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -14,12 +14,12 @@
 const (
 	// DefaultLease is how long one renewal lasts.
 	DefaultLease = 3 * time.Second
-	// DefaultRenew is the time between two renewals.
-	DefaultRenew = time.Second
-	// DefaultMargin covers the difference of clock rates during a lease.
-	DefaultMargin = 300 * time.Millisecond
-	// DefaultPoll is the time between two looks at the row by the others.
-	DefaultPoll = 400 * time.Millisecond
+	// DefaultRenewInterval is the time between two renewals.
+	DefaultRenewInterval = time.Second
+	// DefaultClockMargin covers the difference of clock rates during a lease.
+	DefaultClockMargin = 300 * time.Millisecond
+	// DefaultPollInterval is the time between two looks at the row by the others.
+	DefaultPollInterval = 400 * time.Millisecond
 	// DefaultPermitTTL is how long a permission to start lasts that an owner has given.
 	DefaultPermitTTL = 2 * time.Second
 
@@ -36,33 +36,33 @@
 	minWatch = confstate.MaxPeerReportAge + 200*time.Millisecond
 )
 
-// Times configures a core.
-type Times struct {
-	Lease     time.Duration
-	Renew     time.Duration
-	Margin    time.Duration
-	Poll      time.Duration
-	PermitTTL time.Duration
-	// TakeOver is how long the row has to be unchanged before another process
+// Timing configures a core.
+type Timing struct {
+	Lease         time.Duration
+	RenewInterval time.Duration
+	ClockMargin   time.Duration
+	PollInterval  time.Duration
+	PermitTTL     time.Duration
+	// TakeoverDelay is how long the row has to be unchanged before another process
 	// claims it; 0 for until the lease is over on any clock. With a shorter time
 	// the term of the earlier owner may go on for Overlap: whoever acts for the
 	// cell has to be safe by its epochs alone.
-	TakeOver time.Duration
+	TakeoverDelay time.Duration
 }
 
 // Overlap is for how long an earlier owner may still act after a claim.
-func (t Times) Overlap() time.Duration {
-	if t.TakeOver == 0 {
+func (t Timing) Overlap() time.Duration {
+	if t.TakeoverDelay == 0 {
 		return 0
 	}
-	return max(0, t.Lease-t.TakeOver)
+	return max(0, t.Lease-t.TakeoverDelay)
 }
 
-func (t Times) withDefaults() Times {
+func (t Timing) withDefaults() Timing {
 	setDuration(&t.Lease, DefaultLease)
-	setDuration(&t.Renew, DefaultRenew)
-	setDuration(&t.Margin, DefaultMargin)
-	setDuration(&t.Poll, DefaultPoll)
+	setDuration(&t.RenewInterval, DefaultRenewInterval)
+	setDuration(&t.ClockMargin, DefaultClockMargin)
+	setDuration(&t.PollInterval, DefaultPollInterval)
 	setDuration(&t.PermitTTL, DefaultPermitTTL)
 	return t
 }
@@ -78,9 +78,9 @@
 	ID          string
 	Addr        string
 	Incarnation string
-	// Sole tells that no earlier process with the ID is alive, so that its
+	// ExclusiveID tells that no earlier process with the ID is alive, so that its
 	// ownership may be taken at once.
-	Sole bool
+	ExclusiveID bool
 }
 
 // Row is the row of a cell's ownership.
@@ -168,7 +168,7 @@
 // monotonic clock, which goes on while the process is paused.
 type Core struct {
 	self  Self
-	times Times
+	times Timing
 
 	// The row as last seen or written.
 	seen    bool
@@ -201,7 +201,7 @@
 }
 
 // NewCore returns a core that has seen nothing.
-func NewCore(self Self, times Times) *Core {
+func NewCore(self Self, times Timing) *Core {
 	return &Core{self: self, times: times.withDefaults()}
 }
 
@@ -265,7 +265,7 @@
 	}
 	c.busy = true
 	c.readSent = now
-	c.nextRead = now + c.times.Poll
+	c.nextRead = now + c.times.PollInterval
 	return []Action{Read{}}
 }
 
@@ -277,7 +277,7 @@
 	row := c.row
 	row.Beat++
 	row.Released = c.leaving
-	c.nextSend = now + c.times.Renew
+	c.nextSend = now + c.times.RenewInterval
 	return c.write(now, row)
 }
 
@@ -294,13 +294,13 @@
 	if !c.seen || c.leaving || now < c.nextSend {
 		return false
 	}
-	if c.free() || c.self.Sole && c.row.EntryID == c.self.ID {
+	if c.free() || c.self.ExclusiveID && c.row.EntryID == c.self.ID {
 		return true
 	}
 	if !c.watching || now-c.lastRead > watchGap {
 		return false
 	}
-	if c.times.TakeOver == 0 && now-c.watchSince <= minWatch {
+	if c.times.TakeoverDelay == 0 && now-c.watchSince <= minWatch {
 		return false
 	}
 	return now-c.unchangedSince > c.patience()
@@ -313,11 +313,11 @@
 
 // patience is how long the row has to be unchanged before it is claimed.
 func (c *Core) patience() time.Duration {
-	over := c.times.Lease + c.times.Margin
-	if c.times.TakeOver == 0 {
+	over := c.times.Lease + c.times.ClockMargin
+	if c.times.TakeoverDelay == 0 {
 		return over
 	}
-	return min(over, c.times.TakeOver+slowReads*c.readTook)
+	return min(over, c.times.TakeoverDelay+slowReads*c.readTook)
 }
 
 func (c *Core) free() bool {
@@ -325,7 +325,7 @@
 }
 
 func (c *Core) claim(now time.Duration) []Action {
-	c.nextSend = now + c.times.Renew
+	c.nextSend = now + c.times.RenewInterval
 	return c.write(now, Row{
 		EntryID:     c.self.ID,
 		Addr:        c.self.Addr,
@@ -346,7 +346,7 @@
 		return
 	}
 	c.hold(c.pending.Epoch)
-	c.validUntil = c.sentAt + c.times.Lease - c.times.Margin
+	c.validUntil = c.sentAt + c.times.Lease - c.times.ClockMargin
 	if claimed {
 		c.startAfter = c.firstStart(now, clean)
 	}
@@ -362,7 +362,7 @@
 	if clean {
 		return now
 	}
-	return now + c.times.PermitTTL + c.times.Margin
+	return now + c.times.PermitTTL + c.times.ClockMargin
 }
 
 // observe takes over a row that was read.
@@ -420,13 +420,13 @@
 	}
 }
 
-// Outage tells what the peers know of the store, for the time in which the
+// StoreOutage tells what the peers know of the store, for the time in which the
 // lease cannot be renewed.
-type Outage struct {
-	// Everywhere is true while no entry reaches the store.
-	Everywhere bool
-	// Down is true while this entry's store is down.
-	Down bool
+type StoreOutage struct {
+	// AllEntries is true while no entry reaches the store.
+	AllEntries bool
+	// ThisEntry is true while this entry's store is down.
+	ThisEntry bool
 }
 
 // Authority is this process's right to act for a cell at one moment.
@@ -443,7 +443,7 @@
 
 // Authority returns the rights at a time. A process that was paused past its
 // lease has none, as its clock went on.
-func (c *Core) Authority(now time.Duration, o Outage) Authority {
+func (c *Core) Authority(now time.Duration, o StoreOutage) Authority {
 	a := Authority{Epoch: c.highest}
 	if c.seen && !c.free() {
 		a.OwnerID, a.OwnerAddr = c.row.EntryID, c.row.Addr
@@ -452,12 +452,12 @@
 		return a
 	}
 	valid := now < c.validUntil
-	if !valid && !o.Everywhere {
+	if !valid && !o.AllEntries {
 		return a
 	}
 	a.Owner = true
 	a.StartAfter = c.startAfter
-	a.StoreDown = !valid || o.Down
+	a.StoreDown = !valid || o.ThisEntry
 	return a
 }
 
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -16,7 +16,7 @@
 	version uint64
 	row     Row
 	flight  map[string]Action // of each core
-	times   Times
+	times   Timing
 }
 
 func (s *coreScenario) core(name string) *Core {
@@ -113,7 +113,7 @@
 		d.ScanArgs(t, "epoch", &epoch)
 		s.core(name).Step(s.now, PeerEpoch{epoch})
 	case "authority":
-		a := s.core(name).Authority(s.now, Outage{Everywhere: everywhere, Down: everywhere})
+		a := s.core(name).Authority(s.now, StoreOutage{AllEntries: everywhere, ThisEntry: everywhere})
 		return fmt.Sprintf("owner=%v epoch=%d start-after=%v of=%q store-down=%v", a.Owner, a.Epoch, max(0, a.StartAfter-s.now), a.OwnerID, a.StoreDown)
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
@@ -150,7 +150,7 @@
 		sole   bool
 		claims bool
 	}{{"a", true, true}, {"a", false, false}, {"b", true, false}} {
-		c := NewCore(Self{ID: tc.id, Incarnation: "second", Sole: tc.sole}, Times{})
+		c := NewCore(Self{ID: tc.id, Incarnation: "second", ExclusiveID: tc.sole}, Timing{})
 		c.Step(0, Tick{})
 		c.Step(time.Millisecond, ReadDone{Version: 5, Row: row})
 		acts := c.Step(2*time.Millisecond, Tick{})
@@ -168,30 +168,30 @@
 // again, whatever becomes of its last renewal, and that an entry which has
 // heard of it claims the row at once.
 func TestResign(t *testing.T) {
-	owner := NewCore(Self{ID: "a", Incarnation: "1"}, Times{})
+	owner := NewCore(Self{ID: "a", Incarnation: "1"}, Timing{})
 	owner.Step(0, Tick{})
 	owner.Step(0, ReadDone{})
 	owner.Step(0, Tick{})
 	owner.Step(0, WriteDone{Version: 1})
-	if !owner.Authority(time.Millisecond, Outage{}).Owner {
+	if !owner.Authority(time.Millisecond, StoreOutage{}).Owner {
 		t.Fatal("no owner to begin with")
 	}
-	renewal := owner.Step(DefaultRenew, Tick{})
-	owner.Step(DefaultRenew, Resign{})
-	owner.Step(DefaultRenew, WriteDone{Version: 2})
+	renewal := owner.Step(DefaultRenewInterval, Tick{})
+	owner.Step(DefaultRenewInterval, Resign{})
+	owner.Step(DefaultRenewInterval, WriteDone{Version: 2})
 	row := renewal[0].(Write).Row
-	owner.Step(DefaultRenew, ReadDone{Version: 2, Row: row})
-	if owner.Authority(DefaultRenew, Outage{}).Owner {
+	owner.Step(DefaultRenewInterval, ReadDone{Version: 2, Row: row})
+	if owner.Authority(DefaultRenewInterval, StoreOutage{}).Owner {
 		t.Fatal("owner again after it has resigned")
 	}
-	other := NewCore(Self{ID: "b", Incarnation: "2"}, Times{})
+	other := NewCore(Self{ID: "b", Incarnation: "2"}, Timing{})
 	other.Step(0, Tick{})
 	other.Step(0, ReadDone{Version: 2, Row: row})
-	if acts := other.Step(DefaultPoll/2, Tick{}); len(acts) > 0 {
+	if acts := other.Step(DefaultPollInterval/2, Tick{}); len(acts) > 0 {
 		t.Fatalf("claims before it has heard: %+v", acts)
 	}
-	other.Step(DefaultPoll/2, PeerResigned{Epoch: row.Epoch})
-	acts := other.Step(DefaultPoll/2, Tick{})
+	other.Step(DefaultPollInterval/2, PeerResigned{Epoch: row.Epoch})
+	acts := other.Step(DefaultPollInterval/2, Tick{})
 	if w, ok := acts[0].(Write); !ok || w.Version != 2 || w.Row.Epoch != row.Epoch+1 {
 		t.Fatalf("after it has heard: %+v", acts)
 	}
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -36,7 +36,7 @@
 
 // Config sets up a service. Zero values take the defaults.
 type Config struct {
-	Times   Times
+	Timing  Timing
 	Peers   Peers
 	Metrics metrics.Registry
 	Log     zerolog.Logger
@@ -75,7 +75,7 @@
 		key:     RowKey(cell),
 		clock:   clock,
 		cfg:     cfg,
-		core:    NewCore(self, cfg.Times),
+		core:    NewCore(self, cfg.Timing),
 		results: make(chan Event, 1),
 	}
 }
@@ -202,7 +202,7 @@
 }
 
 // Overlap is for how long an earlier owner may still act after a claim.
-func (s *Service) Overlap() time.Duration { return s.cfg.Times.withDefaults().Overlap() }
+func (s *Service) Overlap() time.Duration { return s.cfg.Timing.withDefaults().Overlap() }
 
 func (s *Service) read(ctx context.Context) Event {
 	rows, err := s.ledger.Get(ctx, ledger.CauseOwner, s.key)
@@ -255,9 +255,9 @@
 // Current returns this process's rights at this moment. Callers ask again
 // before each effect.
 func (s *Service) Current() Authority {
-	o := Outage{Down: s.ledger.BreakerOpen()}
+	o := StoreOutage{ThisEntry: s.ledger.BreakerOpen()}
 	if s.cfg.Peers != nil {
-		o.Everywhere = s.cfg.Peers.StoreDownEverywhere()
+		o.AllEntries = s.cfg.Peers.StoreDownEverywhere()
 		s.hearPeers()
 	}
 	s.mu.Lock()
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -32,7 +32,7 @@
 	rows  map[string]external.Row
 	late  []external.Txn
 	procs []*process
-	times Times // of ownership
+	times Timing // of ownership
 	depth int
 	nextK int
 
@@ -65,7 +65,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func newWorld(seed int64, n int, times Times) *world {
+func newWorld(seed int64, n int, times Timing) *world {
 	w := &world{
 		times: times,
 		rng:   rand.New(rand.NewSource(seed)),
@@ -144,13 +144,13 @@
 		Sleep: func(_ context.Context, d time.Duration) { p.idle(d) },
 	})
 	p.members.Bind(p.conf, func(s *rpc.PeerState) { s.OwnerEpoch = p.owner.Current().Epoch })
-	p.owner = New(p.ledger, "cell", Self{ID: p.name, Incarnation: p.name}, p.clock, Config{Peers: p, Times: w.times})
+	p.owner = New(p.ledger, "cell", Self{ID: p.name, Incarnation: p.name}, p.clock, Config{Peers: p, Timing: w.times})
 	p.jobs = []job{
 		{every: simStep, run: p.tick},
 		{every: confstate.PollInterval, run: p.conf.Poll},
 		{every: membership.PresenceInterval, run: p.members.Announce},
 		{every: membership.ScanInterval, run: p.members.Scan},
-		{every: lookupEvery, run: p.members.Lookup},
+		{every: lookupEvery, run: p.members.QuerySeeds},
 		{every: membership.ExchangeInterval, run: p.members.ExchangeAll},
 	}
 	w.note("%s starts", p.name)
@@ -419,7 +419,7 @@
 	return q.members.Entries(), nil
 }
 
-func (t simTransport) Keep(map[string]bool) {}
+func (t simTransport) RetainConnections(map[string]bool) {}
 
 func (w *world) unreachable(p, q *process) bool {
 	pair := [2]int{min(p.index, q.index), max(p.index, q.index)}
--- a/internal/owner/store_bench_test.go
+++ b/internal/owner/store_bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkConfigChange(b *testing.B) {
 	for _, racing := range []bool{false, true} {
 		b.Run(fmt.Sprintf("racing=%v", racing), func(b *testing.B) {
-			w := newWorld(1, simProcesses, Times{})
+			w := newWorld(1, simProcesses, Timing{})
 			w.run(10 * time.Second)
 			w.configTxns = 0
 			if racing {
@@ -38,7 +38,7 @@
 // BenchmarkInForce measures, in virtual time, how long after its acknowledgement
 // a change is known to all entries.
 func BenchmarkInForce(b *testing.B) {
-	w := newWorld(1, simProcesses, Times{})
+	w := newWorld(1, simProcesses, Timing{})
 	w.run(10 * time.Second)
 	var sum, worst time.Duration
 	for range b.N {
--- a/internal/owner/store_machine_test.go
+++ b/internal/owner/store_machine_test.go
@@ -14,23 +14,23 @@
 const simProcesses = 3
 
 // shortTimes are those of an entry that has to take over fast.
-var shortTimes = Times{
-	Lease:     1500 * time.Millisecond,
-	Renew:     400 * time.Millisecond,
-	Margin:    200 * time.Millisecond,
-	Poll:      200 * time.Millisecond,
-	PermitTTL: time.Second,
+var shortTimes = Timing{
+	Lease:         1500 * time.Millisecond,
+	RenewInterval: 400 * time.Millisecond,
+	ClockMargin:   200 * time.Millisecond,
+	PollInterval:  200 * time.Millisecond,
+	PermitTTL:     time.Second,
 }
 
 // earlyTimes are those of an entry that takes over before the earlier term is
 // over.
-var earlyTimes = Times{
-	Lease:     1700 * time.Millisecond,
-	Renew:     200 * time.Millisecond,
-	Margin:    200 * time.Millisecond,
-	Poll:      200 * time.Millisecond,
-	PermitTTL: time.Millisecond,
-	TakeOver:  700 * time.Millisecond,
+var earlyTimes = Timing{
+	Lease:         1700 * time.Millisecond,
+	RenewInterval: 200 * time.Millisecond,
+	ClockMargin:   200 * time.Millisecond,
+	PollInterval:  200 * time.Millisecond,
+	PermitTTL:     time.Millisecond,
+	TakeoverDelay: 700 * time.Millisecond,
 }
 
 // storeMachine drives a world by drawn actions.
@@ -159,7 +159,7 @@
 // paused, killed, cut off and stopped.
 func TestStoreMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		times := rapid.SampledFrom([]Times{{}, shortTimes}).Draw(t, "times")
+		times := rapid.SampledFrom([]Timing{{}, shortTimes}).Draw(t, "times")
 		m := &storeMachine{w: newWorld(rapid.Int64().Draw(t, "seed"), simProcesses, times)}
 		m.w.run(time.Second)
 		t.Repeat(map[string]func(*rapid.T){
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -157,7 +157,7 @@
 	entries []*entry
 	agents  []*agent
 	next    int
-	times   owner.Times
+	times   owner.Timing
 	log     zerolog.Logger
 }
 
@@ -181,12 +181,12 @@
 
 func newFleetWithTerm(t *testing.T, entries, workers int, term time.Duration) *fleet {
 	t.Helper()
-	return newFleetWithTimes(t, entries, workers, owner.Times{Lease: term})
+	return newFleetWithTimes(t, entries, workers, owner.Timing{Lease: term})
 }
 
-func newFleetWithTimes(t *testing.T, entries, workers int, times owner.Times) *fleet {
+func newFleetWithTimes(t *testing.T, entries, workers int, times owner.Timing) *fleet {
 	t.Helper()
-	times.Renew, times.Margin, times.Poll, times.PermitTTL = 150*time.Millisecond, 100*time.Millisecond, 100*time.Millisecond, time.Millisecond
+	times.RenewInterval, times.ClockMargin, times.PollInterval, times.PermitTTL = 150*time.Millisecond, 100*time.Millisecond, 100*time.Millisecond, time.Millisecond
 	f := &fleet{t: t, times: times, table: standin.NewFeedTable(), log: zerolog.New(zerolog.NewTestWriter(t)).With().Timestamp().Logger()}
 	addresses, err := process.FreeAddresses("127.0.0.1", entries)
 	if err != nil {
@@ -233,7 +233,7 @@
 	e.operator = &operator{path: e.path, current: snapshot(1)}
 	e.ledger = ledger.New(e.path, ledger.Config{Log: log, Clock: clock, OpTimeout: 300 * time.Millisecond})
 	watcher := policy.NewWatcher(e.operator, policy.Limits{}, clock, registry, log)
-	e.owner = owner.New(e.ledger, cell, owner.Self{ID: id, Addr: address}, clock, owner.Config{Times: f.times, Log: log})
+	e.owner = owner.New(e.ledger, cell, owner.Self{ID: id, Addr: address}, clock, owner.Config{Timing: f.times, Log: log})
 	store := graphs.NewStore(e.ledger)
 	scheduler := graphs.NewScheduler(e.owner, store, watcher, graphs.Limits{}, clock, time.Now, registry, log)
 	e.schedule = scheduler
--- a/test/graphs/graphs_test.go
+++ b/test/graphs/graphs_test.go
@@ -68,7 +68,7 @@
 // serve workers.
 func TestTakeoverBeforeTheTermIsOver(t *testing.T) {
 	const term, takeOver = 6 * time.Second, 700 * time.Millisecond
-	f := newFleetWithTimes(t, 3, 4, owner.Times{Lease: term, TakeOver: takeOver})
+	f := newFleetWithTimes(t, 3, 4, owner.Timing{Lease: term, TakeoverDelay: takeOver})
 	f.setWork(3 * time.Second)
 	id := f.submit(f.entries[0], 12)
 	f.await("twelve starts", func() bool { return len(f.starts(id)) == 12 })
