--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -23,17 +23,17 @@
 	// DefaultPermitTTL is how long a permission to start lasts that an owner has given.
 	DefaultPermitTTL = 2 * time.Second
 
-	// retryInterval is the time until a write is tried again that was refused.
-	retryInterval = 200 * time.Millisecond
-	// watchGap is the longest time between two reads of an unbroken watch. It
+	// writeRetryDelay is the time until a write is tried again that was refused.
+	writeRetryDelay = 200 * time.Millisecond
+	// maxWatchGap is the longest time between two reads of an unbroken watch. It
 	// is shorter than the time after which this process reports the store as
 	// failing, so that an owner that goes on through an outage hears of the
 	// watch before the row is claimed.
-	watchGap = 1200 * time.Millisecond
-	// minWatch is how long a watch lasts at least before the row is claimed. By
+	maxWatchGap = 1200 * time.Millisecond
+	// minWatchDuration is how long a watch lasts at least before the row is claimed. By
 	// then no report of this process that the store fails counts any more, so
 	// that an owner that goes on through an outage has stopped.
-	minWatch = confstate.MaxPeerReportAge + 200*time.Millisecond
+	minWatchDuration = confstate.MaxPeerReportAge + 200*time.Millisecond
 )
 
 // Timing configures a core.
@@ -59,15 +59,15 @@
 }
 
 func (t Timing) withDefaults() Timing {
-	setDuration(&t.Lease, DefaultLease)
-	setDuration(&t.RenewInterval, DefaultRenewInterval)
-	setDuration(&t.ClockMargin, DefaultClockMargin)
-	setDuration(&t.PollInterval, DefaultPollInterval)
-	setDuration(&t.PermitTTL, DefaultPermitTTL)
+	setDefault(&t.Lease, DefaultLease)
+	setDefault(&t.RenewInterval, DefaultRenewInterval)
+	setDefault(&t.ClockMargin, DefaultClockMargin)
+	setDefault(&t.PollInterval, DefaultPollInterval)
+	setDefault(&t.PermitTTL, DefaultPermitTTL)
 	return t
 }
 
-func setDuration(v *time.Duration, def time.Duration) {
+func setDefault(v *time.Duration, def time.Duration) {
 	if *v == 0 {
 		*v = def
 	}
@@ -170,34 +170,34 @@
 	self  Self
 	times Timing
 
-	// The row as last seen or written.
-	seen    bool
-	version uint64
-	row     Row
+	// The row as last rowKnown or written.
+	rowKnown bool
+	version  uint64
+	row      Row
 	// unchangedSince is when the row was first seen at version, in a series of
 	// reads without a gap; lastRead is the last of them.
 	unchangedSince time.Duration
-	lastRead       time.Duration
-	watching       bool
-	watchSince     time.Duration // start of the series
-	readSent       time.Duration
-	readTook       time.Duration // by the last read that was answered
+	lastObserved   time.Duration
+	watchUnbroken  bool
+	watchStart     time.Duration // start of the series
+	readSentAt     time.Duration
+	readLatency    time.Duration // by the last read that was answered
 
-	// epoch is that of the term held, 0 for none. The term is valid until
+	// heldEpoch is that of the term held, 0 for none. The term is valid until
 	// validUntil and may start work from startAfter on.
-	epoch      uint64
-	validUntil time.Duration
-	startAfter time.Duration
-	highest    uint64 // highest epoch heard of
-	resigned   uint64 // epoch of the last term whose owner has resigned
+	heldEpoch     uint64
+	validUntil    time.Duration
+	startAfter    time.Duration
+	highestEpoch  uint64 // highest epoch heard of
+	resignedEpoch uint64 // epoch of the last term whose owner has resigned
 
-	busy     bool // an action is in progress
-	pending  Row
-	sentAt   time.Duration
-	nextSend time.Duration
-	nextRead time.Duration
-	mustRead bool
-	leaving  bool
+	inFlight    bool // an action is in progress
+	pendingRow  Row
+	writeSentAt time.Duration
+	nextWrite   time.Duration
+	nextRead    time.Duration
+	mustRead    bool
+	releasing   bool
 }
 
 // NewCore returns a core that has seen nothing.
@@ -211,211 +211,211 @@
 	case Tick:
 		return c.tick(now)
 	case ReadDone:
-		c.busy, c.mustRead = false, false
-		c.readTook = now - c.readSent
-		c.observe(now, e.Version, e.Row)
+		c.inFlight, c.mustRead = false, false
+		c.readLatency = now - c.readSentAt
+		c.applyRow(now, e.Version, e.Row)
 	case ReadFailed:
-		c.busy, c.watching = false, false
+		c.inFlight, c.watchUnbroken = false, false
 	case WriteDone:
-		c.busy = false
-		c.written(now, e.Version)
+		c.inFlight = false
+		c.applyWrite(now, e.Version)
 	case WriteConflict:
-		c.busy = false
-		c.observe(now, e.Version, e.Row)
+		c.inFlight = false
+		c.applyRow(now, e.Version, e.Row)
 	case WriteFailed:
-		c.busy = false
-		c.nextSend = now + retryInterval
+		c.inFlight = false
+		c.nextWrite = now + writeRetryDelay
 	case WriteUnknown:
-		c.busy, c.mustRead, c.watching = false, true, false
+		c.inFlight, c.mustRead, c.watchUnbroken = false, true, false
 	case PeerEpoch:
-		c.hear(e.Epoch)
+		c.observeEpoch(e.Epoch)
 	case Resign:
-		if c.epoch > 0 {
-			c.resigned = c.epoch
-			c.drop()
+		if c.heldEpoch > 0 {
+			c.resignedEpoch = c.heldEpoch
+			c.endTerm()
 		}
 	case PeerResigned:
-		c.resigned = max(c.resigned, e.Epoch)
+		c.resignedEpoch = max(c.resignedEpoch, e.Epoch)
 	case Release:
-		c.leaving = true
-		c.nextSend = now
+		c.releasing = true
+		c.nextWrite = now
 	}
 	return nil
 }
 
 func (c *Core) tick(now time.Duration) []Action {
 	switch {
-	case c.busy:
+	case c.inFlight:
 		return nil
 	case c.mustRead:
-		return c.read(now)
-	case c.epoch > 0:
-		return c.renew(now)
+		return c.readIfDue(now)
+	case c.heldEpoch > 0:
+		return c.renewIfDue(now)
 	case c.mayClaim(now):
 		return c.claim(now)
-	case now >= c.nextRead && !c.leaving:
-		return c.read(now)
+	case now >= c.nextRead && !c.releasing:
+		return c.readIfDue(now)
 	}
 	return nil
 }
 
-func (c *Core) read(now time.Duration) []Action {
+func (c *Core) readIfDue(now time.Duration) []Action {
 	if now < c.nextRead {
 		return nil
 	}
-	c.busy = true
-	c.readSent = now
+	c.inFlight = true
+	c.readSentAt = now
 	c.nextRead = now + c.times.PollInterval
 	return []Action{Read{}}
 }
 
-// renew sends the next beat, or the release when this process is leaving.
-func (c *Core) renew(now time.Duration) []Action {
-	if now < c.nextSend {
+// renewIfDue sends the next beat, or the release when this process is leaving.
+func (c *Core) renewIfDue(now time.Duration) []Action {
+	if now < c.nextWrite {
 		return nil
 	}
 	row := c.row
 	row.Beat++
-	row.Released = c.leaving
-	c.nextSend = now + c.times.RenewInterval
+	row.Released = c.releasing
+	c.nextWrite = now + c.times.RenewInterval
 	return c.write(now, row)
 }
 
 func (c *Core) write(now time.Duration, row Row) []Action {
-	c.busy = true
-	c.pending = row
-	c.sentAt = now
+	c.inFlight = true
+	c.pendingRow = row
+	c.writeSentAt = now
 	return []Action{Write{Version: c.version, Row: row}}
 }
 
 // mayClaim reports whether the row is free: absent, released, or unchanged
 // for long enough.
 func (c *Core) mayClaim(now time.Duration) bool {
-	if !c.seen || c.leaving || now < c.nextSend {
+	if !c.rowKnown || c.releasing || now < c.nextWrite {
 		return false
 	}
-	if c.free() || c.self.ExclusiveID && c.row.EntryID == c.self.ID {
+	if c.rowAvailable() || c.self.ExclusiveID && c.row.EntryID == c.self.ID {
 		return true
 	}
-	if !c.watching || now-c.lastRead > watchGap {
+	if !c.watchUnbroken || now-c.lastObserved > maxWatchGap {
 		return false
 	}
-	if c.times.TakeoverDelay == 0 && now-c.watchSince <= minWatch {
+	if c.times.TakeoverDelay == 0 && now-c.watchStart <= minWatchDuration {
 		return false
 	}
-	return now-c.unchangedSince > c.patience()
+	return now-c.unchangedSince > c.unchangedLimit()
 }
 
-// slowReads is the number of this process's reads for which an owner whose
+// renewalReads is the number of this process's reads for which an owner whose
 // table is as slow may take longer to renew: it sends a renewal only after the
 // last one was answered, and the row is seen when a read returns.
-const slowReads = 3
+const renewalReads = 3
 
-// patience is how long the row has to be unchanged before it is claimed.
-func (c *Core) patience() time.Duration {
-	over := c.times.Lease + c.times.ClockMargin
+// unchangedLimit is how long the row has to be unchanged before it is claimed.
+func (c *Core) unchangedLimit() time.Duration {
+	untilExpiry := c.times.Lease + c.times.ClockMargin
 	if c.times.TakeoverDelay == 0 {
-		return over
+		return untilExpiry
 	}
-	return min(over, c.times.TakeoverDelay+slowReads*c.readTook)
+	return min(untilExpiry, c.times.TakeoverDelay+renewalReads*c.readLatency)
 }
 
-func (c *Core) free() bool {
-	return c.version == 0 || c.row.Released || c.row.Epoch > 0 && c.row.Epoch == c.resigned
+func (c *Core) rowAvailable() bool {
+	return c.version == 0 || c.row.Released || c.row.Epoch > 0 && c.row.Epoch == c.resignedEpoch
 }
 
 func (c *Core) claim(now time.Duration) []Action {
-	c.nextSend = now + c.times.RenewInterval
+	c.nextWrite = now + c.times.RenewInterval
 	return c.write(now, Row{
 		EntryID:     c.self.ID,
 		Addr:        c.self.Addr,
 		Incarnation: c.self.Incarnation,
-		Epoch:       max(c.row.Epoch, c.highest) + 1,
+		Epoch:       max(c.row.Epoch, c.highestEpoch) + 1,
 		Beat:        1,
 	})
 }
 
-// written takes over a row that this process has written. Validity counts from
+// applyWrite takes over a row that this process has applyWrite. Validity counts from
 // before the write was sent.
-func (c *Core) written(now time.Duration, version uint64) {
-	clean := c.free()
-	claimed := c.epoch == 0
-	c.see(now, version, c.pending)
-	if c.pending.Released || c.pending.Epoch == c.resigned {
-		c.drop()
+func (c *Core) applyWrite(now time.Duration, version uint64) {
+	wasAvailable := c.rowAvailable()
+	newTerm := c.heldEpoch == 0
+	c.recordRow(now, version, c.pendingRow)
+	if c.pendingRow.Released || c.pendingRow.Epoch == c.resignedEpoch {
+		c.endTerm()
 		return
 	}
-	c.hold(c.pending.Epoch)
-	c.validUntil = c.sentAt + c.times.Lease - c.times.ClockMargin
-	if claimed {
-		c.startAfter = c.firstStart(now, clean)
+	c.setTerm(c.pendingRow.Epoch)
+	c.validUntil = c.writeSentAt + c.times.Lease - c.times.ClockMargin
+	if newTerm {
+		c.startAfter = c.earliestStart(now, wasAvailable)
 	}
-	if c.leaving {
-		c.nextSend = now
+	if c.releasing {
+		c.nextWrite = now
 	}
 }
 
-// firstStart returns from when on a new term may start work: at once when the
+// earliestStart returns from when on a new term may start work: at once when the
 // earlier owner has released the row, otherwise when the permissions that it
 // may have given up to the end of its lease are over.
-func (c *Core) firstStart(now time.Duration, clean bool) time.Duration {
-	if clean {
+func (c *Core) earliestStart(now time.Duration, wasAvailable bool) time.Duration {
+	if wasAvailable {
 		return now
 	}
 	return now + c.times.PermitTTL + c.times.ClockMargin
 }
 
-// observe takes over a row that was read.
-func (c *Core) observe(now time.Duration, version uint64, row Row) {
-	wasHeld := c.epoch
-	c.see(now, version, row)
-	c.highest = max(c.highest, row.Epoch)
-	if !c.mine(row) {
-		c.drop()
+// applyRow takes over a row that was read.
+func (c *Core) applyRow(now time.Duration, version uint64, row Row) {
+	prevEpoch := c.heldEpoch
+	c.recordRow(now, version, row)
+	c.highestEpoch = max(c.highestEpoch, row.Epoch)
+	if !c.isOwnTerm(row) {
+		c.endTerm()
 		return
 	}
-	c.hold(row.Epoch)
-	c.nextSend = now
-	if wasHeld == 0 {
-		c.startAfter = c.firstStart(now, false)
+	c.setTerm(row.Epoch)
+	c.nextWrite = now
+	if prevEpoch == 0 {
+		c.startAfter = c.earliestStart(now, false)
 	}
 }
 
-// mine reports whether a row shows a term of this process that no later one has
+// isOwnTerm reports whether a row shows a term of this process that no later one has
 // followed.
-func (c *Core) mine(row Row) bool {
-	return row.Epoch > 0 && row.Epoch != c.resigned && row.Epoch >= c.highest && row.Incarnation == c.self.Incarnation && !row.Released
+func (c *Core) isOwnTerm(row Row) bool {
+	return row.Epoch > 0 && row.Epoch != c.resignedEpoch && row.Epoch >= c.highestEpoch && row.Incarnation == c.self.Incarnation && !row.Released
 }
 
-func (c *Core) see(now time.Duration, version uint64, row Row) {
-	unbroken := c.watching && now-c.lastRead <= watchGap
+func (c *Core) recordRow(now time.Duration, version uint64, row Row) {
+	unbroken := c.watchUnbroken && now-c.lastObserved <= maxWatchGap
 	if !unbroken {
-		c.watchSince = now
+		c.watchStart = now
 	}
 	if version != c.version || !unbroken {
 		c.unchangedSince = now
 	}
-	c.seen, c.watching = true, true
-	c.version, c.row, c.lastRead = version, row, now
+	c.rowKnown, c.watchUnbroken = true, true
+	c.version, c.row, c.lastObserved = version, row, now
 }
 
-func (c *Core) hold(epoch uint64) {
-	if c.epoch != epoch {
+func (c *Core) setTerm(epoch uint64) {
+	if c.heldEpoch != epoch {
 		c.validUntil = 0
 	}
-	c.epoch = epoch
-	c.highest = max(c.highest, epoch)
+	c.heldEpoch = epoch
+	c.highestEpoch = max(c.highestEpoch, epoch)
 }
 
-func (c *Core) drop() {
-	c.epoch, c.validUntil, c.startAfter = 0, 0, 0
+func (c *Core) endTerm() {
+	c.heldEpoch, c.validUntil, c.startAfter = 0, 0, 0
 }
 
-// hear ends the term when a higher epoch exists.
-func (c *Core) hear(epoch uint64) {
-	c.highest = max(c.highest, epoch)
-	if c.epoch > 0 && epoch > c.epoch {
-		c.drop()
+// observeEpoch ends the term when a higher epoch exists.
+func (c *Core) observeEpoch(epoch uint64) {
+	c.highestEpoch = max(c.highestEpoch, epoch)
+	if c.heldEpoch > 0 && epoch > c.heldEpoch {
+		c.endTerm()
 		c.mustRead = true
 	}
 }
@@ -443,25 +443,25 @@
 
 // Authority returns the rights at a time. A process that was paused past its
 // lease has none, as its clock went on.
-func (c *Core) Authority(now time.Duration, o StoreOutage) Authority {
-	a := Authority{Epoch: c.highest}
-	if c.seen && !c.free() {
-		a.OwnerID, a.OwnerAddr = c.row.EntryID, c.row.Addr
+func (c *Core) Authority(now time.Duration, outage StoreOutage) Authority {
+	auth := Authority{Epoch: c.highestEpoch}
+	if c.rowKnown && !c.rowAvailable() {
+		auth.OwnerID, auth.OwnerAddr = c.row.EntryID, c.row.Addr
 	}
-	if c.epoch == 0 || c.leaving || c.validUntil == 0 {
-		return a
+	if c.heldEpoch == 0 || c.releasing || c.validUntil == 0 {
+		return auth
 	}
 	valid := now < c.validUntil
-	if !valid && !o.AllEntries {
-		return a
+	if !valid && !outage.AllEntries {
+		return auth
 	}
-	a.Owner = true
-	a.StartAfter = c.startAfter
-	a.StoreDown = !valid || o.ThisEntry
-	return a
+	auth.Owner = true
+	auth.StartAfter = c.startAfter
+	auth.StoreDown = !valid || outage.ThisEntry
+	return auth
 }
 
 // Released reports whether a leaving process holds the row no longer.
 func (c *Core) Released() bool {
-	return c.leaving && c.epoch == 0 && !c.busy && !c.mustRead
+	return c.releasing && c.heldEpoch == 0 && !c.inFlight && !c.mustRead
 }
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -18,12 +18,12 @@
 const (
 	// tickInterval is the time between two ticks of the core.
 	tickInterval = 50 * time.Millisecond
-	// opTimeout bounds one read or write of the row.
-	opTimeout = 1500 * time.Millisecond
-	// lookAfter is how long a write may go unanswered before the row is read: an
+	// rowOpTimeout bounds one read or write of the row.
+	rowOpTimeout = 1500 * time.Millisecond
+	// readBackDelay is how long a write may go unanswered before the row is read: an
 	// answer that was lost is made up for before others take the row for
 	// abandoned, while a slow one is still waited for.
-	lookAfter = 300 * time.Millisecond
+	readBackDelay = 300 * time.Millisecond
 )
 
 // Peers tells what the other entries report. The service asks for the outage
@@ -49,14 +49,14 @@
 	clock  func() time.Duration
 	cfg    Config
 
-	mu   sync.Mutex
-	core *Core
-	subs []func(Authority)
+	mu          sync.Mutex
+	core        *Core
+	subscribers []func(Authority)
 
-	last    Authority // as last told to subscribers
-	results chan Event
-	loops   kernel.Loops
-	running bool
+	lastPublished Authority // as last told to subscribers
+	results       chan Event
+	loops         kernel.Loops
+	running       bool
 }
 
 // RowKey is the key of the row of a cell's ownership.
@@ -116,7 +116,7 @@
 func (s *Service) awaitRelease(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	for !s.released() {
+	for !s.isReleased() {
 		select {
 		case <-ctx.Done():
 			return errors.Annotatef(ctx.Err(), "releasing %q", s.key)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *Service) released() bool {
+func (s *Service) isReleased() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Released()
@@ -145,8 +145,8 @@
 			s.step(ev)
 		case <-t.C:
 		}
-		s.hearPeers()
-		s.start(ctx, &ops, s.step(Tick{}))
+		s.observePeerEpoch()
+		s.startActions(ctx, &ops, s.step(Tick{}))
 		s.publish()
 	}
 }
@@ -157,45 +157,45 @@
 	return s.core.Step(s.clock(), ev)
 }
 
-func (s *Service) hearPeers() {
+func (s *Service) observePeerEpoch() {
 	if s.cfg.Peers != nil {
 		s.step(PeerEpoch{s.cfg.Peers.HighestOwnerEpoch()})
 	}
 }
 
-// start carries out actions; the core has at most one in progress.
-func (s *Service) start(ctx context.Context, ops *sync.WaitGroup, actions []Action) {
+// startActions carries out actions; the core has at most one in progress.
+func (s *Service) startActions(ctx context.Context, ops *sync.WaitGroup, actions []Action) {
 	for _, a := range actions {
 		ops.Add(1)
 		go func() {
 			defer ops.Done()
-			s.results <- s.perform(ctx, a)
+			s.results <- s.execute(ctx, a)
 		}()
 	}
 }
 
-func (s *Service) perform(ctx context.Context, a Action) Event {
-	ctx, cancel := context.WithTimeout(ctx, opTimeout)
+func (s *Service) execute(ctx context.Context, a Action) Event {
+	ctx, cancel := context.WithTimeout(ctx, rowOpTimeout)
 	defer cancel()
 	if w, ok := a.(Write); ok {
-		return s.writeOrLook(ctx, w)
+		return s.writeWithReadBack(ctx, w)
 	}
-	return s.read(ctx)
+	return s.readRow(ctx)
 }
 
-// writeOrLook writes the row and, once that is overdue, reads it beside: a row
+// writeWithReadBack writes the row and, once that is overdue, reads it beside: a row
 // that is as written answers for the write.
-func (s *Service) writeOrLook(ctx context.Context, w Write) Event {
+func (s *Service) writeWithReadBack(ctx context.Context, w Write) Event {
 	written := make(chan Event, 1)
-	go func() { written <- s.write(ctx, w) }()
-	overdue := time.NewTimer(lookAfter)
+	go func() { written <- s.writeRow(ctx, w) }()
+	overdue := time.NewTimer(readBackDelay)
 	defer overdue.Stop()
 	select {
 	case ev := <-written:
 		return ev
 	case <-overdue.C:
 	}
-	if r, ok := s.read(ctx).(ReadDone); ok && r.Row == w.Row {
+	if r, ok := s.readRow(ctx).(ReadDone); ok && r.Row == w.Row {
 		return WriteDone{r.Version}
 	}
 	return <-written
@@ -204,7 +204,7 @@
 // Overlap is for how long an earlier owner may still act after a claim.
 func (s *Service) Overlap() time.Duration { return s.cfg.Timing.withDefaults().Overlap() }
 
-func (s *Service) read(ctx context.Context) Event {
+func (s *Service) readRow(ctx context.Context) Event {
 	rows, err := s.ledger.Get(ctx, ledger.CauseOwner, s.key)
 	if err != nil {
 		return ReadFailed{}
@@ -217,7 +217,7 @@
 	return ReadDone{rows[0].Version, row}
 }
 
-func (s *Service) write(ctx context.Context, w Write) Event {
+func (s *Service) writeRow(ctx context.Context, w Write) Event {
 	data, err := json.Marshal(w.Row)
 	if err != nil {
 		return WriteFailed{}
@@ -255,41 +255,41 @@
 // Current returns this process's rights at this moment. Callers ask again
 // before each effect.
 func (s *Service) Current() Authority {
-	o := StoreOutage{ThisEntry: s.ledger.BreakerOpen()}
+	outage := StoreOutage{ThisEntry: s.ledger.BreakerOpen()}
 	if s.cfg.Peers != nil {
-		o.AllEntries = s.cfg.Peers.StoreDownEverywhere()
-		s.hearPeers()
+		outage.AllEntries = s.cfg.Peers.StoreDownEverywhere()
+		s.observePeerEpoch()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Authority(s.clock(), o)
+	return s.core.Authority(s.clock(), outage)
 }
 
 // Subscribe calls fn after each change of the rights, in order, from one goroutine.
 func (s *Service) Subscribe(fn func(Authority)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.subs = append(s.subs, fn)
+	s.subscribers = append(s.subscribers, fn)
 }
 
 // publish tells the subscribers of a change.
 func (s *Service) publish() {
 	a := s.Current()
-	if a == s.last {
+	if a == s.lastPublished {
 		return
 	}
-	s.record(a)
-	s.last = a
+	s.reportChange(a)
+	s.lastPublished = a
 	s.mu.Lock()
-	subs := append(([]func(Authority))(nil), s.subs...)
+	subs := append(([]func(Authority))(nil), s.subscribers...)
 	s.mu.Unlock()
 	for _, fn := range subs {
 		fn(a)
 	}
 }
 
-func (s *Service) record(a Authority) {
-	if a.Owner != s.last.Owner {
+func (s *Service) reportChange(a Authority) {
+	if a.Owner != s.lastPublished.Owner {
 		metrics.GetOrRegisterCounter("owner.changes", s.cfg.Metrics).Inc(1)
 	}
 	metrics.GetOrRegisterGauge("owner.epoch", s.cfg.Metrics).Update(int64(a.Epoch))
--- a/internal/owner/service_test.go
+++ b/internal/owner/service_test.go
@@ -46,9 +46,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.loops.End)
-	ctx, cancel := context.WithTimeout(context.Background(), opTimeout/2)
+	ctx, cancel := context.WithTimeout(context.Background(), rowOpTimeout/2)
 	defer cancel()
 	if !kernel.Until(ctx, 10*time.Millisecond, func() bool { return s.Current().Owner }) {
-		t.Fatalf("no owner within %v", opTimeout/2)
+		t.Fatalf("no owner within %v", rowOpTimeout/2)
 	}
 }
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -380,14 +380,14 @@
 
 // tick is what the service's goroutine does in one round.
 func (p *process) tick(context.Context) {
-	p.owner.hearPeers()
+	p.owner.observePeerEpoch()
 	for _, a := range p.owner.step(Tick{}) {
-		ctx := p.ctx(opTimeout)
+		ctx := p.ctx(rowOpTimeout)
 		if wr, ok := a.(Write); ok {
-			p.owner.step(p.owner.write(ctx, wr))
+			p.owner.step(p.owner.writeRow(ctx, wr))
 			continue
 		}
-		p.owner.step(p.owner.read(ctx))
+		p.owner.step(p.owner.readRow(ctx))
 	}
 	if p.stopping && p.owner.core.Released() && p.w.procs[p.index] == p {
 		p.members.Leave(p.ctx(time.Second))
