--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -11,12 +11,12 @@
 
 // coreScenario steps cores by hand against one row.
 type coreScenario struct {
-	cores   map[string]*Core
-	now     time.Duration
-	version uint64
-	row     Row
-	flight  map[string]Action // of each core
-	times   Timing
+	cores          map[string]*Core
+	now            time.Duration
+	version        uint64
+	row            Row
+	pendingActions map[string]Action // of each core
+	times          Timing
 }
 
 func (s *coreScenario) core(name string) *Core {
@@ -26,8 +26,8 @@
 	return s.cores[name]
 }
 
-// apply carries an action out at the row and returns the answer.
-func (s *coreScenario) apply(a Action) Event {
+// applyAction carries an action out at the row and returns the answer.
+func (s *coreScenario) applyAction(a Action) Event {
 	w, ok := a.(Write)
 	if !ok {
 		return ReadDone{s.version, s.row}
@@ -40,8 +40,8 @@
 	return WriteDone{s.version}
 }
 
-// round ticks a core and answers its action, as told.
-func (s *coreScenario) round(name, answer string) string {
+// runRound ticks a core and answers its action, as told.
+func (s *coreScenario) runRound(name, answer string) string {
 	c := s.core(name)
 	actions := c.Step(s.now, Tick{})
 	if len(actions) == 0 {
@@ -50,19 +50,19 @@
 	a := actions[0]
 	switch answer {
 	case "none":
-		s.flight[name] = a
+		s.pendingActions[name] = a
 	case "lost":
-		s.apply(a)
-		c.Step(s.now, lostEvent(a))
+		s.applyAction(a)
+		c.Step(s.now, outcomeUnknownEvent(a))
 	case "failed":
 		c.Step(s.now, failedEvent(a))
 	default:
-		c.Step(s.now, s.apply(a))
+		c.Step(s.now, s.applyAction(a))
 	}
-	return show(a)
+	return describeAction(a)
 }
 
-func lostEvent(a Action) Event {
+func outcomeUnknownEvent(a Action) Event {
 	if _, ok := a.(Write); ok {
 		return WriteUnknown{}
 	}
@@ -76,7 +76,7 @@
 	return ReadFailed{}
 }
 
-func show(a Action) string {
+func describeAction(a Action) string {
 	w, ok := a.(Write)
 	if !ok {
 		return "read"
@@ -93,19 +93,19 @@
 	wait, _ := time.ParseDuration(length)
 	switch d.Cmd {
 	case "round":
-		return s.round(name, answer)
+		return s.runRound(name, answer)
 	case "arrive":
-		ev := s.apply(s.flight[name])
+		ev := s.applyAction(s.pendingActions[name])
 		s.core(name).Step(s.now, ev)
 		return fmt.Sprintf("%T", ev)
 	case "short-times":
-		s.times = shortTimes
+		s.times = shortTiming
 	case "early-times":
-		s.times = earlyTimes
+		s.times = earlyTakeoverTiming
 	case "sleep":
 		s.now += wait
 	case "rounds":
-		return s.rounds(strings.Fields(d.Input), wait)
+		return s.runRounds(strings.Fields(d.Input), wait)
 	case "release":
 		s.core(name).Step(s.now, Release{})
 	case "peer-epoch":
@@ -121,12 +121,12 @@
 	return ""
 }
 
-// rounds lets cores run without faults and shows the writes.
-func (s *coreScenario) rounds(names []string, length time.Duration) string {
+// runRounds lets cores run without faults and shows the writes.
+func (s *coreScenario) runRounds(names []string, length time.Duration) string {
 	var out []string
 	for end := s.now + length; s.now < end; s.now += 100 * time.Millisecond {
 		for _, name := range names {
-			if a := s.round(name, ""); strings.HasPrefix(a, "write") {
+			if a := s.runRound(name, ""); strings.HasPrefix(a, "write") {
 				out = append(out, fmt.Sprintf("%v %s", s.now, a))
 			}
 		}
@@ -136,7 +136,7 @@
 
 func TestCore(t *testing.T) {
 	datadriven.Walk(t, "testdata/core", func(t *testing.T, path string) {
-		s := &coreScenario{cores: map[string]*Core{}, flight: map[string]Action{}}
+		s := &coreScenario{cores: map[string]*Core{}, pendingActions: map[string]Action{}}
 		datadriven.RunTest(t, path, s.run)
 	})
 }
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -12,103 +12,103 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// clockSlack covers the rates of the simulated clocks.
-const clockSlack = 1.05
+// clockRateSlack covers the rates of the simulated clocks.
+const clockRateSlack = 1.05
 
 // inForceBound is how long after its acknowledgement a change may still be
 // unknown to a process that starts work.
-const inForceBound = time.Duration(float64(confstate.MaxPeerReportAge) * clockSlack)
+const inForceBound = time.Duration(float64(confstate.MaxPeerReportAge) * clockRateSlack)
 
 // oracle holds the one history of the table and compares with it what the
 // processes say.
 type oracle struct {
-	configs map[uint64]*api.Config
-	last    uint64
-	owners  []Row
-	acked   []ack
-	// started is when each process was last seen with the right to start work.
-	started map[*process]time.Duration
-	terms   map[*process]uint64 // epoch of started
-	fault   string
-	note    func(format string, args ...any)
+	configs     map[uint64]*api.Config
+	lastVersion uint64
+	ownerRows   []Row
+	acks        []ack
+	// lastStartRight is when each process was last seen with the right to start work.
+	lastStartRight map[*process]time.Duration
+	startEpochs    map[*process]uint64 // epoch of started
+	violation      string
+	logEvent       func(format string, args ...any)
 }
 
 type ack struct {
-	at      time.Duration
+	ackedAt time.Duration
 	version uint64
-	blind   map[*process]bool // processes that could not know of the acknowledging one
+	unaware map[*process]bool // processes that could not know of the acknowledging one
 }
 
-func (o *oracle) init(note func(string, ...any)) {
-	o.note = note
+func (o *oracle) init(logEvent func(string, ...any)) {
+	o.logEvent = logEvent
 	o.configs = map[uint64]*api.Config{0: (&api.Config{}).Clone()}
-	o.started = map[*process]time.Duration{}
-	o.terms = map[*process]uint64{}
+	o.lastStartRight = map[*process]time.Duration{}
+	o.startEpochs = map[*process]uint64{}
 }
 
 func (o *oracle) failf(format string, args ...any) {
-	if o.fault == "" {
-		o.fault = fmt.Sprintf(format, args...)
-		o.note("FAULT %s", o.fault)
+	if o.violation == "" {
+		o.violation = fmt.Sprintf(format, args...)
+		o.logEvent("FAULT %s", o.violation)
 	}
 }
 
-// wrote sees each row as it takes effect.
-func (o *oracle) wrote(now time.Duration, r external.Row) {
+// recordRow sees each row as it takes effect.
+func (o *oracle) recordRow(now time.Duration, r external.Row) {
 	switch r.Key {
 	case "config/doc":
 		var c api.Config
-		rowData(r, &c)
-		if c.Version <= o.last {
-			o.failf("%v: version %d of the configuration follows %d", now, c.Version, o.last)
+		decodeRowData(r, &c)
+		if c.Version <= o.lastVersion {
+			o.failf("%v: version %d of the configuration follows %d", now, c.Version, o.lastVersion)
 		}
-		o.last = c.Version
-		o.note("version %d", c.Version)
+		o.lastVersion = c.Version
+		o.logEvent("version %d", c.Version)
 		o.configs[c.Version] = c.Clone()
 	case "owner/cell":
 		var row Row
-		rowData(r, &row)
-		o.wroteOwner(now, row)
+		decodeRowData(r, &row)
+		o.recordOwnerRow(now, row)
 	}
 }
 
-func (o *oracle) wroteOwner(now time.Duration, row Row) {
-	if n := len(o.owners); n > 0 {
-		prev := o.owners[n-1]
+func (o *oracle) recordOwnerRow(now time.Duration, row Row) {
+	if n := len(o.ownerRows); n > 0 {
+		prev := o.ownerRows[n-1]
 		same := prev.Incarnation == row.Incarnation && prev.Epoch == row.Epoch && !prev.Released
 		if !same && row.Epoch <= prev.Epoch {
 			o.failf("%v: epoch %d of %s follows epoch %d of %s", now, row.Epoch, row.Incarnation, prev.Epoch, prev.Incarnation)
 		}
 	}
-	if n := len(o.owners); n == 0 || o.owners[n-1].Epoch != row.Epoch || row.Released {
-		o.note("epoch %d of %s, released %v", row.Epoch, row.Incarnation, row.Released)
+	if n := len(o.ownerRows); n == 0 || o.ownerRows[n-1].Epoch != row.Epoch || row.Released {
+		o.logEvent("epoch %d of %s, released %v", row.Epoch, row.Incarnation, row.Released)
 	}
-	o.owners = append(o.owners, row)
+	o.ownerRows = append(o.ownerRows, row)
 }
 
-// look checks what must hold at every moment.
-func (o *oracle) look(w *world) {
+// checkInvariants checks what must hold at every moment.
+func (o *oracle) checkInvariants(w *world) {
 	var owner *process
 	for _, p := range w.procs {
 		for _, q := range w.procs {
-			p.blindTo(q)
+			p.unawareOf(q)
 		}
-		o.lookConfig(w, p)
+		o.checkConfig(w, p)
 		a := p.owner.Current()
 		if !a.Owner {
 			continue
 		}
-		if owner != nil && !p.blindTo(owner) && !owner.blindTo(p) {
+		if owner != nil && !p.unawareOf(owner) && !owner.unawareOf(p) {
 			o.failf("%v: %s and %s are both owner", w.now, owner.name, p.name)
 		}
 		owner = p
 		if !a.StoreDown && p.clock() >= a.StartAfter {
-			o.lookStart(w, p, a)
+			o.checkStart(w, p, a)
 		}
 	}
 }
 
-func (o *oracle) lookConfig(w *world, p *process) {
+func (o *oracle) checkConfig(w *world, p *process) {
 	c := p.conf.Current()
 	if c.Version < p.version {
 		o.failf("%v: %s went from version %d to %d", w.now, p.name, p.version, c.Version)
@@ -117,67 +117,67 @@
 		o.failf("%v: %s has version %d that is not in the history", w.now, p.name, c.Version)
 	}
 	p.version = c.Version
-	if want := o.ackedBefore(w.now-inForceBound, p); c.Version < want && p.conf.Permit() {
+	if want := o.ackedVersion(w.now-inForceBound, p); c.Version < want && p.conf.Permit() {
 		o.failf("%v: %s starts work at version %d, %d was acknowledged", w.now, p.name, c.Version, want)
 	}
 }
 
-// ackedBefore returns the highest version acknowledged up to a time by a
+// ackedVersion returns the highest version acknowledged up to a time by a
 // process of which another one could know.
-func (o *oracle) ackedBefore(t time.Duration, p *process) uint64 {
+func (o *oracle) ackedVersion(t time.Duration, p *process) uint64 {
 	var v uint64
-	for _, a := range o.acked {
-		if a.at <= t && !a.blind[p] {
+	for _, a := range o.acks {
+		if a.ackedAt <= t && !a.unaware[p] {
 			v = max(v, a.version)
 		}
 	}
 	return v
 }
 
-// lookStart checks that the permissions which an earlier owner may have given
+// checkStart checks that the permissions which an earlier owner may have given
 // are over when the next one starts work. An owner that has released the row
 // has none left.
-func (o *oracle) lookStart(w *world, p *process, a Authority) {
-	for q, at := range o.started {
-		if q != p && o.terms[q] < a.Epoch && !q.stopping && w.now-at < w.procs[0].owner.core.times.PermitTTL {
+func (o *oracle) checkStart(w *world, p *process, a Authority) {
+	for q, at := range o.lastStartRight {
+		if q != p && o.startEpochs[q] < a.Epoch && !q.stopping && w.now-at < w.procs[0].owner.core.times.PermitTTL {
 			o.failf("%v: %s starts work %v after %s could", w.now, p.name, w.now-at, q.name)
 		}
 	}
-	o.started[p] = w.now
-	o.terms[p] = a.Epoch
+	o.lastStartRight[p] = w.now
+	o.startEpochs[p] = a.Epoch
 }
 
-// ended compares the outcome of an operator's call with the history so far.
-func (o *oracle) ended(w *world, c *change) {
+// checkOutcome compares the outcome of an operator's call with the history so far.
+func (o *oracle) checkOutcome(w *world, c *configChange) {
 	switch {
 	case c.err == nil:
-		o.acknowledged(w, c)
+		o.checkAcknowledged(w, c)
 	case errors.Is(c.err, confstate.ErrVersionConflict):
-		if have := o.configs[o.last].Profiles[c.profile].Version; have == c.expect {
+		if have := o.configs[o.lastVersion].Profiles[c.profile].Version; have == c.expect {
 			o.failf("%v: %s lost a race at version %d, which is the present one", w.now, c.marker, have)
 		}
 	}
 }
 
-func (o *oracle) acknowledged(w *world, c *change) {
+func (o *oracle) checkAcknowledged(w *world, c *configChange) {
 	v := c.result.Version
 	got, ok := o.configs[v]
 	if !ok || got.Profiles[c.profile].ClientAccount != c.marker || got.Profiles[c.profile].Version != v {
 		o.failf("%v: %s was acknowledged as version %d but is not in the history", w.now, c.marker, v)
 		return
 	}
-	if before := o.before(v).Profiles[c.profile].Version; c.expect != confstate.AnyVersion && before != c.expect {
-		o.failf("%v: %s replaced version %d, expected %d", w.now, c.marker, before, c.expect)
+	if replaced := o.predecessor(v).Profiles[c.profile].Version; c.expect != confstate.AnyVersion && replaced != c.expect {
+		o.failf("%v: %s replaced version %d, expected %d", w.now, c.marker, replaced, c.expect)
 	}
 	a := ack{w.now, v, map[*process]bool{}}
 	for _, p := range w.procs {
-		a.blind[p] = p.blindTo(c.process)
+		a.unaware[p] = p.unawareOf(c.process)
 	}
-	o.acked = append(o.acked, a)
+	o.acks = append(o.acks, a)
 }
 
-// before returns the configuration that a version followed.
-func (o *oracle) before(v uint64) *api.Config {
+// predecessor returns the configuration that a version followed.
+func (o *oracle) predecessor(v uint64) *api.Config {
 	for v--; v > 0; v-- {
 		if c, ok := o.configs[v]; ok {
 			return c
@@ -186,19 +186,19 @@
 	return o.configs[0]
 }
 
-// judge checks all calls at the end, when nothing is late any more: each
+// checkAllOutcomes checks all calls at the end, when nothing is late any more: each
 // acknowledged change has happened once, each refused one never.
-func (o *oracle) judge(changes []*change) {
-	times := map[string]int{}
+func (o *oracle) checkAllOutcomes(changes []*configChange) {
+	applied := map[string]int{}
 	for _, c := range o.configs {
 		for _, p := range c.Profiles {
 			if p.Version == c.Version {
-				times[p.ClientAccount]++
+				applied[p.ClientAccount]++
 			}
 		}
 	}
 	for _, c := range changes {
-		n := times[c.marker]
+		n := applied[c.marker]
 		refused := errors.Is(c.err, confstate.ErrVersionConflict) || errors.Is(c.err, confstate.ErrStoreDown)
 		switch {
 		case c.err == nil && n != 1:
--- a/internal/owner/service_test.go
+++ b/internal/owner/service_test.go
@@ -12,15 +12,15 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// muteLedger is one row whose writes take effect and are not answered.
-type muteLedger struct {
+// noReplyLedger is one row whose writes take effect and are not answered.
+type noReplyLedger struct {
 	ledger.Ledger
 
 	mu  sync.Mutex
 	row ledger.Row
 }
 
-func (m *muteLedger) Commit(ctx context.Context, _ ledger.Cause, writes ...ledger.Write) ([]ledger.Row, error) {
+func (m *noReplyLedger) Commit(ctx context.Context, _ ledger.Cause, writes ...ledger.Write) ([]ledger.Row, error) {
 	m.mu.Lock()
 	if m.row.Version == writes[0].Version {
 		m.row = ledger.Row{Key: writes[0].Key, Version: m.row.Version + 1, Data: writes[0].Data}
@@ -30,18 +30,18 @@
 	return nil, ledger.ErrOutcomeUnknown
 }
 
-func (m *muteLedger) Get(context.Context, ledger.Cause, ...string) ([]ledger.Row, error) {
+func (m *noReplyLedger) Get(context.Context, ledger.Cause, ...string) ([]ledger.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return []ledger.Row{m.row}, nil
 }
 
-func (m *muteLedger) BreakerOpen() bool { return false }
+func (m *noReplyLedger) BreakerOpen() bool { return false }
 
 // TestUnansweredWriteIsLookedFor shows that a write whose answer is lost counts
 // once the row is as written, long before the write is given up.
 func TestUnansweredWriteIsLookedFor(t *testing.T) {
-	s := New(&muteLedger{}, "all", Self{ID: "a"}, ledger.NewMonotonicClock(), Config{Log: zerolog.Nop()})
+	s := New(&noReplyLedger{}, "all", Self{ID: "a"}, ledger.NewMonotonicClock(), Config{Log: zerolog.Nop()})
 	if err := s.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/owner/store_bench_test.go
+++ b/internal/owner/store_bench_test.go
@@ -16,24 +16,24 @@
 			w.run(10 * time.Second)
 			w.configTxns = 0
 			if racing {
-				w.operators = 0.2
+				w.operatorRate = 0.2
 			}
-			for acked(w) < b.N {
+			for ackCount(w) < b.N {
 				if !racing {
-					w.procs[0].put("a", ^uint64(0))
+					w.procs[0].changeProfile("a", ^uint64(0))
 					continue
 				}
 				w.run(simStep)
 			}
-			if w.oracle.fault != "" {
-				b.Fatal(w.oracle.fault)
+			if w.oracle.violation != "" {
+				b.Fatal(w.oracle.violation)
 			}
-			b.ReportMetric(float64(w.configTxns)/float64(acked(w)), "txns/change")
+			b.ReportMetric(float64(w.configTxns)/float64(ackCount(w)), "txns/change")
 		})
 	}
 }
 
-func acked(w *world) int { return len(w.oracle.acked) }
+func ackCount(w *world) int { return len(w.oracle.acks) }
 
 // BenchmarkInForce measures, in virtual time, how long after its acknowledgement
 // a change is known to all entries.
@@ -42,9 +42,9 @@
 	w.run(10 * time.Second)
 	var sum, worst time.Duration
 	for range b.N {
-		c := w.procs[0].put("a", ^uint64(0))
+		c := w.procs[0].changeProfile("a", ^uint64(0))
 		start := w.now
-		for !known(w, c.result.Version) {
+		for !knownByAll(w, c.result.Version) {
 			w.run(10 * time.Millisecond)
 		}
 		sum += w.now - start
@@ -55,7 +55,7 @@
 	b.ReportMetric(worst.Seconds()*1000, "virtual-ms-max")
 }
 
-func known(w *world, version uint64) bool {
+func knownByAll(w *world, version uint64) bool {
 	for _, p := range w.procs {
 		if p.conf.Current().Version < version {
 			return false
