--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -10,32 +10,32 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// unconfirmed is the age given to a configuration that is not known to be the
+// unconfirmedAge is the age given to a configuration that is not known to be the
 // newest.
-const unconfirmed = 365 * 24 * time.Hour
+const unconfirmedAge = 365 * 24 * time.Hour
 
 // target is an address to exchange with.
 type target struct {
-	addr string
-	has  uint64 // configuration version that was reported from there
+	addr         string
+	knownVersion uint64 // configuration version that was reported from there
 }
 
 // targets returns the addresses of all members and hints, each once.
 func (s *Service) targets() []target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	has := map[string]uint64{}
+	versions := map[string]uint64{}
 	for addr := range s.roster.hints {
-		has[addr] = 0
+		versions[addr] = 0
 	}
 	for _, m := range s.roster.list() {
 		if m.addr != "" {
-			has[m.addr] = max(has[m.addr], m.state.GetConfigVersion())
+			versions[m.addr] = max(versions[m.addr], m.lastReport.GetConfigVersion())
 		}
 	}
-	delete(has, s.self.Addr)
-	out := make([]target, 0, len(has))
-	for addr, version := range has {
+	delete(versions, s.self.Addr)
+	out := make([]target, 0, len(versions))
+	for addr, version := range versions {
 		out = append(out, target{addr, version})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].addr < out[j].addr })
@@ -50,20 +50,20 @@
 	}
 	for _, t := range s.targets() {
 		used[t.addr] = true
-		if !s.begin(t.addr) {
+		if !s.beginExchange(t.addr) {
 			continue
 		}
 		s.exchanges.Add(1)
 		s.cfg.Spawn(func() {
 			defer s.exchanges.Done()
-			defer s.finish(t.addr)
-			s.exchange(ctx, t)
+			defer s.endExchange(t.addr)
+			s.exchangeWith(ctx, t)
 		})
 	}
 	s.transport.RetainConnections(used)
 }
 
-func (s *Service) begin(addr string) bool {
+func (s *Service) beginExchange(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.exchanging[addr] {
@@ -73,48 +73,48 @@
 	return true
 }
 
-func (s *Service) finish(addr string) {
+func (s *Service) endExchange(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.exchanging, addr)
 }
 
-// exchange swaps states with one peer.
-func (s *Service) exchange(ctx context.Context, t target) {
+// exchangeWith swaps states with one peer.
+func (s *Service) exchangeWith(ctx context.Context, t target) {
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
 	sent := s.clock()
-	reply, err := s.transport.Exchange(ctx, t.addr, s.state(t.has))
+	reply, err := s.transport.Exchange(ctx, t.addr, s.localState(t.knownVersion))
 	if err != nil {
-		s.count("membership.exchange_failures")
+		s.incCounter("membership.exchange_failures")
 		return
 	}
 	// The age of what the reply tells counts from before the request, however
 	// long the way back has taken.
-	s.takeConfig(reply, s.clock()-sent)
+	s.applyReplyConfig(reply, s.clock()-sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.roster.answered(sent, reply)
+	s.roster.applyReply(sent, reply)
 }
 
 // HandleExchange answers a peer's state with the own one. What the request
 // tells may have been on its way for long, so it confirms nothing.
 func (s *Service) HandleExchange(in *rpc.PeerState) *rpc.PeerState {
 	if c := decodeConfig(in); c != nil {
-		s.conf.Offer(c, unconfirmed)
+		s.conf.Offer(c, unconfirmedAge)
 	}
 	s.mu.Lock()
-	s.roster.received(in)
+	s.roster.applyReport(in)
 	s.mu.Unlock()
-	return s.state(in.ConfigVersion)
+	return s.localState(in.ConfigVersion)
 }
 
-// takeConfig takes over the configuration of a reply, or its confirmation.
-func (s *Service) takeConfig(reply *rpc.PeerState, way time.Duration) {
+// applyReplyConfig takes over the configuration of a reply, or its confirmation.
+func (s *Service) applyReplyConfig(reply *rpc.PeerState, roundTrip time.Duration) {
 	confirmed := reply.ConfigAgeMs >= 0
-	age := unconfirmed
+	age := unconfirmedAge
 	if confirmed {
-		age = time.Duration(reply.ConfigAgeMs)*time.Millisecond + way
+		age = time.Duration(reply.ConfigAgeMs)*time.Millisecond + roundTrip
 	}
 	if c := decodeConfig(reply); c != nil {
 		s.conf.Offer(c, age)
@@ -136,9 +136,9 @@
 	return c.Clone()
 }
 
-// state returns the own state, with the configuration if the peer's is older.
-// A state without address says that this entry leaves.
-func (s *Service) state(peerHas uint64) *rpc.PeerState {
+// localState returns the own localState, with the configuration if the peer's is older.
+// A localState without address says that this entry leaves.
+func (s *Service) localState(peerVersion uint64) *rpc.PeerState {
 	c, age, ok := s.conf.Snapshot()
 	out := &rpc.PeerState{
 		EntryId:       s.presence.name(),
@@ -150,7 +150,7 @@
 	if ok {
 		out.ConfigAgeMs = age.Milliseconds() + 1
 	}
-	if c.Version > peerHas {
+	if c.Version > peerVersion {
 		// A configuration that was decoded from JSON encodes again.
 		out.Config, _ = json.Marshal(c)
 	}
@@ -159,7 +159,7 @@
 		out.RpcAddress = ""
 	}
 	s.mu.Unlock()
-	for _, fn := range s.fill {
+	for _, fn := range s.stateFillers {
 		fn(out)
 	}
 	return out
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -10,9 +10,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// maxMisses is the number of exchanges in a row without an answer after which
+// maxUnanswered is the number of exchanges in a row without an answer after which
 // a connection is replaced.
-const maxMisses = 2
+const maxUnanswered = 2
 
 // Dialer talks to other entries over gRPC. A connection that has gone silent
 // is replaced by a new one instead of waiting for TCP.
@@ -24,8 +24,8 @@
 }
 
 type peerConn struct {
-	conn   *grpc.ClientConn
-	misses int
+	conn       *grpc.ClientConn
+	unanswered int
 }
 
 var _ Transport = (*Dialer)(nil)
@@ -62,7 +62,7 @@
 		return err
 	}
 	err = use(p.conn)
-	d.note(addr, p, err)
+	d.recordOutcome(addr, p, err)
 	return err
 }
 
@@ -81,15 +81,15 @@
 	return p, nil
 }
 
-func (d *Dialer) note(addr string, p *peerConn, err error) {
+func (d *Dialer) recordOutcome(addr string, p *peerConn, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		p.misses = 0
+		p.unanswered = 0
 		return
 	}
-	p.misses++
-	if p.misses >= maxMisses && d.conns[addr] == p {
+	p.unanswered++
+	if p.unanswered >= maxUnanswered && d.conns[addr] == p {
 		delete(d.conns, addr)
 		// The connection is given up; its error has no use.
 		_ = p.conn.Close()
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -25,12 +25,12 @@
 		if err != nil || l.accepted.Add(1) > l.silent {
 			return conn, err
 		}
-		go swallow(conn)
+		go discardInput(conn)
 	}
 }
 
-// swallow reads a connection without ever answering.
-func swallow(conn net.Conn) {
+// discardInput reads a connection without ever answering.
+func discardInput(conn net.Conn) {
 	buf := make([]byte, 1024)
 	for {
 		if _, err := conn.Read(buf); err != nil {
@@ -71,7 +71,7 @@
 			break
 		}
 	}
-	if misses < maxMisses || listener.accepted.Load() < 2 {
+	if misses < maxUnanswered || listener.accepted.Load() < 2 {
 		t.Errorf("answer after %d misses on connection %d", misses, listener.accepted.Load())
 	}
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -23,24 +23,24 @@
 	// PresenceRowTTL is how long the row of an absent entry stays.
 	PresenceRowTTL = 2 * time.Minute
 
-	// scanGap is the longest time between two scans of an unbroken watch.
-	scanGap = 3 * ScanInterval
-	// announceGap is the longest time between two writes of the own row in
+	// maxScanGap is the longest time between two scans of an unbroken watch.
+	maxScanGap = 3 * ScanInterval
+	// maxAnnounceGap is the longest time between two writes of the own row in
 	// which no other entry has dropped this one.
-	announceGap = PresenceLease - time.Second
+	maxAnnounceGap = PresenceLease - time.Second
 )
 
-// separator stands between an entry's id and the incarnation of its process.
-const separator = "#"
+// nameSeparator stands between an entry's id and the incarnation of its process.
+const nameSeparator = "#"
 
-// fullName names one start of an entry's process. An entry that comes in place
+// processName names one start of an entry's process. An entry that comes in place
 // of another does not know what the other had accepted, so the rule on starts
 // must not take one for the other.
-func fullName(id, incarnation string) string { return id + separator + incarnation }
+func processName(id, incarnation string) string { return id + nameSeparator + incarnation }
 
-// idOf returns the entry's id in a full name.
-func idOf(name string) string {
-	id, _, _ := strings.Cut(name, separator)
+// entryID returns the entry's id in a full name.
+func entryID(name string) string {
+	id, _, _ := strings.Cut(name, nameSeparator)
 	return id
 }
 
@@ -54,7 +54,7 @@
 	Beat        uint64    `json:"beat"`
 }
 
-func (p Presence) name() string { return fullName(p.ID, p.Incarnation) }
+func (p Presence) name() string { return processName(p.ID, p.Incarnation) }
 
 // member is the process of another entry.
 type member struct {
@@ -63,24 +63,24 @@
 	zone string
 
 	// The row as last scanned; rowVersion is 0 for an entry without one.
-	rowVersion uint64
-	rowSince   time.Duration // first sight of rowVersion in an unbroken watch
+	rowVersion        uint64
+	rowUnchangedSince time.Duration // first sight of rowVersion in an unbroken watch
 	// expired is set at a scan; between scans nobody is dropped.
 	expired bool
 
-	// state is the last report; heard is when the request was sent that it answers.
-	state *rpc.PeerState
-	heard time.Duration
-	ever  bool
+	// lastReport is the last report; heard is when the request was sent that it answers.
+	lastReport *rpc.PeerState
+	repliedAt  time.Duration
+	hasReplied bool
 }
 
-func (m *member) heardWithin(now, limit time.Duration) bool {
-	return m.ever && now-m.heard <= limit
+func (m *member) repliedWithin(now, limit time.Duration) bool {
+	return m.hasReplied && now-m.repliedAt <= limit
 }
 
 // alive reports whether the member counts as present at a scan.
 func (m *member) alive(now time.Duration) bool {
-	return m.rowVersion != 0 && now-m.rowSince <= PresenceLease || m.heardWithin(now, PresenceLease)
+	return m.rowVersion != 0 && now-m.rowUnchangedSince <= PresenceLease || m.repliedWithin(now, PresenceLease)
 }
 
 // row is a scanned row of presence.
@@ -93,65 +93,65 @@
 // pure; times are on the process's monotonic clock. While the rows cannot be
 // scanned, nobody is dropped for being silent.
 type roster struct {
-	self     string
-	members  map[string]*member
-	hints    map[string]bool   // addresses at which an entry may answer
-	gone     map[string]uint64 // rows of processes that have left, by version
-	scanned  bool
-	lastScan time.Duration // start of the last scan
-	highest  uint64        // highest owner epoch heard of
+	self              string
+	members           map[string]*member
+	hints             map[string]bool   // addresses at which an entry may answer
+	departed          map[string]uint64 // rows of processes that have left, by version
+	hasScanned        bool
+	lastScan          time.Duration // start of the last scan
+	highestOwnerEpoch uint64        // highest owner epoch heard of
 }
 
 func newRoster(self string) *roster {
 	return &roster{
-		self:    self,
-		members: map[string]*member{},
-		hints:   map[string]bool{},
-		gone:    map[string]uint64{},
+		self:     self,
+		members:  map[string]*member{},
+		hints:    map[string]bool{},
+		departed: map[string]uint64{},
 	}
 }
 
-// scan takes over all rows, read by a call that began at start and has ended
+// applyScan takes over all rows, read by a call that began at start and has ended
 // now. It returns the rows that are to be removed.
-func (r *roster) scan(start, now time.Duration, rows []row) []row {
-	unbroken := r.scanned && now-r.lastScan <= scanGap
+func (r *roster) applyScan(start, now time.Duration, rows []row) []row {
+	unbroken := r.hasScanned && now-r.lastScan <= maxScanGap
 	found := map[string]bool{}
-	var dead []row
+	var stale []row
 	for _, w := range rows {
 		if w.name() == r.self {
 			continue
 		}
 		found[w.name()] = true
-		if r.see(now, w, unbroken) {
-			dead = append(dead, w)
+		if r.applyRow(now, w, unbroken) {
+			stale = append(stale, w)
 		}
 	}
-	r.expire(now, found)
-	r.scanned, r.lastScan = true, start
+	r.expireMembers(now, found)
+	r.hasScanned, r.lastScan = true, start
 	clear(r.hints)
-	return dead
+	return stale
 }
 
-// see takes over one row and reports whether it is to be removed.
-func (r *roster) see(now time.Duration, w row, unbroken bool) bool {
-	if r.gone[w.name()] == w.version {
+// applyRow takes over one row and reports whether it is to be removed.
+func (r *roster) applyRow(now time.Duration, w row, unbroken bool) bool {
+	if r.departed[w.name()] == w.version {
 		return false
 	}
-	delete(r.gone, w.name())
-	m := r.member(w.name())
+	delete(r.departed, w.name())
+	m := r.ensureMember(w.name())
 	if m.rowVersion != w.version {
-		m.rowVersion, m.rowSince = w.version, now
+		m.rowVersion, m.rowUnchangedSince = w.version, now
 		m.addr, m.zone = w.Addr, w.Zone
 		return false
 	}
 	if !unbroken {
-		m.rowSince = now
+		m.rowUnchangedSince = now
 	}
-	return now-m.rowSince > PresenceRowTTL && !m.heardWithin(now, PresenceLease)
+	return now-m.rowUnchangedSince > PresenceRowTTL && !m.repliedWithin(now, PresenceLease)
 }
 
-// expire drops the entries that are neither in a scanned row nor heard.
-func (r *roster) expire(now time.Duration, found map[string]bool) {
+// expireMembers drops the entries that are neither in a scanned row nor heard.
+func (r *roster) expireMembers(now time.Duration, found map[string]bool) {
 	for id, m := range r.members {
 		if !found[id] {
 			m.rowVersion = 0
@@ -161,14 +161,14 @@
 			delete(r.members, id)
 		}
 	}
-	for id := range r.gone {
+	for id := range r.departed {
 		if !found[id] {
-			delete(r.gone, id)
+			delete(r.departed, id)
 		}
 	}
 }
 
-func (r *roster) member(name string) *member {
+func (r *roster) ensureMember(name string) *member {
 	m, ok := r.members[name]
 	if !ok {
 		m = &member{name: name}
@@ -177,40 +177,40 @@
 	return m
 }
 
-// answered takes over a peer's answer to a request that was sent at a time.
-func (r *roster) answered(sent time.Duration, s *rpc.PeerState) {
+// applyReply takes over a peer's answer to a request that was sent at a time.
+func (r *roster) applyReply(sent time.Duration, s *rpc.PeerState) {
 	name := s.EntryId
-	if !r.received(s) {
+	if !r.applyReport(s) {
 		return
 	}
-	m := r.member(name)
-	if !m.ever || sent > m.heard {
-		m.heard, m.ever = sent, true
+	m := r.ensureMember(name)
+	if !m.hasReplied || sent > m.repliedAt {
+		m.repliedAt, m.hasReplied = sent, true
 	}
 }
 
-// received takes over a report whose age is not known. It returns false when
+// applyReport takes over a report whose age is not known. It returns false when
 // the peer has left. The report's full name becomes the entry's id.
-func (r *roster) received(s *rpc.PeerState) bool {
+func (r *roster) applyReport(s *rpc.PeerState) bool {
 	name := s.EntryId
 	if name == "" || name == r.self {
 		return false
 	}
-	s.EntryId = idOf(name)
-	r.highest = max(r.highest, s.OwnerEpoch)
+	s.EntryId = entryID(name)
+	r.highestOwnerEpoch = max(r.highestOwnerEpoch, s.OwnerEpoch)
 	if s.RpcAddress == "" {
-		r.leave(name)
+		r.removeDeparted(name)
 		return false
 	}
-	m := r.member(name)
-	m.addr, m.state, m.expired = s.RpcAddress, s, false
+	m := r.ensureMember(name)
+	m.addr, m.lastReport, m.expired = s.RpcAddress, s, false
 	return true
 }
 
-// leave drops an entry that stops as planned.
-func (r *roster) leave(name string) {
+// removeDeparted drops an entry that stops as planned.
+func (r *roster) removeDeparted(name string) {
 	if m, ok := r.members[name]; ok {
-		r.gone[name] = m.rowVersion
+		r.departed[name] = m.rowVersion
 		delete(r.members, name)
 	}
 }
@@ -225,13 +225,13 @@
 	return out
 }
 
-// watching reports whether the rows are being scanned, so that silence tells.
-func (r *roster) watching(now time.Duration) bool {
-	return r.scanned && now-r.lastScan <= scanGap
+// isScanning reports whether the rows are being scanned, so that silence tells.
+func (r *roster) isScanning(now time.Duration) bool {
+	return r.hasScanned && now-r.lastScan <= maxScanGap
 }
 
-// entries returns the members that count as present.
-func (r *roster) entries() []*member {
+// present returns the members that count as present.
+func (r *roster) present() []*member {
 	var out []*member
 	for _, m := range r.list() {
 		if m.addr != "" && !m.expired {
@@ -241,48 +241,48 @@
 	return out
 }
 
-// newest returns the present members, for each entry the process that was heard
+// latestProcesses returns the present members, for each entry the process that was heard
 // last. The others of the same entry are dead but not yet expired.
-func (r *roster) newest() []*member {
+func (r *roster) latestProcesses() []*member {
 	var out []*member
-	for _, m := range r.entries() {
+	for _, m := range r.present() {
 		last := len(out) - 1
 		switch {
-		case last < 0 || idOf(out[last].name) != idOf(m.name):
+		case last < 0 || entryID(out[last].name) != entryID(m.name):
 			out = append(out, m)
-		case m.later(out[last]):
+		case m.moreRecentThan(out[last]):
 			out[last] = m
 		}
 	}
 	return out
 }
 
-func (m *member) later(o *member) bool {
-	if m.ever != o.ever {
-		return m.ever
+func (m *member) moreRecentThan(o *member) bool {
+	if m.hasReplied != o.hasReplied {
+		return m.hasReplied
 	}
-	if m.ever {
-		return m.heard > o.heard
+	if m.hasReplied {
+		return m.repliedAt > o.repliedAt
 	}
-	return m.rowSince > o.rowSince
+	return m.rowUnchangedSince > o.rowUnchangedSince
 }
 
 // peers returns the members as the rule for starting work needs them.
 func (r *roster) peers() []confstate.Peer {
 	var out []confstate.Peer
-	for _, m := range r.entries() {
-		p := confstate.Peer{ID: m.name, LastReportAt: m.heard, HasReported: m.ever}
-		p.StoreFailing = m.state != nil && m.state.StoreFailing
+	for _, m := range r.present() {
+		p := confstate.Peer{ID: m.name, LastReportAt: m.repliedAt, HasReported: m.hasReplied}
+		p.StoreFailing = m.lastReport != nil && m.lastReport.StoreFailing
 		out = append(out, p)
 	}
 	return out
 }
 
-// met reports whether every entry has answered once, so that it knows of this
+// allReplied reports whether every entry has answered once, so that it knows of this
 // one. A process whose place another one has taken starts no work any more.
-func (r *roster) met() bool {
-	for _, m := range r.newest() {
-		if !m.ever {
+func (r *roster) allReplied() bool {
+	for _, m := range r.latestProcesses() {
+		if !m.hasReplied {
 			return false
 		}
 	}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -28,11 +28,11 @@
 	// incarnationLength is the length of a drawn incarnation.
 	incarnationLength = 8
 
-	prefix    = "presence/"
-	scanLimit = 256
-	// lookupInterval is the time between two questions to the seeds while the
+	rowKeyPrefix = "presence/"
+	scanPageSize = 256
+	// seedQueryInterval is the time between two questions to the seeds while the
 	// list of entries is not known from the store.
-	lookupInterval = time.Second
+	seedQueryInterval = time.Second
 )
 
 // Transport reaches other entries.
@@ -79,12 +79,12 @@
 	clock     func() time.Duration
 	cfg       Config
 
-	conf Configuration
-	fill []func(*rpc.PeerState)
+	conf         Configuration
+	stateFillers []func(*rpc.PeerState)
 
 	mu         sync.Mutex
 	roster     *roster
-	announced  announced
+	announced  announceHistory
 	exchanging map[string]bool // addresses with an exchange in progress
 	leaving    bool
 
@@ -114,7 +114,7 @@
 		transport:  t,
 		clock:      clock,
 		cfg:        cfg,
-		roster:     newRoster(fullName(self.ID, self.Incarnation)),
+		roster:     newRoster(processName(self.ID, self.Incarnation)),
 		exchanging: map[string]bool{},
 		presence: Presence{
 			ID:          self.ID,
@@ -130,7 +130,7 @@
 // each state sent. It must be called before Start.
 func (s *Service) Bind(conf Configuration, fill ...func(*rpc.PeerState)) {
 	s.conf = conf
-	s.fill = fill
+	s.stateFillers = fill
 }
 
 // Start starts to announce this entry and to exchange states.
@@ -146,7 +146,7 @@
 	})
 	s.loops.Every(ScanInterval, s.Scan)
 	s.loops.Every(ExchangeInterval, s.ExchangeAll)
-	s.loops.Every(lookupInterval, s.QuerySeeds)
+	s.loops.Every(seedQueryInterval, s.QuerySeeds)
 	s.running = true
 	return nil
 }
@@ -173,7 +173,7 @@
 		wg.Add(1)
 		s.cfg.Spawn(func() {
 			defer wg.Done()
-			s.exchange(ctx, p)
+			s.exchangeWith(ctx, p)
 		})
 	}
 	wg.Wait()
@@ -185,7 +185,7 @@
 	if s.rowVersion == 0 {
 		return
 	}
-	w := ledger.Write{Key: prefix + s.presence.name(), Version: s.rowVersion, Delete: true}
+	w := ledger.Write{Key: rowKeyPrefix + s.presence.name(), Version: s.rowVersion, Delete: true}
 	_, err := s.ledger.Commit(ctx, ledger.CausePresence, w)
 	if err != nil {
 		// The other entries drop the row when its lease is over.
@@ -201,20 +201,20 @@
 		return
 	}
 	sent := s.clock()
-	w := ledger.Write{Key: prefix + s.presence.name(), Version: s.rowVersion, Data: data}
+	w := ledger.Write{Key: rowKeyPrefix + s.presence.name(), Version: s.rowVersion, Data: data}
 	rows, err := s.ledger.Commit(ctx, ledger.CausePresence, w)
 	switch {
 	case err == nil:
 		s.rowVersion = rows[0].Version
 		s.mu.Lock()
-		s.announced.wrote(sent)
+		s.announced.recordWrite(sent)
 		s.mu.Unlock()
 	case errors.Is(err, ledger.ErrConflict):
 		// The next beat goes over the row as it is.
-		s.count("membership.own_row_changed")
+		s.incCounter("membership.own_row_changed")
 		s.rowVersion = rows[0].Version
 	default:
-		s.count("membership.announce_failures")
+		s.incCounter("membership.announce_failures")
 	}
 }
 
@@ -223,15 +223,15 @@
 	start := s.clock()
 	rows, err := s.readRows(ctx)
 	if err != nil {
-		s.count("membership.scan_failures")
+		s.incCounter("membership.scan_failures")
 		return
 	}
 	s.mu.Lock()
-	dead := s.roster.scan(start, s.clock(), rows)
+	stale := s.roster.applyScan(start, s.clock(), rows)
 	s.mu.Unlock()
-	for _, w := range dead {
+	for _, w := range stale {
 		// Another entry may have removed the row already.
-		_, _ = s.ledger.Commit(ctx, ledger.CausePresence, ledger.Write{Key: prefix + w.name(), Version: w.version, Delete: true})
+		_, _ = s.ledger.Commit(ctx, ledger.CausePresence, ledger.Write{Key: rowKeyPrefix + w.name(), Version: w.version, Delete: true})
 	}
 }
 
@@ -239,7 +239,7 @@
 	var out []row
 	after := ""
 	for {
-		page, err := s.ledger.Scan(ctx, ledger.CausePresence, prefix, after, scanLimit)
+		page, err := s.ledger.Scan(ctx, ledger.CausePresence, rowKeyPrefix, after, scanPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -251,7 +251,7 @@
 			out = append(out, w)
 			after = r.Key
 		}
-		if len(page) < scanLimit {
+		if len(page) < scanPageSize {
 			return out, nil
 		}
 	}
@@ -262,22 +262,22 @@
 // known for the rule on starts.
 func (s *Service) QuerySeeds(ctx context.Context) {
 	s.mu.Lock()
-	needed := !s.roster.watching(s.clock())
+	needed := !s.roster.isScanning(s.clock())
 	s.mu.Unlock()
 	if !needed {
 		return
 	}
 	for _, seed := range s.cfg.Seeds {
-		s.lookupAt(ctx, seed)
+		s.querySeed(ctx, seed)
 	}
 }
 
-func (s *Service) lookupAt(ctx context.Context, seed string) {
+func (s *Service) querySeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
 	entries, err := s.transport.Entries(ctx, seed)
 	if err != nil {
-		s.count("membership.lookup_failures")
+		s.incCounter("membership.lookup_failures")
 		return
 	}
 	s.mu.Lock()
@@ -295,9 +295,9 @@
 	if !s.leaving {
 		out = append(out, &rpc.EntryAddress{Id: s.self.ID, RpcAddress: s.self.Addr})
 	}
-	for _, m := range s.roster.newest() {
-		if idOf(m.name) != s.self.ID {
-			out = append(out, &rpc.EntryAddress{Id: idOf(m.name), RpcAddress: m.addr})
+	for _, m := range s.roster.latestProcesses() {
+		if entryID(m.name) != s.self.ID {
+			out = append(out, &rpc.EntryAddress{Id: entryID(m.name), RpcAddress: m.addr})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Id < out[j].Id })
@@ -308,21 +308,21 @@
 func (s *Service) Peers() (peers []confstate.Peer, listed time.Duration, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roster.peers(), s.roster.lastScan, s.roster.scanned
+	return s.roster.peers(), s.roster.lastScan, s.roster.hasScanned
 }
 
 // Settled reports whether the other entries know this one and have for a while.
 func (s *Service) Settled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.leaving && s.announced.settled(s.clock()) && s.roster.scanned && s.roster.met()
+	return !s.leaving && s.announced.settled(s.clock()) && s.roster.hasScanned && s.roster.allReplied()
 }
 
 // HighestOwnerEpoch returns the highest epoch of an owner that a peer has told.
 func (s *Service) HighestOwnerEpoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roster.highest
+	return s.roster.highestOwnerEpoch
 }
 
 // PeerReport is a peer's last state and its age.
@@ -339,15 +339,15 @@
 	defer s.mu.Unlock()
 	now := s.clock()
 	var out []PeerReport
-	for _, m := range s.roster.newest() {
-		if m.state != nil && idOf(m.name) != s.self.ID {
-			out = append(out, PeerReport{m.state, m.zone, now - m.heard, m.ever})
+	for _, m := range s.roster.latestProcesses() {
+		if m.lastReport != nil && entryID(m.name) != s.self.ID {
+			out = append(out, PeerReport{m.lastReport, m.zone, now - m.repliedAt, m.hasReplied})
 		}
 	}
 	return out
 }
 
-func (s *Service) count(name string) {
+func (s *Service) incCounter(name string) {
 	metrics.GetOrRegisterCounter(name, s.cfg.Metrics).Inc(1)
 }
 
@@ -379,17 +379,17 @@
 	now := s.clock()
 	st := State{
 		Self:              s.self,
-		ListKnown:         s.roster.scanned,
-		Settled:           s.announced.settled(now) && s.roster.met(),
+		ListKnown:         s.roster.hasScanned,
+		Settled:           s.announced.settled(now) && s.roster.allReplied(),
 		ScanAgeMS:         (now - s.roster.lastScan).Milliseconds(),
-		HighestOwnerEpoch: s.roster.highest,
+		HighestOwnerEpoch: s.roster.highestOwnerEpoch,
 		Peers:             []PeerDump{},
 	}
 	for _, m := range s.roster.list() {
 		st.Peers = append(st.Peers, PeerDump{
 			Name: m.name, Addr: m.addr, Zone: m.zone, RowVersion: m.rowVersion,
-			HasReplied: m.ever, ReplyAgeMS: (now - m.heard).Milliseconds(),
-			StoreFailing: m.state.GetStoreFailing(),
+			HasReplied: m.hasReplied, ReplyAgeMS: (now - m.repliedAt).Milliseconds(),
+			StoreFailing: m.lastReport.GetStoreFailing(),
 		})
 	}
 	return st
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -74,32 +74,32 @@
 
 // network joins services in one process.
 type network struct {
-	now   time.Duration
-	way   time.Duration // of one exchange
-	store *fakeLedger
-	nodes map[string]*Service
-	confs map[string]*fakeConfig
+	now           time.Duration
+	exchangeDelay time.Duration // of one exchange
+	store         *fakeLedger
+	services      map[string]*Service
+	confs         map[string]*fakeConfig
 }
 
 func newNetwork() *network {
 	return &network{
-		store: &fakeLedger{rows: map[string]ledger.Row{}},
-		nodes: map[string]*Service{},
-		confs: map[string]*fakeConfig{},
+		store:    &fakeLedger{rows: map[string]ledger.Row{}},
+		services: map[string]*Service{},
+		confs:    map[string]*fakeConfig{},
 	}
 }
 
 func (n *network) Exchange(_ context.Context, addr string, s *rpc.PeerState) (*rpc.PeerState, error) {
-	peer, ok := n.nodes[addr]
+	peer, ok := n.services[addr]
 	if !ok {
 		return nil, errors.New("unreachable")
 	}
-	n.now += n.way
+	n.now += n.exchangeDelay
 	return peer.HandleExchange(s), nil
 }
 
 func (n *network) Entries(_ context.Context, addr string) ([]*rpc.EntryAddress, error) {
-	if peer, ok := n.nodes[addr]; ok {
+	if peer, ok := n.services[addr]; ok {
 		return peer.Entries(), nil
 	}
 	return nil, errors.New("unreachable")
@@ -116,7 +116,7 @@
 	})
 	n.confs[addr] = &fakeConfig{current: &api.Config{}}
 	s.Bind(n.confs[addr])
-	n.nodes[addr] = s
+	n.services[addr] = s
 	return s
 }
 
@@ -125,7 +125,7 @@
 	ctx := context.Background()
 	for end := n.now + d; n.now < end; n.now += 500 * time.Millisecond {
 		for _, addr := range []string{"addr-a", "addr-b", "addr-c"} {
-			if s, ok := n.nodes[addr]; ok {
+			if s, ok := n.services[addr]; ok {
 				s.Announce(ctx)
 				s.Scan(ctx)
 				s.QuerySeeds(ctx)
@@ -135,7 +135,7 @@
 	}
 }
 
-func entries(s *Service) string {
+func entryIDs(s *Service) string {
 	var out []string
 	for _, e := range s.Entries() {
 		out = append(out, e.Id)
@@ -143,7 +143,7 @@
 	return strings.Join(out, " ")
 }
 
-func peers(s *Service) string {
+func describePeers(s *Service) string {
 	var out []string
 	list, _, known := s.Peers()
 	for _, p := range list {
@@ -163,20 +163,20 @@
 	n := newNetwork()
 	a, b := n.start("a", "addr-a", "1"), n.start("b", "addr-b", "1")
 	n.run(time.Second)
-	expect(t, "entries", entries(a), "a b")
-	delete(n.nodes, "addr-b")
+	expect(t, "entries", entryIDs(a), "a b")
+	delete(n.services, "addr-b")
 	n.run(PresenceLease / 2)
-	expect(t, "entries within the lease", entries(a), "a b")
+	expect(t, "entries within the lease", entryIDs(a), "a b")
 	n.run(PresenceLease)
-	expect(t, "entries after a kill", entries(a), "a")
-	n.nodes["addr-b"] = b
+	expect(t, "entries after a kill", entryIDs(a), "a")
+	n.services["addr-b"] = b
 	n.run(time.Second)
-	expect(t, "entries after a pause", entries(a), "a b")
+	expect(t, "entries after a pause", entryIDs(a), "a b")
 	b.Leave(context.Background())
-	delete(n.nodes, "addr-b")
-	expect(t, "entries after a planned stop", entries(a), "a")
+	delete(n.services, "addr-b")
+	expect(t, "entries after a planned stop", entryIDs(a), "a")
 	n.run(time.Second)
-	expect(t, "entries after the next scan", entries(a), "a")
+	expect(t, "entries after the next scan", entryIDs(a), "a")
 }
 
 func TestDeadRowsAreRemoved(t *testing.T) {
@@ -184,7 +184,7 @@
 	n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
 	n.run(time.Second)
-	delete(n.nodes, "addr-b")
+	delete(n.services, "addr-b")
 	n.run(PresenceRowTTL + PresenceLease)
 	if len(n.store.rows) != 1 {
 		t.Errorf("rows %v", n.store.rows)
@@ -199,14 +199,14 @@
 	n.start("b", "addr-b", "1")
 	n.run(time.Second)
 	n.store.down = true
-	delete(n.nodes, "addr-b")
+	delete(n.services, "addr-b")
 	n.run(10 * PresenceLease)
-	expect(t, "entries in the outage", entries(a), "a b")
+	expect(t, "entries in the outage", entryIDs(a), "a b")
 	n.store.down = false
 	n.run(time.Second)
-	expect(t, "entries right after", entries(a), "a b")
+	expect(t, "entries right after", entryIDs(a), "a b")
 	n.run(2 * PresenceLease)
-	expect(t, "entries later", entries(a), "a")
+	expect(t, "entries later", entryIDs(a), "a")
 }
 
 // TestRestartedEntryIsAnother shows that the rule on starts still counts the
@@ -219,8 +219,8 @@
 	n.store.down = true
 	n.start("b", "addr-b", "2")
 	n.run(PresenceLease)
-	expect(t, "entries", entries(a), "a b")
-	expect(t, "peers", peers(a), "true [b#1:true b#2:true]")
+	expect(t, "entries", entryIDs(a), "a b")
+	expect(t, "peers", describePeers(a), "true [b#1:true b#2:true]")
 	list, _, _ := a.Peers()
 	if age := n.now - list[0].LastReportAt; age <= confstate.MaxPeerReportAge {
 		t.Errorf("b#1 was heard %v ago", age)
@@ -237,9 +237,9 @@
 	n.confs["addr-a"].Offer(&api.Config{Version: 7}, 0)
 	b := n.start("b", "addr-b", "1")
 	n.run(2 * time.Second)
-	expect(t, "entries of b", entries(b), "a b")
-	expect(t, "peers of b", peers(b), "false [a#1:true]")
-	expect(t, "entries of a", entries(a), "a b")
+	expect(t, "entries of b", entryIDs(b), "a b")
+	expect(t, "peers of b", describePeers(b), "false [a#1:true]")
+	expect(t, "entries of a", entryIDs(a), "a b")
 	if v := n.confs["addr-b"].current.Version; v != 7 {
 		t.Errorf("b has version %d", v)
 	}
@@ -280,7 +280,7 @@
 	n := newNetwork()
 	a, b := n.start("a", "addr-a", "1"), n.start("b", "addr-b", "1")
 	n.confs["addr-a"].Offer(&api.Config{Version: 3}, 0)
-	b.HandleExchange(a.state(0))
+	b.HandleExchange(a.localState(0))
 	if c := n.confs["addr-b"]; c.current.Version != 3 || c.age < time.Hour {
 		t.Errorf("version %d confirmed %v ago", c.current.Version, c.age)
 	}
@@ -293,9 +293,9 @@
 	n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
 	n.confs["addr-a"].Offer(&api.Config{Version: 3}, 0)
-	n.way = 4 * time.Second
+	n.exchangeDelay = 4 * time.Second
 	n.run(time.Second)
-	if c := n.confs["addr-b"]; c.current.Version != 3 || c.age < n.way {
+	if c := n.confs["addr-b"]; c.current.Version != 3 || c.age < n.exchangeDelay {
 		t.Errorf("version %d confirmed %v ago", c.current.Version, c.age)
 	}
 }
