--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -1,7 +1,7 @@
-// Package owner decides which entry owns the scheduling of a cell. Ownership
-// is a row of the ledger with an epoch; the owner renews it, the others watch
-// it and take it over by a conditional write once it has not changed for
-// longer than the lease.
+// Package owner elects the entry that owns the scheduling of a cell. Ownership
+// is a row of the ledger with an epoch. The owner renews the row within its
+// lease; the other entries poll it and claim it with a conditional write when it
+// has not changed for longer than the lease.
 package owner
 
 import (
@@ -10,47 +10,50 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/confstate"
 )
 
-// Times of ownership.
+// Default timing of ownership.
 const (
-	// DefaultLease is how long one renewal lasts.
+	// DefaultLease is the validity of the ownership after one renewal.
 	DefaultLease = 3 * time.Second
-	// DefaultRenewInterval is the time between two renewals.
+	// DefaultRenewInterval is the time between two renewals by the owner.
 	DefaultRenewInterval = time.Second
-	// DefaultClockMargin covers the difference of clock rates during a lease.
+	// DefaultClockMargin bounds the drift between two clocks during one lease.
 	DefaultClockMargin = 300 * time.Millisecond
-	// DefaultPollInterval is the time between two looks at the row by the others.
+	// DefaultPollInterval is the time between two reads of the row by an entry
+	// that is not the owner.
 	DefaultPollInterval = 400 * time.Millisecond
-	// DefaultPermitTTL is how long a permission to start lasts that an owner has given.
+	// DefaultPermitTTL is the validity of a permission to start work that the
+	// owner has given.
 	DefaultPermitTTL = 2 * time.Second
 
-	// writeRetryDelay is the time until a write is tried again that was refused.
+	// writeRetryDelay is the delay before a failed write is retried.
 	writeRetryDelay = 200 * time.Millisecond
 	// maxWatchGap is the longest time between two reads of an unbroken watch. It
 	// is shorter than the time after which this process reports the store as
-	// failing, so that an owner that goes on through an outage hears of the
-	// watch before the row is claimed.
+	// failing. An owner that continues through an outage therefore sees that this
+	// entry reaches the store again before the row is claimed.
 	maxWatchGap = 1200 * time.Millisecond
-	// minWatchDuration is how long a watch lasts at least before the row is claimed. By
-	// then no report of this process that the store fails counts any more, so
-	// that an owner that goes on through an outage has stopped.
+	// minWatchDuration is the shortest watch after which the row may be claimed.
+	// By then every report of a store failure by this process has expired, so an
+	// owner that continued through an outage because of it has stopped.
 	minWatchDuration = confstate.MaxPeerReportAge + 200*time.Millisecond
 )
 
-// Timing configures a core.
+// Timing configures a Core. Zero values take the defaults.
 type Timing struct {
 	Lease         time.Duration
 	RenewInterval time.Duration
 	ClockMargin   time.Duration
 	PollInterval  time.Duration
 	PermitTTL     time.Duration
-	// TakeoverDelay is how long the row has to be unchanged before another process
-	// claims it; 0 for until the lease is over on any clock. With a shorter time
-	// the term of the earlier owner may go on for Overlap: whoever acts for the
-	// cell has to be safe by its epochs alone.
+	// TakeoverDelay is the time for which the row must be unchanged before
+	// another process claims it. 0 waits until the lease has expired on any clock.
+	// With a shorter delay the term of the previous owner may continue for
+	// Overlap, so whoever acts for the cell must be safe by its epochs alone.
 	TakeoverDelay time.Duration
 }
 
-// Overlap is for how long an earlier owner may still act after a claim.
+// Overlap returns the longest time for which the previous owner may still act
+// after a claim.
 func (t Timing) Overlap() time.Duration {
 	if t.TakeoverDelay == 0 {
 		return 0
@@ -73,17 +76,18 @@
 	}
 }
 
-// Self identifies this process. Incarnation differs for each start of it.
+// Self identifies this process. Incarnation differs for each start of the
+// process.
 type Self struct {
 	ID          string
 	Addr        string
 	Incarnation string
-	// ExclusiveID tells that no earlier process with the ID is alive, so that its
-	// ownership may be taken at once.
+	// ExclusiveID states that no earlier process with this ID is alive, so its
+	// ownership may be claimed at once.
 	ExclusiveID bool
 }
 
-// Row is the row of a cell's ownership.
+// Row is the stored record of a cell's ownership.
 type Row struct {
 	EntryID     string `json:"entry_id"`
 	Addr        string `json:"addr"`
@@ -93,47 +97,50 @@
 	Released    bool   `json:"released,omitempty"`
 }
 
-// Event is an input of the core.
+// Event is an input of Core.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick prompts Core to start the action that is due.
 type Tick struct{}
 
-// ReadDone answers a Read. Version is 0 for an absent row.
+// ReadDone is the result of a Read. Version is 0 if the row does not exist.
 type ReadDone struct {
 	Version uint64
 	Row     Row
 }
 
-// ReadFailed says that a Read got no answer.
+// ReadFailed reports that a Read returned no row.
 type ReadFailed struct{}
 
-// WriteDone says that the Write took effect and gave the row this version.
+// WriteDone reports that the Write took effect. Version is the new version of
+// the row.
 type WriteDone struct{ Version uint64 }
 
-// WriteConflict says that the Write did not take effect, as the row is another.
+// WriteConflict reports that the Write did not take effect because the row has
+// another version. It carries the stored row.
 type WriteConflict struct {
 	Version uint64
 	Row     Row
 }
 
-// WriteFailed says that the Write did not take effect and never will.
+// WriteFailed reports that the Write did not take effect and never will.
 type WriteFailed struct{}
 
-// WriteUnknown says that the Write may have taken effect or still may.
+// WriteUnknown reports that the Write may have taken effect or may still do so.
 type WriteUnknown struct{}
 
-// PeerEpoch brings the epoch of an owner that another entry knows.
+// PeerEpoch carries the epoch of an owner that another entry has reported.
 type PeerEpoch struct{ Epoch uint64 }
 
-// Release gives the ownership up for good, for a planned stop.
+// Release gives the ownership up permanently, for a planned stop.
 type Release struct{}
 
-// Resign ends the term of this process without a write, as it cannot reach the
-// row. Whoever hears of it may claim the row at once.
+// Resign ends the term of this process without a write, for use when it cannot
+// reach the row. An entry that learns of the resignation may claim the row at
+// once.
 type Resign struct{}
 
-// PeerResigned says that the owner of an epoch has resigned.
+// PeerResigned reports that the owner with the epoch has resigned.
 type PeerResigned struct{ Epoch uint64 }
 
 func (Tick) event()          {}
@@ -148,13 +155,14 @@
 func (Resign) event()        {}
 func (PeerResigned) event()  {}
 
-// Action is an output of the core. At most one is in progress at a time.
+// Action is an output of Core. At most one is in progress at a time.
 type Action interface{ action() }
 
-// Read asks for the row.
+// Read requests a read of the row.
 type Read struct{}
 
-// Write asks for a conditional write of the row.
+// Write requests a conditional write of the row, which succeeds only if the row
+// still has Version.
 type Write struct {
 	Version uint64
 	Row     Row
@@ -163,33 +171,34 @@
 func (Read) action()  {}
 func (Write) action() {}
 
-// Core is the state of one process's part in the ownership of a cell. It is
-// pure: it does no I/O and reads no clock. Times are on the process's
-// monotonic clock, which goes on while the process is paused.
+// Core is the state machine of one process for the ownership of one cell. It
+// does no I/O and reads no clock. All times are on the monotonic clock of the
+// process, which advances while the process is paused.
 type Core struct {
 	self  Self
 	times Timing
 
-	// The row as last rowKnown or written.
+	// The row as last read or written.
 	rowKnown bool
 	version  uint64
 	row      Row
-	// unchangedSince is when the row was first seen at version, in a series of
-	// reads without a gap; lastRead is the last of them.
+	// unchangedSince is when the row was first seen at version within the
+	// present watch: a series of reads and writes without a gap. lastObserved is
+	// the latest of them.
 	unchangedSince time.Duration
 	lastObserved   time.Duration
 	watchUnbroken  bool
-	watchStart     time.Duration // start of the series
+	watchStart     time.Duration // start of the present watch
 	readSentAt     time.Duration
-	readLatency    time.Duration // by the last read that was answered
+	readLatency    time.Duration // of the last successful read
 
-	// heldEpoch is that of the term held, 0 for none. The term is valid until
-	// validUntil and may start work from startAfter on.
+	// heldEpoch is the epoch of the term that this process holds, 0 for none.
+	// The term is valid until validUntil and may start work from startAfter on.
 	heldEpoch     uint64
 	validUntil    time.Duration
 	startAfter    time.Duration
-	highestEpoch  uint64 // highest epoch heard of
-	resignedEpoch uint64 // epoch of the last term whose owner has resigned
+	highestEpoch  uint64 // highest known epoch of any owner
+	resignedEpoch uint64 // epoch of the latest term known to have been resigned
 
 	inFlight    bool // an action is in progress
 	pendingRow  Row
@@ -200,12 +209,12 @@
 	releasing   bool
 }
 
-// NewCore returns a core that has seen nothing.
+// NewCore returns a Core that knows nothing of the row.
 func NewCore(self Self, times Timing) *Core {
 	return &Core{self: self, times: times.withDefaults()}
 }
 
-// Step takes an event and returns the action to carry out, if any.
+// Step applies an event and returns the action to execute, if any.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	switch e := ev.(type) {
 	case Tick:
@@ -269,7 +278,8 @@
 	return []Action{Read{}}
 }
 
-// renewIfDue sends the next beat, or the release when this process is leaving.
+// renewIfDue returns the write of the next renewal, or of the release while
+// this process is stopping.
 func (c *Core) renewIfDue(now time.Duration) []Action {
 	if now < c.nextWrite {
 		return nil
@@ -288,8 +298,9 @@
 	return []Action{Write{Version: c.version, Row: row}}
 }
 
-// mayClaim reports whether the row is free: absent, released, or unchanged
-// for long enough.
+// mayClaim reports whether this process may claim the row: it is available, it
+// belongs to an earlier incarnation of an exclusive ID, or it has been unchanged
+// for longer than unchangedLimit in an unbroken watch.
 func (c *Core) mayClaim(now time.Duration) bool {
 	if !c.rowKnown || c.releasing || now < c.nextWrite {
 		return false
@@ -306,12 +317,14 @@
 	return now-c.unchangedSince > c.unchangedLimit()
 }
 
-// renewalReads is the number of this process's reads for which an owner whose
-// table is as slow may take longer to renew: it sends a renewal only after the
-// last one was answered, and the row is seen when a read returns.
+// renewalReads bounds the time in which an owner renews, in read latencies of
+// this process, if its store calls are as slow as the ones here: the owner sends
+// a renewal only after the previous one was answered, and the row is seen here
+// only when a read returns.
 const renewalReads = 3
 
-// unchangedLimit is how long the row has to be unchanged before it is claimed.
+// unchangedLimit returns the time for which the row must be unchanged before it
+// is claimed.
 func (c *Core) unchangedLimit() time.Duration {
 	untilExpiry := c.times.Lease + c.times.ClockMargin
 	if c.times.TakeoverDelay == 0 {
@@ -320,6 +333,8 @@
 	return min(untilExpiry, c.times.TakeoverDelay+renewalReads*c.readLatency)
 }
 
+// rowAvailable reports whether the row may be claimed without a wait: it does
+// not exist, was released, or its owner has resigned.
 func (c *Core) rowAvailable() bool {
 	return c.version == 0 || c.row.Released || c.row.Epoch > 0 && c.row.Epoch == c.resignedEpoch
 }
@@ -335,8 +350,8 @@
 	})
 }
 
-// applyWrite takes over a row that this process has applyWrite. Validity counts from
-// before the write was sent.
+// applyWrite records a row that this process has written. The lease counts from
+// before the write was sent, because the others may have seen the row since then.
 func (c *Core) applyWrite(now time.Duration, version uint64) {
 	wasAvailable := c.rowAvailable()
 	newTerm := c.heldEpoch == 0
@@ -355,9 +370,9 @@
 	}
 }
 
-// earliestStart returns from when on a new term may start work: at once when the
-// earlier owner has released the row, otherwise when the permissions that it
-// may have given up to the end of its lease are over.
+// earliestStart returns the time from which a new term may start work. That is
+// now if the previous owner has released the row; otherwise the permissions that
+// it may have given up to the end of its lease must expire first.
 func (c *Core) earliestStart(now time.Duration, wasAvailable bool) time.Duration {
 	if wasAvailable {
 		return now
@@ -365,7 +380,8 @@
 	return now + c.times.PermitTTL + c.times.ClockMargin
 }
 
-// applyRow takes over a row that was read.
+// applyRow records a row that was read or returned by a conflict, and begins or
+// ends the term accordingly.
 func (c *Core) applyRow(now time.Duration, version uint64, row Row) {
 	prevEpoch := c.heldEpoch
 	c.recordRow(now, version, row)
@@ -381,12 +397,14 @@
 	}
 }
 
-// isOwnTerm reports whether a row shows a term of this process that no later one has
-// followed.
+// isOwnTerm reports whether the row is a term of this process and no higher
+// epoch is known.
 func (c *Core) isOwnTerm(row Row) bool {
 	return row.Epoch > 0 && row.Epoch != c.resignedEpoch && row.Epoch >= c.highestEpoch && row.Incarnation == c.self.Incarnation && !row.Released
 }
 
+// recordRow stores the latest known row and continues the watch, or starts a
+// new one after a gap.
 func (c *Core) recordRow(now time.Duration, version uint64, row Row) {
 	unbroken := c.watchUnbroken && now-c.lastObserved <= maxWatchGap
 	if !unbroken {
@@ -411,7 +429,7 @@
 	c.heldEpoch, c.validUntil, c.startAfter = 0, 0, 0
 }
 
-// observeEpoch ends the term when a higher epoch exists.
+// observeEpoch records an epoch and ends the term if the epoch is higher.
 func (c *Core) observeEpoch(epoch uint64) {
 	c.highestEpoch = max(c.highestEpoch, epoch)
 	if c.heldEpoch > 0 && epoch > c.heldEpoch {
@@ -420,19 +438,19 @@
 	}
 }
 
-// StoreOutage tells what the peers know of the store, for the time in which the
-// lease cannot be renewed.
+// StoreOutage describes which entries cannot reach the store. It decides whether
+// an owner that cannot renew its lease may continue running work.
 type StoreOutage struct {
 	// AllEntries is true while no entry reaches the store.
 	AllEntries bool
-	// ThisEntry is true while this entry's store is down.
+	// ThisEntry is true while this entry does not reach the store.
 	ThisEntry bool
 }
 
-// Authority is this process's right to act for a cell at one moment.
+// Authority states what this process may do for a cell at one moment.
 type Authority struct {
-	// Owner is true while this process may renew running work, and start work
-	// if StoreDown is false and StartAfter has passed.
+	// Owner is true while this process may renew running work. It may also start
+	// work if StoreDown is false and StartAfter has passed.
 	Owner      bool
 	Epoch      uint64
 	StartAfter time.Duration
@@ -441,8 +459,8 @@
 	StoreDown  bool
 }
 
-// Authority returns the rights at a time. A process that was paused past its
-// lease has none, as its clock went on.
+// Authority returns the rights at the time now. A process that was paused past
+// its lease has none, because its clock advanced during the pause.
 func (c *Core) Authority(now time.Duration, outage StoreOutage) Authority {
 	auth := Authority{Epoch: c.highestEpoch}
 	if c.rowKnown && !c.rowAvailable() {
@@ -461,7 +479,8 @@
 	return auth
 }
 
-// Released reports whether a leaving process holds the row no longer.
+// Released reports whether this process is stopping and no longer holds the
+// row.
 func (c *Core) Released() bool {
 	return c.releasing && c.heldEpoch == 0 && !c.inFlight && !c.mustRead
 }
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -9,13 +9,13 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// coreScenario steps cores by hand against one row.
+// coreScenario steps cores through a script against one row.
 type coreScenario struct {
 	cores          map[string]*Core
 	now            time.Duration
 	version        uint64
 	row            Row
-	pendingActions map[string]Action // of each core
+	pendingActions map[string]Action // unanswered action of each core
 	times          Timing
 }
 
@@ -26,7 +26,7 @@
 	return s.cores[name]
 }
 
-// applyAction carries an action out at the row and returns the answer.
+// applyAction executes an action on the row and returns the result.
 func (s *coreScenario) applyAction(a Action) Event {
 	w, ok := a.(Write)
 	if !ok {
@@ -40,7 +40,8 @@
 	return WriteDone{s.version}
 }
 
-// runRound ticks a core and answers its action, as told.
+// runRound ticks a core and answers its action: not yet ("none"), with an unknown
+// outcome ("lost"), with a failure ("failed"), or otherwise with its result.
 func (s *coreScenario) runRound(name, answer string) string {
 	c := s.core(name)
 	actions := c.Step(s.now, Tick{})
@@ -121,7 +122,7 @@
 	return ""
 }
 
-// runRounds lets cores run without faults and shows the writes.
+// runRounds ticks cores every 100 ms without faults and returns the writes.
 func (s *coreScenario) runRounds(names []string, length time.Duration) string {
 	var out []string
 	for end := s.now + length; s.now < end; s.now += 100 * time.Millisecond {
@@ -141,8 +142,9 @@
 	})
 }
 
-// TestSoleRestart shows that a process which knows its predecessor to be dead
-// takes the ownership over at once, while any other waits for the lease's end.
+// TestSoleRestart checks that a process whose ID is exclusive claims the row of
+// its previous incarnation at once, while any other process waits for the lease
+// to expire.
 func TestSoleRestart(t *testing.T) {
 	row := Row{EntryID: "a", Incarnation: "first", Epoch: 7, Beat: 3}
 	for _, tc := range []struct {
@@ -164,9 +166,9 @@
 	}
 }
 
-// TestResign shows that an owner which has resigned does not take its term up
-// again, whatever becomes of its last renewal, and that an entry which has
-// heard of it claims the row at once.
+// TestResign checks that an owner which has resigned does not resume its term,
+// even if its last renewal takes effect later, and that an entry which learns of
+// the resignation claims the row at once.
 func TestResign(t *testing.T) {
 	owner := NewCore(Self{ID: "a", Incarnation: "1"}, Timing{})
 	owner.Step(0, Tick{})
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -12,23 +12,23 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// clockRateSlack covers the rates of the simulated clocks.
+// clockRateSlack allows for the different rates of the simulated clocks.
 const clockRateSlack = 1.05
 
-// inForceBound is how long after its acknowledgement a change may still be
-// unknown to a process that starts work.
+// inForceBound is the longest time after its acknowledgement for which a change
+// may be unknown to a process that starts work.
 const inForceBound = time.Duration(float64(confstate.MaxPeerReportAge) * clockRateSlack)
 
-// oracle holds the one history of the table and compares with it what the
-// processes say.
+// oracle records the single history of the table and checks the processes
+// against it.
 type oracle struct {
 	configs     map[uint64]*api.Config
 	lastVersion uint64
 	ownerRows   []Row
 	acks        []ack
-	// lastStartRight is when each process was last seen with the right to start work.
+	// lastStartRight is when each process last had the right to start work.
 	lastStartRight map[*process]time.Duration
-	startEpochs    map[*process]uint64 // epoch of started
+	startEpochs    map[*process]uint64 // epoch at lastStartRight
 	violation      string
 	logEvent       func(format string, args ...any)
 }
@@ -36,7 +36,7 @@
 type ack struct {
 	ackedAt time.Duration
 	version uint64
-	unaware map[*process]bool // processes that could not know of the acknowledging one
+	unaware map[*process]bool // processes that could not know of the acknowledging process
 }
 
 func (o *oracle) init(logEvent func(string, ...any)) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// recordRow sees each row as it takes effect.
+// recordRow records each row as it takes effect, and checks its order.
 func (o *oracle) recordRow(now time.Duration, r external.Row) {
 	switch r.Key {
 	case "config/doc":
@@ -122,8 +122,8 @@
 	}
 }
 
-// ackedVersion returns the highest version acknowledged up to a time by a
-// process of which another one could know.
+// ackedVersion returns the highest version acknowledged up to time t, without
+// acknowledgements by processes of which p could not know.
 func (o *oracle) ackedVersion(t time.Duration, p *process) uint64 {
 	var v uint64
 	for _, a := range o.acks {
@@ -134,8 +134,8 @@
 	return v
 }
 
-// checkStart checks that the permissions which an earlier owner may have given
-// are over when the next one starts work. An owner that has released the row
+// checkStart checks that the permissions which a previous owner may have given
+// have expired when the next owner starts work. An owner that has released the row
 // has none left.
 func (o *oracle) checkStart(w *world, p *process, a Authority) {
 	for q, at := range o.lastStartRight {
@@ -147,7 +147,8 @@
 	o.startEpochs[p] = a.Epoch
 }
 
-// checkOutcome compares the outcome of an operator's call with the history so far.
+// checkOutcome checks the outcome of an operator's call against the history so
+// far.
 func (o *oracle) checkOutcome(w *world, c *configChange) {
 	switch {
 	case c.err == nil:
@@ -176,7 +177,7 @@
 	o.acks = append(o.acks, a)
 }
 
-// predecessor returns the configuration that a version followed.
+// predecessor returns the configuration that version v replaced.
 func (o *oracle) predecessor(v uint64) *api.Config {
 	for v--; v > 0; v-- {
 		if c, ok := o.configs[v]; ok {
@@ -186,8 +187,8 @@
 	return o.configs[0]
 }
 
-// checkAllOutcomes checks all calls at the end, when nothing is late any more: each
-// acknowledged change has happened once, each refused one never.
+// checkAllOutcomes checks all calls at the end, when no transaction is delayed any
+// more: each acknowledged change was applied exactly once, each refused one never.
 func (o *oracle) checkAllOutcomes(changes []*configChange) {
 	applied := map[string]int{}
 	for _, c := range o.configs {
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// tickInterval is the time between two ticks of the core.
+	// tickInterval is the time between two ticks of Core.
 	tickInterval = 50 * time.Millisecond
 	// rowOpTimeout bounds one read or write of the row.
 	rowOpTimeout = 1500 * time.Millisecond
-	// readBackDelay is how long a write may go unanswered before the row is read: an
-	// answer that was lost is made up for before others take the row for
-	// abandoned, while a slow one is still waited for.
+	// readBackDelay is how long a write may be unanswered before the row is read
+	// back. This makes up for a lost reply before the other entries take the row
+	// for abandoned; a slow reply is still awaited.
 	readBackDelay = 300 * time.Millisecond
 )
 
-// Peers tells what the other entries report. The service asks for the outage
-// first and for the epoch after it, so that a report of an outage never hides
-// the epoch that came with it.
+// Peers provides the reports of the other entries. The service asks for the
+// outage first and for the epoch after it, so that an epoch which arrived
+// together with a report of an outage is always taken into account.
 type Peers interface {
 	StoreDownEverywhere() bool
 	HighestOwnerEpoch() uint64
 }
 
-// Config sets up a service. Zero values take the defaults.
+// Config configures a Service. Zero values take the defaults.
 type Config struct {
 	Timing  Timing
 	Peers   Peers
@@ -42,7 +42,7 @@
 	Log     zerolog.Logger
 }
 
-// Service keeps or watches the ownership of one cell.
+// Service holds or watches the ownership of one cell.
 type Service struct {
 	ledger ledger.Ledger
 	key    string
@@ -53,16 +53,16 @@
 	core        *Core
 	subscribers []func(Authority)
 
-	lastPublished Authority // as last told to subscribers
+	lastPublished Authority // as last passed to the subscribers
 	results       chan Event
 	loops         kernel.Loops
 	running       bool
 }
 
-// RowKey is the key of the row of a cell's ownership.
+// RowKey returns the ledger key of the row of a cell's ownership.
 func RowKey(cell string) string { return "owner/" + cell }
 
-// New returns a service that is not running yet. The clock is monotonic.
+// New returns a Service that is not running yet. The clock must be monotonic.
 func New(l ledger.Ledger, cell string, self Self, clock func() time.Duration, cfg Config) *Service {
 	if self.Incarnation == "" {
 		self.Incarnation = uuid.NewString()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Start starts to watch the row and claims it when it is free.
+// Start begins to watch the row and claims it when it is available.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Go(s.run)
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// Stop gives the ownership up, so that another entry takes it at once, and
-// ends the service. Whatever acts for the cell must have ended before: the
-// next owner does not wait.
+// Stop releases the ownership, so that another entry can claim it at once, and
+// ends the service. Everything that acts for the cell must have ended before,
+// because the next owner does not wait.
 func (s *Service) Stop(ctx context.Context) error {
 	if !s.running {
 		return nil
@@ -101,7 +101,8 @@
 	return err
 }
 
-// Resign ends the term with the epoch at once, if it is the present one.
+// Resign ends the term with the epoch at once. It does nothing if this is not
+// the current epoch.
 func (s *Service) Resign(epoch uint64) {
 	if s.Current().Epoch != epoch {
 		return
@@ -110,7 +111,7 @@
 	s.cfg.Log.Warn().Uint64("epoch", epoch).Msg("ownership resigned")
 }
 
-// HearResigned takes the news that the owner of an epoch has resigned.
+// HearResigned records that the owner with the epoch has resigned.
 func (s *Service) HearResigned(epoch uint64) { s.step(PeerResigned{epoch}) }
 
 func (s *Service) awaitRelease(ctx context.Context) error {
@@ -163,7 +164,7 @@
 	}
 }
 
-// startActions carries out actions; the core has at most one in progress.
+// startActions executes actions in goroutines; Core has at most one in progress.
 func (s *Service) startActions(ctx context.Context, ops *sync.WaitGroup, actions []Action) {
 	for _, a := range actions {
 		ops.Add(1)
@@ -183,8 +184,9 @@
 	return s.readRow(ctx)
 }
 
-// writeWithReadBack writes the row and, once that is overdue, reads it beside: a row
-// that is as written answers for the write.
+// writeWithReadBack writes the row. If the reply takes longer than
+// readBackDelay, it reads the row as well; a stored row equal to the written one
+// confirms the write.
 func (s *Service) writeWithReadBack(ctx context.Context, w Write) Event {
 	written := make(chan Event, 1)
 	go func() { written <- s.writeRow(ctx, w) }()
@@ -201,7 +203,8 @@
 	return <-written
 }
 
-// Overlap is for how long an earlier owner may still act after a claim.
+// Overlap returns the longest time for which the previous owner may still act
+// after a claim.
 func (s *Service) Overlap() time.Duration { return s.cfg.Timing.withDefaults().Overlap() }
 
 func (s *Service) readRow(ctx context.Context) Event {
@@ -211,7 +214,7 @@
 	}
 	row, err := decodeRow(rows[0])
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("ownership cannot be read")
+		s.cfg.Log.Error().Err(err).Msg("failed to decode ownership row")
 		return ReadFailed{}
 	}
 	return ReadDone{rows[0].Version, row}
@@ -252,7 +255,7 @@
 	return row, errors.Annotatef(err, "row %q", r.Key)
 }
 
-// Current returns this process's rights at this moment. Callers ask again
+// Current returns the present rights of this process. Callers must call it again
 // before each effect.
 func (s *Service) Current() Authority {
 	outage := StoreOutage{ThisEntry: s.ledger.BreakerOpen()}
@@ -265,14 +268,15 @@
 	return s.core.Authority(s.clock(), outage)
 }
 
-// Subscribe calls fn after each change of the rights, in order, from one goroutine.
+// Subscribe registers fn, which is called after each change of the rights, in
+// order, from one goroutine.
 func (s *Service) Subscribe(fn func(Authority)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.subscribers = append(s.subscribers, fn)
 }
 
-// publish tells the subscribers of a change.
+// publish notifies the subscribers if the rights have changed.
 func (s *Service) publish() {
 	a := s.Current()
 	if a == s.lastPublished {
@@ -297,7 +301,7 @@
 		Str("owner_id", a.OwnerID).Bool("store_down", a.StoreDown).Msg("ownership changed")
 }
 
-// State is the dump of a service.
+// State is the state dump of a Service.
 type State struct {
 	Key       string    `json:"key"`
 	Authority Authority `json:"authority"`
@@ -305,7 +309,7 @@
 	Version   uint64    `json:"version"`
 }
 
-// DumpState returns the service's state.
+// DumpState returns the service's state for a state dump.
 func (s *Service) DumpState() any {
 	a := s.Current()
 	s.mu.Lock()
--- a/internal/owner/service_test.go
+++ b/internal/owner/service_test.go
@@ -12,7 +12,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// noReplyLedger is one row whose writes take effect and are not answered.
+// noReplyLedger holds one row. Its writes take effect but are never answered.
 type noReplyLedger struct {
 	ledger.Ledger
 
@@ -38,9 +38,9 @@
 
 func (m *noReplyLedger) BreakerOpen() bool { return false }
 
-// TestUnansweredWriteIsLookedFor shows that a write whose answer is lost counts
-// once the row is as written, long before the write is given up.
-func TestUnansweredWriteIsLookedFor(t *testing.T) {
+// TestUnansweredWriteIsReadBack checks that a write whose reply is lost is
+// confirmed by reading the row back, well before the write times out.
+func TestUnansweredWriteIsReadBack(t *testing.T) {
 	s := New(&noReplyLedger{}, "all", Self{ID: "a"}, ledger.NewMonotonicClock(), Config{Log: zerolog.Nop()})
 	if err := s.Start(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -24,20 +24,20 @@
 	maxNetworkDelay   = 8 * time.Millisecond
 )
 
-// world runs several processes over one table in virtual time, in a single
-// goroutine. While one process waits in a call, the others go on.
+// world runs several processes on one table in virtual time, in a single
+// goroutine. While one process waits in a call, the others proceed.
 type world struct {
 	now       time.Duration
 	rng       *rand.Rand
 	rows      map[string]external.Row
 	delayed   []external.Txn
 	procs     []*process
-	times     Timing // of ownership
+	times     Timing // timing of ownership
 	callDepth int
 	nextID    int
 
 	storeDown    bool
-	configTxns   int     // transactions that change the configuration
+	configTxns   int     // transactions on the configuration
 	operatorRate float64 // share of steps in which an operator calls a process
 	changes      []*configChange
 	faultRate    float64 // share of calls with a fault
@@ -45,10 +45,10 @@
 	partitioned  map[[2]int]bool
 
 	oracle   oracle
-	eventLog []string // the last events, for the report of a fault
+	eventLog []string // the last events, for the report of a violation
 }
 
-// maxEventLog is the number of events that a report shows.
+// maxEventLog is the number of events kept for a report.
 const maxEventLog = 60
 
 func (w *world) logEvent(format string, args ...any) {
@@ -56,7 +56,7 @@
 	w.eventLog = w.eventLog[max(0, len(w.eventLog)-maxEventLog):]
 }
 
-// report describes the processes and the last events.
+// report returns the state of the processes and the last events.
 func (w *world) report() string {
 	lines := append([]string(nil), w.eventLog...)
 	for _, p := range w.procs {
@@ -80,12 +80,13 @@
 	return w
 }
 
-// process is one entry: ledger, configuration and ownership.
+// process is one simulated entry: ledger, configuration, membership and
+// ownership.
 type process struct {
 	w           *world
 	index       int
 	name        string
-	clockRate   float64 // of its clock
+	clockRate   float64 // speed of its clock relative to the world's
 	clockOffset time.Duration
 	ledger      *ledger.Client
 	conf        *confstate.Service
@@ -94,10 +95,10 @@
 
 	inCall           bool // a call is in progress
 	frozen           bool
-	storeUnreachable bool // from the store
+	storeUnreachable bool
 	stopping         bool
 	changing         bool                       // an operator's call is in progress
-	blindAt          map[*process]time.Duration // last moment of being blind to another
+	lastUnaware      map[*process]time.Duration // when this process was last unaware of another
 	loops            []loop
 	version          uint64 // highest configuration version seen
 }
@@ -109,7 +110,7 @@
 	run      func(context.Context)
 }
 
-// start replaces a process by a new one with another incarnation.
+// start starts a new incarnation of process i, in place of the previous one.
 func (w *world) start(i int) {
 	w.nextID++
 	p := &process{
@@ -118,7 +119,7 @@
 		name:        fmt.Sprintf("e%d.%d", i, w.nextID),
 		clockRate:   0.98 + 0.04*w.rng.Float64(),
 		clockOffset: time.Duration(w.rng.Intn(1000)) * time.Second,
-		blindAt:     map[*process]time.Duration{},
+		lastUnaware: map[*process]time.Duration{},
 	}
 	if old := w.procs[i]; old != nil {
 		p.storeUnreachable = old.storeUnreachable
@@ -163,7 +164,7 @@
 	return p.clockOffset + time.Duration(float64(p.w.now)*p.clockRate)
 }
 
-// ctx ends after a time on the world's clock.
+// ctx returns a context that expires after d on the clock of the world.
 func (p *process) ctx(d time.Duration) context.Context {
 	return simCtx{context.Background(), p.w, p.w.now + d}
 }
@@ -185,7 +186,7 @@
 
 func (p *process) HighestOwnerEpoch() uint64 { return p.members.HighestOwnerEpoch() }
 
-// simTable is the table as one process reaches it.
+// simTable is the table as seen by one process.
 type simTable struct{ p *process }
 
 func (t simTable) Get(_ context.Context, keys ...string) (rows []external.Row, err error) {
@@ -247,8 +248,8 @@
 	return res
 }
 
-// callStore carries one callStore to the store and back. The way takes time, in which a
-// callStore may be lost, its write may be delayed, or the process may be paused.
+// callStore simulates one store call and its reply. Both take time; the call may
+// be lost, its write may be delayed, or the process may be paused.
 func (p *process) callStore(apply, delayWrite func()) error {
 	p.networkDelay()
 	if p.w.storeDown || p.storeUnreachable {
@@ -286,7 +287,7 @@
 	w.now += time.Duration(w.rng.Int63n(int64(maxNetworkDelay)))
 }
 
-// waitInCall lets time pass for a process that is in a call.
+// waitInCall advances time for a process that is in a call.
 func (p *process) waitInCall(d time.Duration) {
 	if p.w.callDepth > 0 {
 		p.w.now += d
@@ -298,7 +299,7 @@
 	p.w.run(d)
 }
 
-// waitIdle lets time pass for a process that waits outside of a call.
+// waitIdle advances time for a process that waits outside of a call.
 func (p *process) waitIdle(d time.Duration) {
 	busy := p.inCall
 	p.changing = true
@@ -307,7 +308,7 @@
 	p.inCall = busy
 }
 
-// knows reports whether a process counts another one among its peers.
+// knows reports whether the process has the named one in its list of peers.
 func (p *process) knows(name string) bool {
 	peers, _, _ := p.members.Peers()
 	for _, q := range peers {
@@ -318,26 +319,26 @@
 	return false
 }
 
-// discoveryGrace is how long a process may take to learn of another one after the
-// two can reach each other again.
+// discoveryGrace is the longest time for which a process may not know of another
+// one after the two can reach each other again.
 const discoveryGrace = 2 * time.Second
 
-// unawareOf reports whether a process can neither know nor learn of another one:
-// it is, or was until lately, cut off from the store and from the other, and has
-// not met it before. The rule on starts does not cover this case.
+// unawareOf reports whether the process cannot know of q: until at most
+// discoveryGrace ago it was disconnected from both the store and q, and q is not
+// in its list of peers. The rule for starting work does not cover this case.
 func (p *process) unawareOf(q *process) bool {
 	partitioned := p.w.partitioned[[2]int{min(p.index, q.index), max(p.index, q.index)}]
 	if p.knows(q.name) {
 		return false
 	}
 	if p.storeUnreachable && partitioned {
-		p.blindAt[q] = p.w.now
+		p.lastUnaware[q] = p.w.now
 	}
-	last, ok := p.blindAt[q]
+	last, ok := p.lastUnaware[q]
 	return ok && p.w.now-last <= discoveryGrace
 }
 
-// run lets time pass; each process that is not in a call does its periodic work.
+// run advances time; each process that is not in a call runs its due loops.
 func (w *world) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += min(simStep, end-w.now)
@@ -349,7 +350,8 @@
 	}
 }
 
-// applyDelayed applies a late transaction now and then.
+// applyDelayed applies a random delayed transaction, in one of 10 steps on
+// average.
 func (w *world) applyDelayed() {
 	if len(w.delayed) > 0 && w.rng.Intn(10) == 0 {
 		i := w.rng.Intn(len(w.delayed))
@@ -359,7 +361,7 @@
 	}
 }
 
-// runDue does what is due in a process.
+// runDue runs the loops of a process that are due.
 func (w *world) runDue(p *process) {
 	if p.inCall {
 		return
@@ -378,7 +380,7 @@
 	}
 }
 
-// tick is what the service's goroutine does in one round.
+// tick does what one round of the service's goroutine does.
 func (p *process) tick(context.Context) {
 	p.owner.observePeerEpoch()
 	for _, a := range p.owner.step(Tick{}) {
@@ -426,7 +428,7 @@
 	return q.frozen || w.partitioned[pair] || w.rng.Float64() < w.faultRate
 }
 
-// configChange is one operator's call.
+// configChange is one operator's call to change the configuration.
 type configChange struct {
 	process *process
 	marker  string
@@ -438,7 +440,8 @@
 	err     error
 }
 
-// changeProfile lets an operator change a profile through a process and checks the answer.
+// changeProfile changes a profile through the process as an operator does, and
+// checks the outcome.
 func (p *process) changeProfile(profile string, expect uint64) *configChange {
 	p.w.nextID++
 	busy := p.inCall
@@ -454,7 +457,7 @@
 	return c
 }
 
-// decodeRowData opens a row's envelope.
+// decodeRowData decodes the data in a row's envelope.
 func decodeRowData(r external.Row, into any) {
 	var e struct {
 		Data json.RawMessage `json:"data"`
--- a/internal/owner/store_bench_test.go
+++ b/internal/owner/store_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkConfigChange measures the store's transactions for each acknowledged
-// change of the configuration, by one operator and by operators that race each
-// other at all entries. Polls are not counted.
+// BenchmarkConfigChange measures the store transactions for each acknowledged
+// configuration change, with one operator and with operators that race each other
+// at all entries. Polls are not counted.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, racing := range []bool{false, true} {
 		b.Run(fmt.Sprintf("racing=%v", racing), func(b *testing.B) {
@@ -35,8 +35,8 @@
 
 func ackCount(w *world) int { return len(w.oracle.acks) }
 
-// BenchmarkInForce measures, in virtual time, how long after its acknowledgement
-// a change is known to all entries.
+// BenchmarkInForce measures, in virtual time, the delay between the
+// acknowledgement of a change and the moment when all entries know it.
 func BenchmarkInForce(b *testing.B) {
 	w := newWorld(1, simProcesses, Timing{})
 	w.run(10 * time.Second)
--- a/internal/owner/store_machine_test.go
+++ b/internal/owner/store_machine_test.go
@@ -13,7 +13,7 @@
 
 const simProcesses = 3
 
-// shortTiming are those of an entry that has to take over fast.
+// shortTiming is the timing of an entry that must take over fast.
 var shortTiming = Timing{
 	Lease:         1500 * time.Millisecond,
 	RenewInterval: 400 * time.Millisecond,
@@ -22,8 +22,8 @@
 	PermitTTL:     time.Second,
 }
 
-// earlyTakeoverTiming are those of an entry that takes over before the earlier term is
-// over.
+// earlyTakeoverTiming is the timing of an entry that takes over before the
+// previous term has expired.
 var earlyTakeoverTiming = Timing{
 	Lease:         1700 * time.Millisecond,
 	RenewInterval: 200 * time.Millisecond,
@@ -33,7 +33,7 @@
 	TakeoverDelay: 700 * time.Millisecond,
 }
 
-// storeMachine drives a world by drawn actions.
+// storeMachine applies drawn actions to a world.
 type storeMachine struct{ w *world }
 
 func (m *storeMachine) drawProcess(t *rapid.T) *process {
@@ -109,8 +109,9 @@
 	}
 }
 
-// healAndCheck ends all faults, lets what is late arrive and checks the end state: one
-// owner, one configuration, every call's outcome true.
+// healAndCheck ends all faults, applies the delayed transactions and checks the
+// end state: one owner, one configuration, and every call's outcome matches the
+// history.
 func (m *storeMachine) healAndCheck(t *rapid.T) {
 	w := m.w
 	w.storeDown, w.faultRate, w.pauseRate, w.operatorRate = false, 0, 0, 0
@@ -139,7 +140,7 @@
 	}
 }
 
-// The depth of a run unless the command line says otherwise.
+// Default depth of a run; the command line overrides it.
 const (
 	defaultChecks = "150"
 	defaultSteps  = "60"
@@ -154,9 +155,9 @@
 	os.Exit(m.Run())
 }
 
-// TestStoreMachine runs ledger, configuration and ownership of three processes
-// over one table that loses, delays and refuses calls, with processes that are
-// paused, killed, cut off and stopped.
+// TestStoreMachine runs ledger, configuration and ownership of three processes on
+// one table that loses, delays and refuses calls. Processes are paused, killed,
+// disconnected and stopped.
 func TestStoreMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SampledFrom([]Timing{{}, shortTiming}).Draw(t, "times")
