--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -11,16 +11,17 @@
 )
 
 // unconfirmedAge is the age given to a configuration that is not known to be the
-// newest.
+// latest.
 const unconfirmedAge = 365 * 24 * time.Hour
 
-// target is an address to exchange with.
+// target is an address to exchange states with.
 type target struct {
 	addr         string
-	knownVersion uint64 // configuration version that was reported from there
+	knownVersion uint64 // configuration version that was reported by the peer
 }
 
-// targets returns the addresses of all members and hints, each once.
+// targets returns the addresses of all members and hints without duplicates, in
+// order of address.
 func (s *Service) targets() []target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +43,7 @@
 	return out
 }
 
-// ExchangeAll starts an exchange with each peer that has none in progress.
+// ExchangeAll starts an exchange with each target that has none in progress.
 func (s *Service) ExchangeAll(ctx context.Context) {
 	used := map[string]bool{}
 	for _, seed := range s.cfg.Seeds {
@@ -89,16 +90,16 @@
 		s.incCounter("membership.exchange_failures")
 		return
 	}
-	// The age of what the reply tells counts from before the request, however
-	// long the way back has taken.
+	// Ages count from before the request was sent, because the reply may have
+	// been in transit for any part of the round trip.
 	s.applyReplyConfig(reply, s.clock()-sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.roster.applyReply(sent, reply)
 }
 
-// HandleExchange answers a peer's state with the own one. What the request
-// tells may have been on its way for long, so it confirms nothing.
+// HandleExchange replies to a peer's state with the own one. The request may have
+// been in transit for any time, so it confirms no configuration.
 func (s *Service) HandleExchange(in *rpc.PeerState) *rpc.PeerState {
 	if c := decodeConfig(in); c != nil {
 		s.conf.Offer(c, unconfirmedAge)
@@ -109,7 +110,8 @@
 	return s.localState(in.ConfigVersion)
 }
 
-// applyReplyConfig takes over the configuration of a reply, or its confirmation.
+// applyReplyConfig takes the configuration of a reply, or the confirmation of the
+// present one. The age includes the round trip.
 func (s *Service) applyReplyConfig(reply *rpc.PeerState, roundTrip time.Duration) {
 	confirmed := reply.ConfigAgeMs >= 0
 	age := unconfirmedAge
@@ -136,8 +138,8 @@
 	return c.Clone()
 }
 
-// localState returns the own localState, with the configuration if the peer's is older.
-// A localState without address says that this entry leaves.
+// localState returns the state of this entry, with its configuration if peerVersion
+// is older. A state without an address tells the peer that this entry is leaving.
 func (s *Service) localState(peerVersion uint64) *rpc.PeerState {
 	c, age, ok := s.conf.Snapshot()
 	out := &rpc.PeerState{
@@ -151,7 +153,7 @@
 		out.ConfigAgeMs = age.Milliseconds() + 1
 	}
 	if c.Version > peerVersion {
-		// A configuration that was decoded from JSON encodes again.
+		// A configuration that was decoded from JSON can be encoded again.
 		out.Config, _ = json.Marshal(c)
 	}
 	s.mu.Lock()
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -10,12 +10,12 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// maxUnanswered is the number of exchanges in a row without an answer after which
-// a connection is replaced.
+// maxUnanswered is the number of consecutive failed calls after which a
+// connection is replaced.
 const maxUnanswered = 2
 
-// Dialer talks to other entries over gRPC. A connection that has gone silent
-// is replaced by a new one instead of waiting for TCP.
+// Dialer implements Transport over gRPC. It replaces a connection that has stopped
+// answering by a new one instead of waiting for a TCP timeout.
 type Dialer struct {
 	options []grpc.DialOption
 
@@ -30,12 +30,12 @@
 
 var _ Transport = (*Dialer)(nil)
 
-// NewDialer returns a dialer without connections.
+// NewDialer returns a Dialer without connections.
 func NewDialer(options ...grpc.DialOption) *Dialer {
 	return &Dialer{options: options, conns: map[string]*peerConn{}}
 }
 
-// Exchange swaps states with the entry at an address.
+// Exchange swaps states with the entry at addr.
 func (d *Dialer) Exchange(ctx context.Context, addr string, s *rpc.PeerState) (*rpc.PeerState, error) {
 	var reply *rpc.PeerState
 	err := d.call(addr, func(conn *grpc.ClientConn) (err error) {
@@ -45,7 +45,8 @@
 	return reply, errors.Annotatef(err, "exchange with entry at %q", addr)
 }
 
-// Entries asks for the list of entries at an address, such as the balancer's.
+// Entries returns the list of entries known at addr, such as the balancer's
+// address.
 func (d *Dialer) Entries(ctx context.Context, addr string) ([]*rpc.EntryAddress, error) {
 	var reply *rpc.EntriesReply
 	err := d.call(addr, func(conn *grpc.ClientConn) (err error) {
@@ -55,7 +56,7 @@
 	return reply.GetEntries(), errors.Annotatef(err, "list of entries at %q", addr)
 }
 
-// call uses the connection to an address and replaces it after misses.
+// call uses the connection to addr and records the outcome.
 func (d *Dialer) call(addr string, use func(*grpc.ClientConn) error) error {
 	p, err := d.get(addr)
 	if err != nil {
@@ -81,6 +82,8 @@
 	return p, nil
 }
 
+// recordOutcome counts consecutive failures and closes the connection at
+// maxUnanswered.
 func (d *Dialer) recordOutcome(addr string, p *peerConn, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,12 +94,12 @@
 	p.unanswered++
 	if p.unanswered >= maxUnanswered && d.conns[addr] == p {
 		delete(d.conns, addr)
-		// The connection is given up; its error has no use.
+		// The connection is discarded, so its error is ignored.
 		_ = p.conn.Close()
 	}
 }
 
-// RetainConnections closes the connections to all other addresses.
+// RetainConnections closes the connections to all addresses that are not in addrs.
 func (d *Dialer) RetainConnections(addrs map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -12,7 +12,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// silentListener counts connections; the first ones never answer.
+// silentListener counts connections; the first ones, up to silent, are never
+// answered.
 type silentListener struct {
 	net.Listener
 	silent   int32
@@ -29,7 +30,7 @@
 	}
 }
 
-// discardInput reads a connection without ever answering.
+// discardInput reads from a connection without ever answering.
 func discardInput(conn net.Conn) {
 	buf := make([]byte, 1024)
 	for {
@@ -45,8 +46,8 @@
 	return &rpc.PeerState{EntryId: "b", ConfigVersion: s.ConfigVersion}, nil
 }
 
-// TestSilentConnectionIsReplaced shows that a connection on which nothing comes
-// back is given up for a new one, without waiting for TCP.
+// TestSilentConnectionIsReplaced checks that a connection on which no reply arrives
+// is replaced by a new one, without waiting for a TCP timeout.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/membership/presence.go
+++ b/internal/membership/presence.go
@@ -6,15 +6,15 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/confstate"
 )
 
-// announceHistory follows the writes of the own row. Times are those before the
+// announceHistory records the writes of the own row. Times are those before the
 // write was sent.
 type announceHistory struct {
 	hasWritten  bool
-	seriesStart time.Duration // first write of a series without a gap
+	seriesStart time.Duration // first write of the present series without a gap
 	lastWrite   time.Duration
 }
 
-// recordWrite notes a write that was sent at a time and has taken effect.
+// recordWrite records a write that was sent at the given time and took effect.
 func (a *announceHistory) recordWrite(sent time.Duration) {
 	if !a.hasWritten || sent-a.lastWrite > maxAnnounceGap {
 		a.seriesStart = sent
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -1,5 +1,5 @@
-// Package membership knows the entries of the system. Each entry keeps a row
-// of presence in the ledger and exchanges its state with the others.
+// Package membership keeps the list of live entries. Each entry renews a presence
+// row in the ledger and exchanges its state with its peers.
 package membership
 
 import (
@@ -11,40 +11,41 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// Times of presence.
+// Timing of presence.
 const (
 	// PresenceInterval is the time between two writes of an entry's own row.
 	PresenceInterval = 2 * time.Second
 	// PresenceLease is how long an entry counts as present without a change of
-	// its row and without an answer.
+	// its row and without a reply to an exchange.
 	PresenceLease = 6 * time.Second
-	// ScanInterval is the time between two reads of all rows.
+	// ScanInterval is the time between two scans of all rows.
 	ScanInterval = time.Second
-	// PresenceRowTTL is how long the row of an absent entry stays.
+	// PresenceRowTTL is how long the row of an absent entry is kept.
 	PresenceRowTTL = 2 * time.Minute
 
 	// maxScanGap is the longest time between two scans of an unbroken watch.
 	maxScanGap = 3 * ScanInterval
-	// maxAnnounceGap is the longest time between two writes of the own row in
+	// maxAnnounceGap is the longest time between two writes of the own row for
 	// which no other entry has dropped this one.
 	maxAnnounceGap = PresenceLease - time.Second
 )
 
-// nameSeparator stands between an entry's id and the incarnation of its process.
+// nameSeparator separates the entry's ID from the incarnation in a process
+// name.
 const nameSeparator = "#"
 
-// processName names one start of an entry's process. An entry that comes in place
-// of another does not know what the other had accepted, so the rule on starts
-// must not take one for the other.
+// processName returns the name of one incarnation of an entry. A new incarnation
+// does not know what the previous one had accepted, so the rule for starting work
+// must tell them apart.
 func processName(id, incarnation string) string { return id + nameSeparator + incarnation }
 
-// entryID returns the entry's id in a full name.
+// entryID returns the ID of the entry in a process name.
 func entryID(name string) string {
 	id, _, _ := strings.Cut(name, nameSeparator)
 	return id
 }
 
-// Presence is the row of an entry's process.
+// Presence is the row of one incarnation of an entry.
 type Presence struct {
 	ID          string    `json:"id"`
 	Addr        string    `json:"rpc_address"`
@@ -56,19 +57,21 @@
 
 func (p Presence) name() string { return processName(p.ID, p.Incarnation) }
 
-// member is the process of another entry.
+// member is a process of another entry.
 type member struct {
 	name string
 	addr string
 	zone string
 
-	// The row as last scanned; rowVersion is 0 for an entry without one.
+	// The row as last scanned; rowVersion is 0 for a process without a row.
 	rowVersion        uint64
-	rowUnchangedSince time.Duration // first sight of rowVersion in an unbroken watch
-	// expired is set at a scan; between scans nobody is dropped.
+	rowUnchangedSince time.Duration // when rowVersion was first seen in an unbroken watch
+	// expired is set at a scan and cleared by a report; no member expires between
+	// scans.
 	expired bool
 
-	// lastReport is the last report; heard is when the request was sent that it answers.
+	// lastReport is the latest state that the peer has reported. repliedAt is when
+	// the request was sent to which the peer last replied.
 	lastReport *rpc.PeerState
 	repliedAt  time.Duration
 	hasReplied bool
@@ -83,23 +86,23 @@
 	return m.rowVersion != 0 && now-m.rowUnchangedSince <= PresenceLease || m.repliedWithin(now, PresenceLease)
 }
 
-// row is a scanned row of presence.
+// row is a scanned presence row.
 type row struct {
 	version uint64
 	Presence
 }
 
-// roster is the list of the other entries' processes, by full name. It is
-// pure; times are on the process's monotonic clock. While the rows cannot be
-// scanned, nobody is dropped for being silent.
+// roster is the list of the processes of other entries, by process name. It does
+// no I/O and reads no clock; times are on the monotonic clock of this process.
+// While the rows cannot be scanned, no member is dropped for being silent.
 type roster struct {
 	self              string
 	members           map[string]*member
-	hints             map[string]bool   // addresses at which an entry may answer
-	departed          map[string]uint64 // rows of processes that have left, by version
+	hints             map[string]bool   // addresses at which an entry may reply
+	departed          map[string]uint64 // row version by name of a process that has left
 	hasScanned        bool
 	lastScan          time.Duration // start of the last scan
-	highestOwnerEpoch uint64        // highest owner epoch heard of
+	highestOwnerEpoch uint64        // highest owner epoch that a peer has reported
 }
 
 func newRoster(self string) *roster {
@@ -111,8 +114,8 @@
 	}
 }
 
-// applyScan takes over all rows, read by a call that began at start and has ended
-// now. It returns the rows that are to be removed.
+// applyScan records all rows, read by a call that began at start and ended at now.
+// It returns the stale rows, which are to be removed.
 func (r *roster) applyScan(start, now time.Duration, rows []row) []row {
 	unbroken := r.hasScanned && now-r.lastScan <= maxScanGap
 	found := map[string]bool{}
@@ -132,7 +135,7 @@
 	return stale
 }
 
-// applyRow takes over one row and reports whether it is to be removed.
+// applyRow records one row and reports whether it is stale.
 func (r *roster) applyRow(now time.Duration, w row, unbroken bool) bool {
 	if r.departed[w.name()] == w.version {
 		return false
@@ -150,7 +153,8 @@
 	return now-m.rowUnchangedSince > PresenceRowTTL && !m.repliedWithin(now, PresenceLease)
 }
 
-// expireMembers drops the entries that are neither in a scanned row nor heard.
+// expireMembers marks the members that are not alive as expired, and drops those
+// of them that have no row.
 func (r *roster) expireMembers(now time.Duration, found map[string]bool) {
 	for id, m := range r.members {
 		if !found[id] {
@@ -177,7 +181,7 @@
 	return m
 }
 
-// applyReply takes over a peer's answer to a request that was sent at a time.
+// applyReply records a peer's reply to a request that was sent at the given time.
 func (r *roster) applyReply(sent time.Duration, s *rpc.PeerState) {
 	name := s.EntryId
 	if !r.applyReport(s) {
@@ -189,8 +193,8 @@
 	}
 }
 
-// applyReport takes over a report whose age is not known. It returns false when
-// the peer has left. The report's full name becomes the entry's id.
+// applyReport records a report of unknown age. It returns false if the peer has
+// left. It replaces the process name in the report by the entry's ID.
 func (r *roster) applyReport(s *rpc.PeerState) bool {
 	name := s.EntryId
 	if name == "" || name == r.self {
@@ -207,7 +211,8 @@
 	return true
 }
 
-// removeDeparted drops an entry that stops as planned.
+// removeDeparted drops a process that has stopped as planned. Its remaining row is
+// ignored until it changes.
 func (r *roster) removeDeparted(name string) {
 	if m, ok := r.members[name]; ok {
 		r.departed[name] = m.rowVersion
@@ -225,12 +230,13 @@
 	return out
 }
 
-// isScanning reports whether the rows are being scanned, so that silence tells.
+// isScanning reports whether the rows are being scanned, so that the absence of a
+// change is meaningful.
 func (r *roster) isScanning(now time.Duration) bool {
 	return r.hasScanned && now-r.lastScan <= maxScanGap
 }
 
-// present returns the members that count as present.
+// present returns the members that have an address and are not expired.
 func (r *roster) present() []*member {
 	var out []*member
 	for _, m := range r.list() {
@@ -241,8 +247,8 @@
 	return out
 }
 
-// latestProcesses returns the present members, for each entry the process that was heard
-// last. The others of the same entry are dead but not yet expired.
+// latestProcesses returns the present members with one process for each entry: the
+// one that has replied last. Its other processes are dead but not yet expired.
 func (r *roster) latestProcesses() []*member {
 	var out []*member
 	for _, m := range r.present() {
@@ -257,6 +263,9 @@
 	return out
 }
 
+// moreRecentThan reports whether m has replied more recently than o. A process that
+// has replied counts as more recent than one that has not; two that have not are
+// compared by their rows.
 func (m *member) moreRecentThan(o *member) bool {
 	if m.hasReplied != o.hasReplied {
 		return m.hasReplied
@@ -267,7 +276,8 @@
 	return m.rowUnchangedSince > o.rowUnchangedSince
 }
 
-// peers returns the members as the rule for starting work needs them.
+// peers returns the present members in the form that the rule for starting work
+// needs.
 func (r *roster) peers() []confstate.Peer {
 	var out []confstate.Peer
 	for _, m := range r.present() {
@@ -278,8 +288,8 @@
 	return out
 }
 
-// allReplied reports whether every entry has answered once, so that it knows of this
-// one. A process whose place another one has taken starts no work any more.
+// allReplied reports whether every entry has replied once, so that it knows this
+// one. A process that another incarnation has replaced starts no more work.
 func (r *roster) allReplied() bool {
 	for _, m := range r.latestProcesses() {
 		if !m.hasReplied {
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -25,25 +25,25 @@
 	// ExchangeTimeout bounds one exchange.
 	ExchangeTimeout = time.Second
 
-	// incarnationLength is the length of a drawn incarnation.
+	// incarnationLength is the length of a generated incarnation.
 	incarnationLength = 8
 
 	rowKeyPrefix = "presence/"
 	scanPageSize = 256
-	// seedQueryInterval is the time between two questions to the seeds while the
-	// list of entries is not known from the store.
+	// seedQueryInterval is the time between two queries to the seeds while the
+	// list of entries cannot be read from the store.
 	seedQueryInterval = time.Second
 )
 
-// Transport reaches other entries.
+// Transport calls other entries.
 type Transport interface {
 	Exchange(ctx context.Context, addr string, s *rpc.PeerState) (*rpc.PeerState, error)
 	Entries(ctx context.Context, addr string) ([]*rpc.EntryAddress, error)
-	// RetainConnections tells which addresses are still in use.
+	// RetainConnections closes connections to addresses that are not in addrs.
 	RetainConnections(addrs map[string]bool)
 }
 
-// Configuration is the part of the configuration's service that exchanges need.
+// Configuration is the part of the configuration service that exchanges use.
 type Configuration interface {
 	Snapshot() (c *api.Config, age time.Duration, ok bool)
 	StoreFailing() bool
@@ -52,7 +52,7 @@
 }
 
 // Self describes this entry. Incarnation differs for each start of the process
-// and is drawn if empty.
+// and is generated if empty.
 type Self struct {
 	ID          string
 	Addr        string
@@ -60,18 +60,18 @@
 	Incarnation string
 }
 
-// Config sets up a service.
+// Config configures a Service.
 type Config struct {
-	// Seeds are addresses at which some entry answers, such as the balancer's.
-	// They are asked while the store cannot be read.
+	// Seeds are addresses at which some entry replies, such as the balancer's.
+	// They are queried while the store cannot be read.
 	Seeds []string
-	// Spawn runs one exchange, in a goroutine of its own by default.
+	// Spawn runs one exchange, by default in its own goroutine.
 	Spawn   func(func())
 	Metrics metrics.Registry
 	Log     zerolog.Logger
 }
 
-// Service keeps this entry's presence and the list of the others.
+// Service keeps this entry's presence row and the list of the other entries.
 type Service struct {
 	ledger    ledger.Ledger
 	self      Self
@@ -97,7 +97,7 @@
 
 var _ confstate.PeerView = (*Service)(nil)
 
-// New returns a service that is not running yet. The clock is monotonic.
+// New returns a Service that is not running yet. The clock must be monotonic.
 func New(l ledger.Ledger, self Self, t Transport, clock func() time.Duration, cfg Config) *Service {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
@@ -126,14 +126,14 @@
 	}
 }
 
-// Bind sets the configuration that exchanges carry and functions that add to
-// each state sent. It must be called before Start.
+// Bind sets the configuration that exchanges carry, and functions that add fields
+// to each state sent. It must be called before Start.
 func (s *Service) Bind(conf Configuration, fill ...func(*rpc.PeerState)) {
 	s.conf = conf
 	s.stateFillers = fill
 }
 
-// Start starts to announce this entry and to exchange states.
+// Start begins to announce this entry and to exchange states.
 func (s *Service) Start(context.Context) error {
 	if s.conf == nil {
 		return errors.NotValidf("membership without configuration")
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// Stop tells the peers that this entry leaves and removes its row.
+// Stop ends the service, notifies the peers and removes the own row.
 func (s *Service) Stop(ctx context.Context) error {
 	if !s.running {
 		return nil
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// Leave tells the peers that this entry leaves, with the configuration that it
-// has, and removes its row.
+// Leave notifies the peers that this entry is leaving, passes its configuration on
+// to them, and removes its row.
 func (s *Service) Leave(ctx context.Context) {
 	s.mu.Lock()
 	s.leaving = true
@@ -188,12 +188,12 @@
 	w := ledger.Write{Key: rowKeyPrefix + s.presence.name(), Version: s.rowVersion, Delete: true}
 	_, err := s.ledger.Commit(ctx, ledger.CausePresence, w)
 	if err != nil {
-		// The other entries drop the row when its lease is over.
-		s.cfg.Log.Warn().Err(err).Msg("presence not removed")
+		// The other entries drop this one when its lease expires.
+		s.cfg.Log.Warn().Err(err).Msg("failed to remove presence row")
 	}
 }
 
-// Announce writes the next beat of the own row.
+// Announce writes the next beat to the own row.
 func (s *Service) Announce(ctx context.Context) {
 	s.presence.Beat++
 	data, err := json.Marshal(s.presence)
@@ -210,7 +210,7 @@
 		s.announced.recordWrite(sent)
 		s.mu.Unlock()
 	case errors.Is(err, ledger.ErrConflict):
-		// The next beat goes over the row as it is.
+		// The next beat overwrites the row that is stored now.
 		s.incCounter("membership.own_row_changed")
 		s.rowVersion = rows[0].Version
 	default:
@@ -218,7 +218,7 @@
 	}
 }
 
-// Scan reads all rows of presence and removes those of entries long gone.
+// Scan reads all presence rows and removes the stale ones.
 func (s *Service) Scan(ctx context.Context) {
 	start := s.clock()
 	rows, err := s.readRows(ctx)
@@ -230,7 +230,8 @@
 	stale := s.roster.applyScan(start, s.clock(), rows)
 	s.mu.Unlock()
 	for _, w := range stale {
-		// Another entry may have removed the row already.
+		// On a failure the next scan retries. Another entry may have removed the
+		// row already.
 		_, _ = s.ledger.Commit(ctx, ledger.CausePresence, ledger.Write{Key: rowKeyPrefix + w.name(), Version: w.version, Delete: true})
 	}
 }
@@ -257,9 +258,9 @@
 	}
 }
 
-// QuerySeeds asks the seeds for the entries while the store does not tell. Such a
-// list may be short of entries that nobody reached, so it does not count as
-// known for the rule on starts.
+// QuerySeeds asks the seeds for the entries while the store cannot be read. Their
+// lists may lack entries that no one could reach, so the list of this entry does
+// not count as known for the rule for starting work.
 func (s *Service) QuerySeeds(ctx context.Context) {
 	s.mu.Lock()
 	needed := !s.roster.isScanning(s.clock())
@@ -287,7 +288,7 @@
 	}
 }
 
-// Entries returns the present entries with this one, in order of id.
+// Entries returns the present entries including this one, in order of ID.
 func (s *Service) Entries() []*rpc.EntryAddress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -304,36 +305,37 @@
 	return out
 }
 
-// Peers returns the other entries for the rule on starting work.
+// Peers returns the other entries for the rule for starting work.
 func (s *Service) Peers() (peers []confstate.Peer, listed time.Duration, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roster.peers(), s.roster.lastScan, s.roster.hasScanned
 }
 
-// Settled reports whether the other entries know this one and have for a while.
+// Settled reports whether the other entries know this one and have for at least
+// confstate.SettleTime.
 func (s *Service) Settled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.leaving && s.announced.settled(s.clock()) && s.roster.hasScanned && s.roster.allReplied()
 }
 
-// HighestOwnerEpoch returns the highest epoch of an owner that a peer has told.
+// HighestOwnerEpoch returns the highest owner epoch that a peer has reported.
 func (s *Service) HighestOwnerEpoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roster.highestOwnerEpoch
 }
 
-// PeerReport is a peer's last state and its age.
+// PeerReport is a peer's latest state and its age.
 type PeerReport struct {
 	State      *rpc.PeerState
 	Zone       string
 	Age        time.Duration
-	HasReplied bool // false while the peer has not answered yet
+	HasReplied bool // false until the peer has replied once
 }
 
-// Reports returns the last state of each present peer, in order of id.
+// Reports returns the latest state of each present peer, in order of ID.
 func (s *Service) Reports() []PeerReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -351,7 +353,7 @@
 	metrics.GetOrRegisterCounter(name, s.cfg.Metrics).Inc(1)
 }
 
-// PeerDump is a peer in the dump of a service.
+// PeerDump is one peer in the state dump of a Service.
 type PeerDump struct {
 	Name         string `json:"name"`
 	Addr         string `json:"rpc_address"`
@@ -362,7 +364,7 @@
 	StoreFailing bool   `json:"store_failing"`
 }
 
-// State is the dump of a service.
+// State is the state dump of a Service.
 type State struct {
 	Self              Self       `json:"self"`
 	ListKnown         bool       `json:"list_known"`
@@ -372,7 +374,7 @@
 	Peers             []PeerDump `json:"peers"`
 }
 
-// DumpState returns the service's state.
+// DumpState returns the service's state for a state dump.
 func (s *Service) DumpState() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -15,7 +15,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// fakeLedger holds the rows of presence.
+// fakeLedger holds the presence rows.
 type fakeLedger struct {
 	ledger.Ledger
 	rows map[string]ledger.Row
@@ -49,7 +49,7 @@
 	return []ledger.Row{{Key: w.Key, Version: w.Version + 1}}, nil
 }
 
-// fakeConfig records what exchanges bring.
+// fakeConfig records the configurations and confirmations that exchanges carry.
 type fakeConfig struct {
 	current *api.Config
 	age     time.Duration
@@ -72,10 +72,10 @@
 	}
 }
 
-// network joins services in one process.
+// network connects services in one process.
 type network struct {
 	now           time.Duration
-	exchangeDelay time.Duration // of one exchange
+	exchangeDelay time.Duration // duration of one exchange
 	store         *fakeLedger
 	services      map[string]*Service
 	confs         map[string]*fakeConfig
@@ -107,7 +107,7 @@
 
 func (n *network) RetainConnections(map[string]bool) {}
 
-// start starts an incarnation of the entry at an address.
+// start starts an incarnation of the entry at addr.
 func (n *network) start(id, addr, incarnation string) *Service {
 	self := Self{ID: id, Addr: addr, Incarnation: incarnation}
 	s := New(n.store, self, n, func() time.Duration { return n.now }, Config{
@@ -120,7 +120,7 @@
 	return s
 }
 
-// run lets all services work for a time.
+// run runs all services for the time d.
 func (n *network) run(d time.Duration) {
 	ctx := context.Background()
 	for end := n.now + d; n.now < end; n.now += 500 * time.Millisecond {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestEntriesComeAndGo(t *testing.T) {
+func TestEntriesJoinAndLeave(t *testing.T) {
 	n := newNetwork()
 	a, b := n.start("a", "addr-a", "1"), n.start("b", "addr-b", "1")
 	n.run(time.Second)
@@ -179,7 +179,7 @@
 	expect(t, "entries after the next scan", entryIDs(a), "a")
 }
 
-func TestDeadRowsAreRemoved(t *testing.T) {
+func TestStaleRowsAreRemoved(t *testing.T) {
 	n := newNetwork()
 	n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestListSurvivesOutage shows that silence tells nothing while the store is
-// down, nor right after it is back.
+// TestListSurvivesOutage checks that a silent entry is not dropped while the store
+// is down, nor right after the store is reachable again.
 func TestListSurvivesOutage(t *testing.T) {
 	n := newNetwork()
 	a := n.start("a", "addr-a", "1")
@@ -209,8 +209,8 @@
 	expect(t, "entries later", entryIDs(a), "a")
 }
 
-// TestRestartedEntryIsAnother shows that the rule on starts still counts the
-// earlier process, while agents see one entry.
+// TestRestartedEntryIsAnother checks that after a restart the rule for starting work
+// still counts the previous incarnation, while agents see one entry.
 func TestRestartedEntryIsAnother(t *testing.T) {
 	n := newNetwork()
 	a := n.start("a", "addr-a", "1")
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestStartInOutage shows that an entry which has never read the store hears of
-// the others through the balancer, but does not count its list as known.
+// TestStartInOutage checks that an entry which has never read the store finds the
+// others through the balancer, but does not count its list as known.
 func TestStartInOutage(t *testing.T) {
 	n := newNetwork()
 	a := n.start("a", "addr-a", "1")
@@ -260,7 +260,7 @@
 	if !a.Settled() {
 		t.Error("not settled")
 	}
-	n.now += PresenceLease // a pause
+	n.now += PresenceLease // the process was paused
 	if a.Settled() {
 		t.Error("settled right after a pause")
 	}
@@ -274,8 +274,8 @@
 	}
 }
 
-// TestRequestConfirmsNothing shows that a configuration is taken from a request,
-// which may be old, but not its confirmation.
+// TestRequestConfirmsNothing checks that an entry takes a configuration from a
+// request but not its confirmation, because the request may be old.
 func TestRequestConfirmsNothing(t *testing.T) {
 	n := newNetwork()
 	a, b := n.start("a", "addr-a", "1"), n.start("b", "addr-b", "1")
@@ -286,9 +286,9 @@
 	}
 }
 
-// TestAgeCountsTheWay shows that a confirmation which was on its way for long
-// is an old one.
-func TestAgeCountsTheWay(t *testing.T) {
+// TestAgeIncludesExchangeTime checks that the age of a confirmation includes the time that
+// the exchange took.
+func TestAgeIncludesExchangeTime(t *testing.T) {
 	n := newNetwork()
 	n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
