--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -223,7 +223,7 @@
 	expect(t, "peers", describePeers(a), "true [b#1:true b#2:true]")
 	list, _, _ := a.Peers()
 	if age := n.now - list[0].LastReportAt; age <= confstate.MaxPeerReportAge {
-		t.Errorf("b#1 was heard %v ago", age)
+		t.Errorf("b#1 last replied %v ago", age)
 	}
 }
 
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -32,13 +32,14 @@
 	// failing. An owner that continues through an outage therefore sees that this
 	// entry reaches the store again before the row is claimed.
 	maxWatchGap = 1200 * time.Millisecond
-	// minWatchDuration is the shortest watch after which the row may be claimed.
-	// By then every report of a store failure by this process has expired, so an
-	// owner that continued through an outage because of it has stopped.
+	// minWatchDuration is the shortest watch after which the row may be claimed if
+	// TakeoverDelay is 0. By then every report of a store failure by this process
+	// has expired, so an owner that continued through an outage has stopped.
 	minWatchDuration = confstate.MaxPeerReportAge + 200*time.Millisecond
 )
 
-// Timing configures a Core. Zero values take the defaults.
+// Timing configures a Core. Zero durations other than TakeoverDelay take the
+// defaults.
 type Timing struct {
 	Lease         time.Duration
 	RenewInterval time.Duration
@@ -175,8 +176,8 @@
 // does no I/O and reads no clock. All times are on the monotonic clock of the
 // process, which advances while the process is paused.
 type Core struct {
-	self  Self
-	times Timing
+	self   Self
+	timing Timing
 
 	// The row as last read or written.
 	rowKnown bool
@@ -210,8 +211,8 @@
 }
 
 // NewCore returns a Core that knows nothing of the row.
-func NewCore(self Self, times Timing) *Core {
-	return &Core{self: self, times: times.withDefaults()}
+func NewCore(self Self, timing Timing) *Core {
+	return &Core{self: self, timing: timing.withDefaults()}
 }
 
 // Step applies an event and returns the action to execute, if any.
@@ -274,7 +275,7 @@
 	}
 	c.inFlight = true
 	c.readSentAt = now
-	c.nextRead = now + c.times.PollInterval
+	c.nextRead = now + c.timing.PollInterval
 	return []Action{Read{}}
 }
 
@@ -287,7 +288,7 @@
 	row := c.row
 	row.Beat++
 	row.Released = c.releasing
-	c.nextWrite = now + c.times.RenewInterval
+	c.nextWrite = now + c.timing.RenewInterval
 	return c.write(now, row)
 }
 
@@ -311,7 +312,7 @@
 	if !c.watchUnbroken || now-c.lastObserved > maxWatchGap {
 		return false
 	}
-	if c.times.TakeoverDelay == 0 && now-c.watchStart <= minWatchDuration {
+	if c.timing.TakeoverDelay == 0 && now-c.watchStart <= minWatchDuration {
 		return false
 	}
 	return now-c.unchangedSince > c.unchangedLimit()
@@ -326,11 +327,11 @@
 // unchangedLimit returns the time for which the row must be unchanged before it
 // is claimed.
 func (c *Core) unchangedLimit() time.Duration {
-	untilExpiry := c.times.Lease + c.times.ClockMargin
-	if c.times.TakeoverDelay == 0 {
+	untilExpiry := c.timing.Lease + c.timing.ClockMargin
+	if c.timing.TakeoverDelay == 0 {
 		return untilExpiry
 	}
-	return min(untilExpiry, c.times.TakeoverDelay+renewalReads*c.readLatency)
+	return min(untilExpiry, c.timing.TakeoverDelay+renewalReads*c.readLatency)
 }
 
 // rowAvailable reports whether the row may be claimed without a wait: it does
@@ -340,7 +341,7 @@
 }
 
 func (c *Core) claim(now time.Duration) []Action {
-	c.nextWrite = now + c.times.RenewInterval
+	c.nextWrite = now + c.timing.RenewInterval
 	return c.write(now, Row{
 		EntryID:     c.self.ID,
 		Addr:        c.self.Addr,
@@ -361,7 +362,7 @@
 		return
 	}
 	c.setTerm(c.pendingRow.Epoch)
-	c.validUntil = c.writeSentAt + c.times.Lease - c.times.ClockMargin
+	c.validUntil = c.writeSentAt + c.timing.Lease - c.timing.ClockMargin
 	if newTerm {
 		c.startAfter = c.earliestStart(now, wasAvailable)
 	}
@@ -377,7 +378,7 @@
 	if wasAvailable {
 		return now
 	}
-	return now + c.times.PermitTTL + c.times.ClockMargin
+	return now + c.timing.PermitTTL + c.timing.ClockMargin
 }
 
 // applyRow records a row that was read or returned by a conflict, and begins or
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -16,12 +16,12 @@
 	version        uint64
 	row            Row
 	pendingActions map[string]Action // unanswered action of each core
-	times          Timing
+	timing         Timing
 }
 
 func (s *coreScenario) core(name string) *Core {
 	if _, ok := s.cores[name]; !ok {
-		s.cores[name] = NewCore(Self{ID: name, Addr: name, Incarnation: name}, s.times)
+		s.cores[name] = NewCore(Self{ID: name, Addr: name, Incarnation: name}, s.timing)
 	}
 	return s.cores[name]
 }
@@ -100,9 +100,9 @@
 		s.core(name).Step(s.now, ev)
 		return fmt.Sprintf("%T", ev)
 	case "short-times":
-		s.times = shortTiming
+		s.timing = shortTiming
 	case "early-times":
-		s.times = earlyTakeoverTiming
+		s.timing = earlyTakeoverTiming
 	case "sleep":
 		s.now += wait
 	case "rounds":
@@ -184,17 +184,17 @@
 	row := renewal[0].(Write).Row
 	owner.Step(DefaultRenewInterval, ReadDone{Version: 2, Row: row})
 	if owner.Authority(DefaultRenewInterval, StoreOutage{}).Owner {
-		t.Fatal("owner again after it has resigned")
+		t.Fatal("owner again after its resignation")
 	}
 	other := NewCore(Self{ID: "b", Incarnation: "2"}, Timing{})
 	other.Step(0, Tick{})
 	other.Step(0, ReadDone{Version: 2, Row: row})
 	if acts := other.Step(DefaultPollInterval/2, Tick{}); len(acts) > 0 {
-		t.Fatalf("claims before it has heard: %+v", acts)
+		t.Fatalf("claimed before it learned of the resignation: %+v", acts)
 	}
 	other.Step(DefaultPollInterval/2, PeerResigned{Epoch: row.Epoch})
 	acts := other.Step(DefaultPollInterval/2, Tick{})
 	if w, ok := acts[0].(Write); !ok || w.Version != 2 || w.Row.Epoch != row.Epoch+1 {
-		t.Fatalf("after it has heard: %+v", acts)
+		t.Fatalf("after it learned of the resignation: %+v", acts)
 	}
 }
--- a/internal/owner/oracle_test.go
+++ b/internal/owner/oracle_test.go
@@ -139,7 +139,7 @@
 // has none left.
 func (o *oracle) checkStart(w *world, p *process, a Authority) {
 	for q, at := range o.lastStartRight {
-		if q != p && o.startEpochs[q] < a.Epoch && !q.stopping && w.now-at < w.procs[0].owner.core.times.PermitTTL {
+		if q != p && o.startEpochs[q] < a.Epoch && !q.stopping && w.now-at < w.procs[0].owner.core.timing.PermitTTL {
 			o.failf("%v: %s starts work %v after %s could", w.now, p.name, w.now-at, q.name)
 		}
 	}
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -32,7 +32,7 @@
 	rows      map[string]external.Row
 	delayed   []external.Txn
 	procs     []*process
-	times     Timing // timing of ownership
+	timing    Timing // timing of ownership
 	callDepth int
 	nextID    int
 
@@ -65,9 +65,9 @@
 	return strings.Join(lines, "\n")
 }
 
-func newWorld(seed int64, n int, times Timing) *world {
+func newWorld(seed int64, n int, timing Timing) *world {
 	w := &world{
-		times:       times,
+		timing:      timing,
 		rng:         rand.New(rand.NewSource(seed)),
 		rows:        map[string]external.Row{},
 		partitioned: map[[2]int]bool{},
@@ -145,7 +145,7 @@
 		Sleep: func(_ context.Context, d time.Duration) { p.waitIdle(d) },
 	})
 	p.members.Bind(p.conf, func(s *rpc.PeerState) { s.OwnerEpoch = p.owner.Current().Epoch })
-	p.owner = New(p.ledger, "cell", Self{ID: p.name, Incarnation: p.name}, p.clock, Config{Peers: p, Timing: w.times})
+	p.owner = New(p.ledger, "cell", Self{ID: p.name, Incarnation: p.name}, p.clock, Config{Peers: p, Timing: w.timing})
 	p.loops = []loop{
 		{interval: simStep, run: p.tick},
 		{interval: confstate.PollInterval, run: p.conf.Poll},
--- a/internal/owner/store_machine_test.go
+++ b/internal/owner/store_machine_test.go
@@ -160,8 +160,8 @@
 // disconnected and stopped.
 func TestStoreMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		times := rapid.SampledFrom([]Timing{{}, shortTiming}).Draw(t, "times")
-		m := &storeMachine{w: newWorld(rapid.Int64().Draw(t, "seed"), simProcesses, times)}
+		timing := rapid.SampledFrom([]Timing{{}, shortTiming}).Draw(t, "times")
+		m := &storeMachine{w: newWorld(rapid.Int64().Draw(t, "seed"), simProcesses, timing)}
 		m.w.run(time.Second)
 		t.Repeat(map[string]func(*rapid.T){
 			"run":      m.run,
