--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -32,7 +32,7 @@
 	rows      map[string]external.Row
 	delayed   []external.Txn
 	procs     []*process
-	timing    Timing // timing of ownership
+	timing    Timing // of ownership
 	callDepth int
 	nextID    int
 
