--- a/internal/graph/plan/bench_test.go
+++ b/internal/graph/plan/bench_test.go
@@ -8,38 +8,38 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// tasksPerWorker fills a fleet as at the target: 31,000 tasks on 4,400 workers.
+// tasksPerWorker is the load of the target fleet: 31,000 tasks on 4,400 workers.
 const tasksPerWorker = 7
 
-// filled is a core whose workers all run tasks of jobs with 33 tasks each.
-type filled struct {
-	core  *Core
-	infos []WorkerInfo
-	runs  map[string][]graph.RunState
-	now   time.Duration
-	next  int
+// fullFleet is a core with workers that are filled by jobs of 33 tasks each.
+type fullFleet struct {
+	core    *Core
+	infos   []WorkerInfo
+	runs    map[string][]graph.RunState
+	now     time.Duration
+	lastJob int
 }
 
-func newFilled(workers int) *filled {
-	f := &filled{core: New(Config{FencingToken: 1, LeaseBound: simLease, TermStart: time.Unix(0, 0)}), runs: map[string][]graph.RunState{}}
-	f.core.hasListened()
+func newFullFleet(workers int) *fullFleet {
+	f := &fullFleet{core: New(Config{FencingToken: 1, LeaseBound: simLeaseBound, TermStart: time.Unix(0, 0)}), runs: map[string][]graph.RunState{}}
+	f.core.skipStartupDelays()
 	f.step(PolicyChanged{loadPolicy()})
 	for i := range workers {
 		f.infos = append(f.infos, WorkerInfo{ID: fmt.Sprintf("w%05d", i), Instance: "i", StartUnixMillis: 1, Pool: "pool", Zone: fmt.Sprint("z", i%9),
 			Rack: fmt.Sprint("r", i/40), Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8}})
-		f.beat(i)
+		f.report(i)
 	}
 	for range workers*tasksPerWorker/33 + 1 {
 		f.submit(33)
 	}
 	for i := range f.infos {
-		f.beat(i)
+		f.report(i)
 	}
 	return f
 }
 
-// step gives the core an event and answers its saves and starts at once.
-func (f *filled) step(ev Event) {
+// step passes an event to the core and completes its saves and starts at once.
+func (f *fullFleet) step(ev Event) {
 	pending := f.core.Step(f.now, ev)
 	for len(pending) > 0 {
 		a := pending[0]
@@ -53,23 +53,23 @@
 	}
 }
 
-func (f *filled) beat(i int) {
+func (f *fullFleet) report(i int) {
 	w := f.infos[i]
 	f.step(WorkerReport{Worker: w, Session: "s", Running: f.runs[w.ID], WorkerResponsive: true})
 }
 
-func (f *filled) submit(tasks int) graph.JobID {
-	f.next++
-	id := graph.JobID(fmt.Sprintf("%016x", f.next))
+func (f *fullFleet) submit(tasks int) graph.JobID {
+	f.lastJob++
+	id := graph.JobID(fmt.Sprintf("%016x", f.lastJob))
 	f.step(JobSubmitted{Job: &graph.Job{ID: id, Queue: "q", Pool: "pool", Priority: 1, MaxAttempts: 3, Stretch: 3, SubmittedAt: time.Unix(0, 0),
 		Steps: []graph.Step{{Count: tasks, Needs: graph.Resources{MilliCPU: 2000, Accelerators: 1}, Estimate: time.Hour}}}})
 	return id
 }
 
-func benchSizes(b *testing.B, run func(b *testing.B, f *filled)) {
+func benchSizes(b *testing.B, run func(b *testing.B, f *fullFleet)) {
 	for _, workers := range []int{10, 100, 1000, 4400} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			f := newFilled(workers)
+			f := newFullFleet(workers)
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, f)
@@ -77,61 +77,61 @@
 	}
 }
 
-// BenchmarkBeat is one report of a worker without news.
+// BenchmarkBeat measures one worker report without changes.
 func BenchmarkBeat(b *testing.B) {
-	benchSizes(b, func(b *testing.B, f *filled) {
+	benchSizes(b, func(b *testing.B, f *fullFleet) {
 		for i := range b.N {
-			f.beat(i % len(f.infos))
+			f.report(i % len(f.infos))
 		}
 	})
 }
 
-// BenchmarkTick is one look at the clock; there are five a second.
+// BenchmarkTick measures one tick. The owner sends five per second.
 func BenchmarkTick(b *testing.B) {
-	benchSizes(b, func(b *testing.B, f *filled) {
+	benchSizes(b, func(b *testing.B, f *fullFleet) {
 		for range b.N {
 			f.step(Tick{})
 		}
 	})
 }
 
-// BenchmarkSubmit is a job of 4 tasks, from its submission to its cancelling.
+// BenchmarkSubmit measures a job of 4 tasks from submission to cancellation.
 func BenchmarkSubmit(b *testing.B) {
-	benchSizes(b, func(b *testing.B, f *filled) {
+	benchSizes(b, func(b *testing.B, f *fullFleet) {
 		for range b.N {
 			f.step(JobCancelled{f.submit(4)})
 		}
 	})
 }
 
-// overloadGang is the size of the gangs that wait within a guarantee, and
-// overloadAccount the account that it belongs to.
+// overloadGang is the size of the gang that waits within a guarantee, and
+// overloadAccount is its account.
 const (
 	overloadGang    = 4
 	overloadAccount = "a0"
 )
 
-// overloaded is a full fleet of 52 workers, as at a burst of the larger sites:
-// jobs of 30 tasks wait, single tasks and gangs by turns, and a gang within a
-// guarantee waits for room to be reclaimed.
-func overloaded(waiting int) *filled {
-	f := newFilled(52)
+// newOverloadedFleet returns a full fleet of 52 workers, as in a burst on the larger
+// deployments. Jobs of 30 single tasks and gangs wait alternately, and one gang
+// within a guarantee waits for resources to be reclaimed.
+func newOverloadedFleet(waiting int) *fullFleet {
+	f := newFullFleet(52)
 	for range waiting / 30 {
 		f.submit(30)
 		f.submitGang(3, "", 1)
 	}
 	f.submitGang(overloadGang, overloadAccount, 0)
 	for i := range f.infos {
-		f.beat(i)
+		f.report(i)
 	}
 	return f
 }
 
-// pass lets so much time go by that a claim is given up and made anew.
-func (f *filled) pass() {
+// expireClaims advances time so far that the claim times out and is made again.
+func (f *fullFleet) expireClaims() {
 	f.now += f.core.claimTimeout()
-	for _, w := range f.core.ordered {
-		w.heardAt, w.leaseFrom = f.now, f.now
+	for _, w := range f.core.sortedWorkers {
+		w.lastReportAt, w.lastGrantAt = f.now, f.now
 	}
 	f.step(Tick{})
 }
@@ -139,46 +139,46 @@
 func BenchmarkOverload(b *testing.B) {
 	for _, waiting := range []int{30, 300, 900} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			f := overloaded(waiting)
+			f := newOverloadedFleet(waiting)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				f.pass()
+				f.expireClaims()
 			}
 		})
 	}
 }
 
-// TestPassDoesNotGrowWithWaitingTasks shows that a pass over a full fleet costs
-// about the same for three times as many waiting tasks of as many more jobs, by
-// its allocations, which do not depend on the machine.
-func TestPassDoesNotGrowWithWaitingTasks(t *testing.T) {
-	allocations := func(waiting int) float64 { return testing.AllocsPerRun(20, overloaded(waiting).pass) }
+// TestSchedulingCostWithWaitingTasks checks that a scheduling pass over a full fleet
+// costs about the same with three times as many waiting tasks, in three times as
+// many jobs. It compares allocations, which do not depend on the machine.
+func TestSchedulingCostWithWaitingTasks(t *testing.T) {
+	allocations := func(waiting int) float64 { return testing.AllocsPerRun(20, newOverloadedFleet(waiting).expireClaims) }
 	few, many := allocations(300), allocations(900)
 	if many > 1.5*few {
 		t.Errorf("%v allocations with 300 waiting tasks, %v with 900", few, many)
 	}
 }
 
-// BenchmarkClaim measures how a gang within a guarantee picks its victims among
-// hundreds of running tasks.
+// BenchmarkClaim measures the selection of victims among hundreds of running tasks
+// for a gang within a guarantee.
 func BenchmarkClaim(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
-		f := newFilled(52)
+		f := newFullFleet(52)
 		f.now = time.Second
 		for i := range f.infos {
-			f.beat(i)
+			f.report(i)
 		}
 		b.StartTimer()
 		f.submitGang(overloadGang, overloadAccount, 0)
 	}
 }
 
-// submitGang submits a gang of whole workers.
-func (f *filled) submitGang(tasks int, account string, priority int) {
-	f.next++
-	f.step(JobSubmitted{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("%016x", f.next)), Queue: "q", Account: account, Pool: "pool", Priority: priority,
+// submitGang submits a gang whose tasks take a whole worker each.
+func (f *fullFleet) submitGang(tasks int, account string, priority int) {
+	f.lastJob++
+	f.step(JobSubmitted{Job: &graph.Job{ID: graph.JobID(fmt.Sprintf("%016x", f.lastJob)), Queue: "q", Account: account, Pool: "pool", Priority: priority,
 		MaxAttempts: 3, Stretch: 3, SubmittedAt: time.Unix(0, 0),
 		Steps: []graph.Step{{Count: tasks, Gang: true, SameRack: account == "", Needs: graph.Resources{MilliCPU: 2000, Accelerators: 8}, Estimate: time.Hour}}}})
 }
--- a/internal/graph/plan/dump.go
+++ b/internal/graph/plan/dump.go
@@ -4,23 +4,24 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// Dump is the state of a core for the state dump.
+// Dump is the state of a core as written to the state dump.
 type Dump struct {
 	Jobs    []JobDump    `json:"jobs"`
 	Workers []WorkerDump `json:"workers"`
 }
 
-// JobDump is a job that is not final.
+// JobDump describes a job that is not final. Waiting, Placed and Done count its
+// units.
 type JobDump struct {
 	ID      graph.JobID `json:"id"`
 	Queue   string      `json:"queue"`
 	State   graph.State `json:"state"`
-	Waiting int         `json:"waiting"` // units that have no place
+	Waiting int         `json:"waiting"` // units without a placement
 	Placed  int         `json:"placed"`
 	Done    int         `json:"done"`
 }
 
-// WorkerDump is a worker.
+// WorkerDump describes a worker.
 type WorkerDump struct {
 	ID          string          `json:"id"`
 	Rack        string          `json:"rack"`
@@ -34,11 +35,10 @@
 	Quarantined bool            `json:"quarantined"`
 }
 
-// Dump returns the core's state.
 func (c *Core) Dump() Dump {
 	var d Dump
-	for _, j := range c.live {
-		jd := JobDump{ID: j.ID, Queue: j.Queue, State: j.shown()}
+	for _, j := range c.activeJobs {
+		jd := JobDump{ID: j.ID, Queue: j.Queue, State: j.visibleState()}
 		for _, u := range j.units {
 			switch u.phase {
 			case unitWaiting:
@@ -51,11 +51,11 @@
 		}
 		d.Jobs = append(d.Jobs, jd)
 	}
-	for _, w := range c.ordered {
+	for _, w := range c.sortedWorkers {
 		d.Workers = append(d.Workers, WorkerDump{
-			ID: w.info.ID, Rack: w.info.Rack, Zone: w.info.Zone, Linked: w.linked(), Lost: w.lost,
+			ID: w.info.ID, Rack: w.info.Rack, Zone: w.info.Zone, Linked: w.connected(), Lost: w.lost,
 			Draining: w.info.Draining, Capacity: w.info.Capacity, Used: w.used, Runs: len(w.members),
-			Quarantined: w.quarantine > c.now,
+			Quarantined: w.quarantinedUntil > c.now,
 		})
 	}
 	return d
--- a/internal/graph/plan/reclaim.go
+++ b/internal/graph/plan/reclaim.go
@@ -8,175 +8,180 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// claimSlack is how long a claim waits for its victims beyond the time of a
-// stop, for orders and reports on their way; a claim on a worker that does not
-// answer is made elsewhere then.
+// claimSlack is the time a claim waits for its victims beyond StopTime, to allow
+// for orders and reports in transit. After that the claim is given up, so that the
+// unit does not wait for a worker that does not answer.
 const claimSlack = 800 * time.Millisecond
 
-// claimTimeout is how long a claim waits for its victims.
+// claimTimeout returns the time a claim waits for its victims to end.
 func (c *Core) claimTimeout() time.Duration { return c.cfg.StopTime + claimSlack }
 
-// claim is a place for a unit where other work is being stopped.
+// claim holds a placement for a unit while other runs are being stopped there.
 type claim struct {
-	unit  *unit
-	parts []part
-	since time.Duration
+	unit   *unit
+	allocs []allocation
+	madeAt time.Duration
 }
 
-func (cl *claim) on(w *worker) graph.Resources { return sumOn(cl.parts, cl.unit.spec, w) }
+func (cl *claim) neededOn(w *worker) graph.Resources { return needsOn(cl.allocs, cl.unit.step, w) }
 
 func (c *Core) dropClaim(u *unit) {
 	if u.claim == nil {
 		return
 	}
-	c.books.claims = slices.DeleteFunc(c.books.claims, func(o *claim) bool { return o == u.claim })
-	c.books.full = map[kind]bool{}
+	c.sched.claims = slices.DeleteFunc(c.sched.claims, func(o *claim) bool { return o == u.claim })
+	c.sched.noRoom = map[unitKind]bool{}
 	u.claim = nil
 }
 
-// useClaim places a unit on its claim once the room there is free, and gives
-// the claim up when a worker of it cannot be used any more.
+// useClaim places a unit on its claim once the resources there are free. It drops
+// the claim when a worker is no longer eligible or the claim has timed out.
 func (c *Core) useClaim(u *unit) {
 	cl := u.claim
-	for _, p := range cl.parts {
-		if !c.usable(p.worker, u) || c.now-cl.since > c.claimTimeout() {
+	for _, p := range cl.allocs {
+		if !c.eligible(p.worker, u) || c.now-cl.madeAt > c.claimTimeout() {
 			c.dropClaim(u)
 			return
 		}
 	}
-	for _, p := range cl.parts {
-		if !cl.on(p.worker).Fits(p.worker.free()) {
+	for _, p := range cl.allocs {
+		if !cl.neededOn(p.worker).Fits(p.worker.free()) {
 			return
 		}
 	}
 	c.dropClaim(u)
-	c.begin(u, cl.parts)
+	c.bind(u, cl.allocs)
 }
 
-// option is a way to make room: a place and the units to stop for it.
-type option struct {
-	parts   []part
+// evictionPlan is a placement together with the units to stop for it.
+type evictionPlan struct {
+	allocs  []allocation
 	victims []*unit
 	loss    float64 // weighted core-seconds
 }
 
-// claimRoom stops the work whose loss is least so that a unit fits, unless the
-// loss exceeds the limit or the term has just begun.
-func (c *Core) claimRoom(u *unit, limit float64, why Reason) bool {
-	if !c.hearing(settleTime) {
+// claimByEviction makes a claim for a unit where stopping other units loses least, and
+// stops them. It returns false if the loss would exceed maxLoss, in weighted
+// core-seconds, or if the term is younger than preemptionDelay.
+func (c *Core) claimByEviction(u *unit, maxLoss float64, reason Reason) bool {
+	if !c.firstReportOlderThan(preemptionDelay) {
 		return false
 	}
-	var best *option
-	for _, g := range c.groupsFor(u) {
-		if o := c.clear(u, g, why); o != nil && (best == nil || o.loss < best.loss) {
+	var best *evictionPlan
+	for _, g := range c.candidateGroups(u) {
+		if o := c.planEviction(u, g, reason); o != nil && (best == nil || o.loss < best.loss) {
 			best = o
 		}
 	}
-	if best == nil || best.loss > limit {
+	if best == nil || best.loss > maxLoss {
 		return false
 	}
-	u.claim = &claim{unit: u, parts: best.parts, since: c.now}
-	c.books.claims = append(c.books.claims, u.claim)
+	u.claim = &claim{unit: u, allocs: best.allocs, madeAt: c.now}
+	c.sched.claims = append(c.sched.claims, u.claim)
 	for _, v := range best.victims {
-		c.emit(Notice{Reason: why, Job: v.job.ID, Task: v.taskID(0).String(), Run: v.run, Detail: "for " + string(u.job.ID)})
-		c.endRun(v)
+		c.emit(Notice{Reason: reason, Job: v.job.ID, Task: v.taskID(0).String(), Run: v.run, Detail: "for " + string(u.job.ID)})
+		c.stopRun(v)
 	}
 	return true
 }
 
-// clear finds the victims within a group that open a place with little loss:
-// they are added one by one, those with the least loss for what they free
-// first, and then those that turned out not to be needed are left out.
-func (c *Core) clear(u *unit, g group, why Reason) *option {
-	cl := newClearing(u, g)
-	candidates := c.victims(u, g, why, cl)
-	slices.SortStableFunc(candidates, func(a, b victim) int { return cmp.Compare(a.rate, b.rate) })
-	parts := cl.pack()
-	taken := 0
-	for ; parts == nil && taken < len(candidates); taken++ {
-		cl.stop(candidates[taken].unit)
-		parts = cl.pack()
+// planEviction finds victims within a group that make the unit fit with little
+// loss, or returns nil. It evicts units greedily, the least loss per freed core
+// first, until the unit fits, and then restores those that are not needed.
+func (c *Core) planEviction(u *unit, g workerGroup, reason Reason) *evictionPlan {
+	trial := newEvictionTrial(u, g)
+	victims := c.evictableUnits(u, g, reason, trial)
+	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.lossPerCore, b.lossPerCore) })
+	allocs := trial.allocate()
+	evicted := 0
+	for ; allocs == nil && evicted < len(victims); evicted++ {
+		trial.evict(victims[evicted].unit)
+		allocs = trial.allocate()
 	}
-	if parts == nil {
+	if allocs == nil {
 		return nil
 	}
-	o := &option{}
-	for i := taken - 1; i >= 0; i-- {
-		v := candidates[i]
-		cl.keep(v.unit)
-		if p := cl.pack(); p != nil {
-			parts = p
+	plan := &evictionPlan{}
+	for i := evicted - 1; i >= 0; i-- {
+		v := victims[i]
+		trial.restore(v.unit)
+		if p := trial.allocate(); p != nil {
+			allocs = p
 			continue
 		}
-		cl.stop(v.unit)
-		o.victims = append(o.victims, v.unit)
-		o.loss += v.loss
+		trial.evict(v.unit)
+		plan.victims = append(plan.victims, v.unit)
+		plan.loss += v.loss
 	}
-	slices.Reverse(o.victims)
-	o.parts = parts
-	return o
+	slices.Reverse(plan.victims)
+	plan.allocs = allocs
+	return plan
 }
 
-// Weights of lost core-seconds against each other. Work that is thrown away
-// counts once; work of a job that misses its objective counts by the job's
-// priority, as a short job of the first priority is worth several times as much
-// to its caller, for each core-second, as a long one of the second.
+// Weights of lost core-seconds. Discarded work counts by wasteWeight for any job.
+// The work of a job that misses its objective counts by the job's priority: per
+// core-second, a short job of the highest priority is worth several times as much
+// to its caller as a long job of the second.
 const (
-	wasteWeight    = 1.7
-	firstWeight    = 9.0
-	priorityFactor = 3.0 // by which each further priority weighs less
-	// lateShare is the part of a job's value that is lost when it is late.
-	lateShare = 0.75
+	wasteWeight       = 1.7
+	topPriorityWeight = 9.0
+	priorityDivisor   = 3.0 // ratio of the weights of one priority and the next lower
+	// lateLossShare is the fraction of a job's value that is lost when it misses its
+	// objective.
+	lateLossShare = 0.75
 )
 
-// value is the weight of a job by its size in core-seconds.
+// value returns the estimated size of a job in core-seconds, weighted by its
+// priority.
 func (j *job) value() float64 {
 	size := 0.0
 	for i := range j.Steps {
 		s := &j.Steps[i]
 		size += s.Estimate.Seconds() * float64(s.Count) * s.Needs.Cores()
 	}
-	weight := firstWeight
+	weight := topPriorityWeight
 	for range j.Priority {
-		weight /= priorityFactor
+		weight /= priorityDivisor
 	}
 	return weight * size
 }
 
-// loss estimates what is lost if a unit is stopped now and starts anew.
-func (c *Core) loss(u *unit) float64 {
-	lost := wasteWeight * u.unsaved(c.now)
-	left := u.spec.Estimate
-	if u.spec.Checkpointable {
+// evictionLoss estimates the loss, in weighted core-seconds, of stopping a unit now
+// and restarting it later.
+func (c *Core) evictionLoss(u *unit) float64 {
+	lost := wasteWeight * u.unsavedCoreSeconds(c.now)
+	left := u.step.Estimate
+	if u.step.Checkpointable {
 		left = u.remaining()
 	}
-	return lost + c.lateLoss(u.job, c.now+requeueTime+left) - c.lateLoss(u.job, c.now+u.remaining())
+	return lost + c.lateLoss(u.job, c.now+requeueDelay+left) - c.lateLoss(u.job, c.now+u.remaining())
 }
 
-// requeueTime is how long a unit that was stopped is expected to wait.
-const requeueTime = 1500 * time.Millisecond
+// requeueDelay is the time that a stopped unit is expected to wait for its next
+// start.
+const requeueDelay = 1500 * time.Millisecond
 
-// lateLoss estimates the value that a job loses if it is completed at a time.
+// lateLoss estimates the value that a job loses if it completes at the given time.
 func (c *Core) lateLoss(j *job, at time.Duration) float64 {
 	objective := j.Objective()
-	switch took := at - j.arrived; {
+	switch took := at - j.arrivedAt; {
 	case took <= objective:
 		return 0
-	case took <= lateFactor*objective:
-		return lateShare * j.value()
+	case took <= worthlessFactor*objective:
+		return lateLossShare * j.value()
 	default:
 		return j.value()
 	}
 }
 
-// preempt makes room for a unit of a higher priority that would miss its
-// objective if it waited until the given time, where nothing is lost by it:
-// the gain rests on estimates that are often wrong, a loss is certain.
+// preempt claims room for a unit that would miss its objective if it waited until
+// the given time, provided that stopping lower priorities there loses nothing. The
+// gain depends on estimates that are often wrong, while a loss would be certain.
 func (c *Core) preempt(u *unit, until time.Duration) bool {
-	gain := c.lateLoss(u.job, until+u.spec.Estimate) - c.lateLoss(u.job, c.now+c.cfg.StopTime+reportTime+u.spec.Estimate)
-	return gain > 0 && c.claimRoom(u, 0, ReasonPreempted)
+	gain := c.lateLoss(u.job, until+u.step.Estimate) - c.lateLoss(u.job, c.now+c.cfg.StopTime+endReportDelay+u.step.Estimate)
+	return gain > 0 && c.claimByEviction(u, 0, ReasonPreempted)
 }
 
-// reportTime is how long after a stop its room can be used: the end has to be
-// reported.
-const reportTime = 100 * time.Millisecond
+// endReportDelay is the time from the end of a run until its resources can be
+// reused, because the end has to be reported first.
+const endReportDelay = 100 * time.Millisecond
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// serviceTimes is what has been learned of the service times of requests, as
-// moving averages.
+// serviceTimes holds exponential moving averages of the service times of requests.
 type serviceTimes struct {
 	mean      time.Duration
 	deviation time.Duration // mean absolute deviation
 }
 
-// learn takes in the time of one request.
+// learn adds the service time of one request to the averages.
 func (t *serviceTimes) learn(sample time.Duration) {
 	if t.mean == 0 {
 		t.mean = sample
 		t.deviation = sample / 2
 		return
 	}
-	off := sample - t.mean
-	t.mean += time.Duration(learnRate * float64(off))
-	t.deviation += time.Duration(learnRate * float64(off.Abs()-t.deviation))
+	diff := sample - t.mean
+	t.mean += time.Duration(learnRate * float64(diff))
+	t.deviation += time.Duration(learnRate * float64(diff.Abs()-t.deviation))
 }
 
-// upper is a time in which most requests end.
-func (t *serviceTimes) upper() time.Duration { return t.mean + deviations*t.deviation }
+// upperBound returns the time within which a request is expected to end.
+func (t *serviceTimes) upperBound() time.Duration { return t.mean + maxDeviations*t.deviation }
 
-// times returns what is learned of a flow, or else of its service.
-func times(f *flow, s *service) serviceTimes {
+// learnedTimes returns the service times of a flow, or those of its service while
+// the flow has none.
+func learnedTimes(f *flow, s *service) serviceTimes {
 	if f.times.mean > 0 {
 		return f.times
 	}
 	return s.times
 }
 
-// cost is the slot time that a request is charged for.
+// cost returns the slot time that a request of the flow is charged.
 func cost(f *flow, s *service) time.Duration {
-	t := times(f, s)
+	t := learnedTimes(f, s)
 	if t.mean == 0 {
-		return unknownServiceTime
+		return defaultServiceTime
 	}
 	return t.mean
 }
--- a/internal/sched/baseline_test.go
+++ b/internal/sched/baseline_test.go
@@ -7,8 +7,9 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/api"
 )
 
-// baseline is the scheduler to compare with: first come first served, first
-// fit, no lending, no migration. It starts nothing in a zone that is out.
+// baseline is the scheduler that the core is compared with: first come first
+// served, first fit, no borrowing, no migration. It starts nothing in a zone that
+// is out.
 type baseline struct {
 	workers []*baseWorker
 	byName  map[string]*baseWorker
@@ -16,8 +17,9 @@
 	queue   []*baseJob
 	config  *api.Config
 	out     []Action
-	// stuck says that the first job found no room and none became free since.
-	stuck bool
+	// headBlocked is true if the first job found no room and no capacity became
+	// free since.
+	headBlocked bool
 }
 
 type baseWorker struct {
@@ -27,9 +29,9 @@
 }
 
 type baseJob struct {
-	rec     api.JobRecord
-	waiting int // reports that are still to come: held, then done
-	running bool
+	rec            api.JobRecord
+	pendingReports int // reports still expected: held, then done
+	running        bool
 }
 
 func newBaseline() *baseline {
@@ -41,7 +43,7 @@
 	switch e := ev.(type) {
 	case ConfigUpdate:
 		b.config = e.Config
-		b.stuck = false
+		b.headBlocked = false
 	case WorkerUp:
 		b.workerUp(e)
 	case WorkerDown:
@@ -57,8 +59,8 @@
 	case Tick:
 		return nil
 	}
-	for !b.stuck && len(b.queue) > 0 {
-		if b.stuck = !b.begin(b.queue[0]); !b.stuck {
+	for !b.headBlocked && len(b.queue) > 0 {
+		if b.headBlocked = !b.tryStart(b.queue[0]); !b.headBlocked {
 			b.queue = b.queue[1:]
 		}
 	}
@@ -66,7 +68,7 @@
 }
 
 func (b *baseline) workerUp(e WorkerUp) {
-	b.stuck = false
+	b.headBlocked = false
 	w := b.byName[e.Worker]
 	if w == nil {
 		w = &baseWorker{}
@@ -76,17 +78,18 @@
 	*w = baseWorker{up: e, free: e.Capacity}
 }
 
-// workerDown runs the jobs of the worker again, from the start, in their old order.
+// workerDown queues the worker's jobs again in order of submission; they run from
+// the start.
 func (b *baseline) workerDown(name string) {
 	b.byName[name].down = true
-	b.stuck = false
+	b.headBlocked = false
 	for _, id := range sortedKeys(b.jobs) {
 		j := b.jobs[id]
 		if !slices.ContainsFunc(j.rec.Placements, func(p api.Placement) bool { return p.Worker == name }) {
 			continue
 		}
 		for _, p := range j.rec.Placements {
-			b.give(p, j)
+			b.releaseCapacity(p, j)
 			b.out = append(b.out, Stop{Worker: p.Worker, JobID: id, Attempt: j.rec.Attempt})
 		}
 		j.rec.Placements = nil
@@ -97,14 +100,14 @@
 	})
 }
 
-func (b *baseline) give(p api.Placement, j *baseJob) {
-	b.stuck = false
+func (b *baseline) releaseCapacity(p api.Placement, j *baseJob) {
+	b.headBlocked = false
 	w := b.byName[p.Worker]
 	w.free = w.free.Add(j.rec.Job.Gang.PerTask.Times(p.Tasks))
 }
 
-// begin places a gang on the first worker, rack or zone that has room.
-func (b *baseline) begin(j *baseJob) bool {
+// tryStart places a gang on the first worker, rack or zone that has room.
+func (b *baseline) tryStart(j *baseJob) bool {
 	gang := j.rec.Job.Gang
 	domain := func(w *baseWorker) string {
 		switch gang.Adjacency {
@@ -118,7 +121,7 @@
 	room := map[string]int{}
 	for _, w := range b.workers {
 		name := domain(w)
-		room[name] += b.fits(w, gang.PerTask)
+		room[name] += b.tasksThatFit(w, gang.PerTask)
 		if room[name] < gang.Tasks {
 			continue
 		}
@@ -128,7 +131,7 @@
 	return false
 }
 
-func (b *baseline) fits(w *baseWorker, perTask api.Resources) int {
+func (b *baseline) tasksThatFit(w *baseWorker, perTask api.Resources) int {
 	if w.down || b.config.ZoneOut(w.up.Zone) {
 		return 0
 	}
@@ -147,7 +150,7 @@
 	for _, w := range b.workers {
 		n := 0
 		if in(w) {
-			n = min(gang.Tasks-first, b.fits(w, gang.PerTask))
+			n = min(gang.Tasks-first, b.tasksThatFit(w, gang.PerTask))
 		}
 		if n == 0 {
 			continue
@@ -157,7 +160,7 @@
 		b.out = append(b.out, Hold{Worker: w.up.Worker, JobID: j.rec.Job.ID, Attempt: j.rec.Attempt, Tasks: n, PerTask: gang.PerTask})
 		first += n
 	}
-	j.waiting = len(j.rec.Placements)
+	j.pendingReports = len(j.rec.Placements)
 }
 
 func (b *baseline) report(r GroupReport) {
@@ -167,14 +170,14 @@
 	}
 	switch r.State {
 	case GroupHeld:
-		j.waiting--
-		if j.waiting == 0 {
+		j.pendingReports--
+		if j.pendingReports == 0 {
 			j.rec.State = api.JobRunning
 			b.out = append(b.out, Save{j.rec})
 		}
 	case GroupDone:
-		j.waiting--
-		if j.waiting == 0 && j.running {
+		j.pendingReports--
+		if j.pendingReports == 0 && j.running {
 			b.finish(j)
 		}
 	}
@@ -182,7 +185,7 @@
 
 func (b *baseline) finish(j *baseJob) {
 	for _, p := range j.rec.Placements {
-		b.give(p, j)
+		b.releaseCapacity(p, j)
 	}
 	delete(b.jobs, j.rec.Job.ID)
 	j.rec.State = api.JobFinal
@@ -196,7 +199,7 @@
 		return
 	}
 	j.running = true
-	j.waiting = len(j.rec.Placements)
+	j.pendingReports = len(j.rec.Placements)
 	for _, p := range j.rec.Placements {
 		b.out = append(b.out, Start{Worker: p.Worker, JobID: e.JobID, Attempt: e.Attempt, FirstTask: p.FirstTask})
 	}
--- a/internal/sched/feasibility/feasibility.go
+++ b/internal/sched/feasibility/feasibility.go
@@ -1,5 +1,5 @@
-// Package feasibility checks that all guaranteed shapes of a configuration
-// find room together in the racks that are in service.
+// Package feasibility checks that all guaranteed gangs of a configuration fit
+// together into the racks in service.
 package feasibility
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// Worker is one worker of the fleet to be checked.
+// Worker is one worker of the checked fleet.
 type Worker struct {
 	Name     string
 	Zone     string
@@ -20,7 +20,7 @@
 	Capacity api.Resources
 }
 
-// Severity tells whether a finding forbids a configuration.
+// Severity tells whether a finding rejects a configuration.
 type Severity string
 
 // The severities.
@@ -29,7 +29,7 @@
 	Warning Severity = "warning"
 )
 
-// Finding names guaranteed gangs of a profile that find no room.
+// Finding reports guaranteed gangs of a profile that cannot be placed.
 type Finding struct {
 	Severity Severity  `json:"severity"`
 	Profile  string    `json:"profile"`
@@ -41,35 +41,35 @@
 }
 
 // Check returns an error for each profile whose guarantee does not fit into the
-// zones that are in and, if there is none, a warning for each guarantee that
+// zones that are in. If there is none, it returns a warning for each guarantee that
 // does not fit without one of these zones.
 func Check(config *api.Config, workers []Worker) []Finding {
 	var findings []Finding
-	for _, m := range missing(config, workers, "") {
+	for _, m := range unplaced(config, workers, "") {
 		m.Severity = Error
-		m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s in the racks in service", m.Profile, m.Missing, describe(m.Shape))
+		m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s in the racks in service", m.Profile, m.Missing, describeShape(m.Shape))
 		findings = append(findings, m)
 	}
 	if len(findings) > 0 {
 		return findings
 	}
-	for _, zone := range zonesIn(config, workers) {
-		for _, m := range missing(config, workers, zone) {
+	for _, zone := range zonesInService(config, workers) {
+		for _, m := range unplaced(config, workers, zone) {
 			m.Severity = Warning
 			m.Zone = zone
-			m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s while zone %q is out", m.Profile, m.Missing, describe(m.Shape), zone)
+			m.Detail = fmt.Sprintf("guarantee of profile %q: no room for %d of %s while zone %q is out", m.Profile, m.Missing, describeShape(m.Shape), zone)
 			findings = append(findings, m)
 		}
 	}
 	return findings
 }
 
-func describe(s api.Shape) string {
+func describeShape(s api.Shape) string {
 	return fmt.Sprintf("%d tasks of %d accelerators, %d mCPU and %d MB in one %s",
 		s.Tasks, s.PerTask.Accelerators, s.PerTask.MilliCPU, s.PerTask.MemoryMB, s.Adjacency)
 }
 
-func zonesIn(config *api.Config, workers []Worker) []string {
+func zonesInService(config *api.Config, workers []Worker) []string {
 	var zones []string
 	for _, w := range workers {
 		if !config.ZoneOut(w.Zone) && !slices.Contains(zones, w.Zone) {
@@ -80,60 +80,61 @@
 	return zones
 }
 
-// missing packs all guarantees, the largest gangs first, and returns those
-// left over. The zone without is taken as out.
-func missing(config *api.Config, workers []Worker, without string) []Finding {
-	return packAll(build(config, workers, without), config)
+// unplaced packs all guarantees, the largest gangs first, and returns those that do
+// not fit. The zone without counts as out.
+func unplaced(config *api.Config, workers []Worker, without string) []Finding {
+	return packGuarantees(newFleet(config, workers, without), config)
 }
 
-// FleetWithGuarantees returns the fleet with all guarantees packed, as if all its zones
-// were in. What its workers have left is open to other work.
+// FleetWithGuarantees returns a fleet with all guarantees packed, as if all its
+// zones were in. What remains on its workers is available to other work.
 func FleetWithGuarantees(config *api.Config, workers []Worker) *fleet.Fleet {
-	f := build(&api.Config{}, workers, "")
-	packAll(f, config)
+	f := newFleet(&api.Config{}, workers, "")
+	packGuarantees(f, config)
 	return f
 }
 
-func packAll(f *fleet.Fleet, config *api.Config) []Finding {
+func packGuarantees(f *fleet.Fleet, config *api.Config) []Finding {
 	var out []Finding
-	for _, p := range byNeed(config) {
-		left := p.Guarantee.Gangs
-		for left > 0 && pack(f, p.Guarantee.Shape) {
-			left--
+	for _, p := range guaranteedProfiles(config) {
+		remaining := p.Guarantee.Gangs
+		for remaining > 0 && packGang(f, p.Guarantee.Shape) {
+			remaining--
 		}
-		if left > 0 {
-			out = append(out, Finding{Profile: p.Name, Shape: p.Guarantee.Shape, Missing: left})
+		if remaining > 0 {
+			out = append(out, Finding{Profile: p.Name, Shape: p.Guarantee.Shape, Missing: remaining})
 		}
 	}
 	return out
 }
 
-func build(config *api.Config, workers []Worker, without string) *fleet.Fleet {
+func newFleet(config *api.Config, workers []Worker, without string) *fleet.Fleet {
 	f := fleet.New()
 	for _, w := range workers {
 		out := config.ZoneOut(w.Zone) || (without != "" && w.Zone == without)
 		added := f.Add(w.Name, w.Zone, w.Rack)
-		f.Update(added, func(fw *fleet.Worker) {
-			fw.Capacity = w.Capacity
-			fw.Linked = true
-			fw.ZoneOut = out
+		f.Update(added, func(fleetWorker *fleet.Worker) {
+			fleetWorker.Capacity = w.Capacity
+			fleetWorker.Linked = true
+			fleetWorker.ZoneOut = out
 		})
 	}
 	return f
 }
 
-func pack(f *fleet.Fleet, shape api.Shape) bool {
-	parts := placement.Find(f, placement.Request{Gang: shape, View: fleet.Preemptible})
-	for _, p := range parts {
+func packGang(f *fleet.Fleet, shape api.Shape) bool {
+	assignments := placement.Find(f, placement.Request{Gang: shape, View: fleet.Preemptible})
+	for _, p := range assignments {
 		f.Update(p.Worker, func(w *fleet.Worker) {
 			w.Reserved = w.Reserved.Add(shape.PerTask.Times(p.Tasks))
 		})
 	}
-	return parts != nil
+	return assignments != nil
 }
 
-// byNeed returns the profiles with a guarantee, those with the largest gangs first.
-func byNeed(config *api.Config) []api.Profile {
+// guaranteedProfiles returns the profiles with a guarantee, those with the largest
+// gangs first.
+func guaranteedProfiles(config *api.Config) []api.Profile {
 	var out []api.Profile
 	for _, p := range config.Profiles {
 		if p.Guarantee != nil {
@@ -146,7 +147,7 @@
 	return out
 }
 
-// CompareShapes orders shapes by the difficulty to place them, the hardest first.
+// CompareShapes orders shapes by how hard they are to place, the hardest first.
 func CompareShapes(a, b api.Shape) int {
 	x, y := a.PerTask.Times(a.Tasks), b.PerTask.Times(b.Tasks)
 	return cmp.Or(
--- a/internal/sched/guarantee.go
+++ b/internal/sched/guarantee.go
@@ -8,92 +8,93 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/sched/placement"
 )
 
-// tryGuaranteed starts a job within its profile's guarantee, where the least
-// work is lost for it.
+// tryGuaranteed starts a job within its profile's guarantee, where the least work
+// is lost.
 func (c *Core) tryGuaranteed(j *job) bool {
-	best := c.bestClaim(j, c.avoids(j))
-	if best.res == nil && len(j.avoid) > 0 {
-		best = c.relocate(j)
+	best := c.cheapestGuaranteedClaim(j, c.excludedWorkers(j))
+	if best.reservation == nil && len(j.avoidedWorkers) > 0 {
+		best = c.claimElsewhere(j)
 	}
-	if best.res == nil {
-		return c.reclaimFirm(j)
+	if best.reservation == nil {
+		return c.reclaimGuarantee(j)
 	}
-	if len(best.victims) > 0 && best.res.unused() {
-		if cl, ok := c.moveSlot(best.res, j, fleet.Unreserved); ok {
+	if len(best.victims) > 0 && best.reservation.unused() {
+		if cl, ok := c.moveGuarantee(best.reservation, j, fleet.Unreserved); ok {
 			best = cl
 		}
 	}
-	c.claim(j, best, c.claimGrace(j))
+	c.startClaim(j, best, c.claimGrace(j))
 	return true
 }
 
-func (c *Core) bestClaim(j *job, avoid func(*fleet.Worker) bool) claim {
+func (c *Core) cheapestGuaranteedClaim(j *job, exclude func(*fleet.Worker) bool) claim {
 	var best claim
-	for _, r := range c.slotsOf[j.rec.Job.Profile] {
-		cl, ok := c.claimIn(r, j, avoid)
-		if ok && (best.res == nil || cl.loss < best.loss) {
+	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
+		cl, ok := c.claimInReservation(r, j, exclude)
+		if ok && (best.reservation == nil || cl.lostWork < best.lostWork) {
 			best = cl
 		}
 	}
 	return best
 }
 
-// relocate finds a claim for a job that has failed on the workers of its
-// profile's guarantees: it moves one of them or else goes there again.
-func (c *Core) relocate(j *job) claim {
-	for _, r := range c.slotsOf[j.rec.Job.Profile] {
+// claimElsewhere returns a claim for a job that has failed on the workers of its
+// profile's guarantees. It moves one of the guarantees, or else uses these workers
+// again.
+func (c *Core) claimElsewhere(j *job) claim {
+	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		if !r.placed() || !r.unused() {
 			continue
 		}
-		if cl, ok := c.moveSlot(r, j, fleet.Preemptible); ok {
+		if cl, ok := c.moveGuarantee(r, j, fleet.Preemptible); ok {
 			return cl
 		}
 	}
-	return c.bestClaim(j, excludesProbes(j))
+	return c.cheapestGuaranteedClaim(j, excludesProbation(j))
 }
 
-func (c *Core) claimIn(r *reservation, j *job, avoid func(*fleet.Worker) bool) (claim, bool) {
-	rooms := r.rooms()
-	rooms = slices.DeleteFunc(rooms, func(room placement.Candidate) bool { return avoid(room.Worker) })
-	parts := placement.Pack(rooms, j.gang())
-	if parts == nil {
+func (c *Core) claimInReservation(r *reservation, j *job, exclude func(*fleet.Worker) bool) (claim, bool) {
+	candidates := r.candidates()
+	candidates = slices.DeleteFunc(candidates, func(candidate placement.Candidate) bool { return exclude(candidate.Worker) })
+	assignments := placement.Pack(candidates, j.gang())
+	if assignments == nil {
 		return claim{}, false
 	}
-	cl, ok := c.plan(j, parts, victimRule{})
-	cl.res = r
+	cl, ok := c.planClaim(j, assignments, victimRule{})
+	cl.reservation = r
 	return cl, ok
 }
 
-// reclaimFirm makes room for a guarantee that has lost its place, as with a
-// zone out, by work outside of all guarantees.
-func (c *Core) reclaimFirm(j *job) bool {
-	r := c.missingSlot(j)
+// reclaimGuarantee places an unplaced guarantee, such as one whose zone is out, by
+// preempting work outside of all guarantees.
+func (c *Core) reclaimGuarantee(j *job) bool {
+	r := c.unplacedGuarantee(j)
 	if r == nil {
 		return false
 	}
-	// A guarantee goes before the places kept for gangs that wait.
-	c.dropAllWaiting()
-	q := c.request(j, fleet.Restartable)
-	q.Gang = r.gang
-	whole := &job{rec: j.rec, perTask: r.gang.PerTask}
-	best, ok := c.cheapest(whole, q, victimRule{firm: true})
+	// Guarantees take precedence over reservations of waiting gangs.
+	c.dropWaitingReservations()
+	req := c.placementRequest(j, fleet.Restartable)
+	req.Gang = r.gang
+	guaranteeJob := &job{rec: j.rec, perTask: r.gang.PerTask}
+	best, ok := c.cheapestClaim(guaranteeJob, req, victimRule{includeNonPreemptible: true})
 	if !ok {
-		return c.displace(r, j)
+		return c.placeByDisplacing(r, j)
 	}
-	c.place(r, best.parts)
+	c.placeReservation(r, best.assignments)
 	for _, v := range best.victims {
-		c.notice(v, "", ReasonReclaimed, j.id())
-		c.preempt(v, min(c.claimGrace(j), grace(v)), ReasonReclaimed)
+		c.emitNotice(v, "", ReasonReclaimed, j.id())
+		c.preempt(v, min(c.claimGrace(j), checkpointGrace(v)), ReasonReclaimed)
 	}
-	cl, ok := c.claimIn(r, j, c.avoids(j))
+	cl, ok := c.claimInReservation(r, j, c.excludedWorkers(j))
 	if ok {
-		c.claim(j, cl, c.claimGrace(j))
+		c.startClaim(j, cl, c.claimGrace(j))
 	}
 	return ok
 }
 
-func (c *Core) missingSlot(j *job) *reservation {
-	for _, r := range c.slotsOf[j.rec.Job.Profile] {
+func (c *Core) unplacedGuarantee(j *job) *reservation {
+	for _, r := range c.guaranteesOf[j.rec.Job.Profile] {
 		fits := j.rec.Job.Gang.Tasks <= r.gang.Tasks && j.perTask.Fits(r.gang.PerTask)
 		if !r.placed() && fits {
 			return r
@@ -102,34 +103,35 @@
 	return nil
 }
 
-// moveSlot moves an unused guarantee to other capacity that suits the job.
-func (c *Core) moveSlot(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
-	q := c.request(j, v)
-	q.Gang = r.gang
-	parts := placement.Find(c.fleet, q)
-	if parts == nil {
+// moveGuarantee moves an unused guarantee to other capacity that the job may use.
+func (c *Core) moveGuarantee(r *reservation, j *job, v fleet.CapacityView) (claim, bool) {
+	req := c.placementRequest(j, v)
+	req.Gang = r.gang
+	assignments := placement.Find(c.fleet, req)
+	if assignments == nil {
 		return claim{}, false
 	}
-	c.lift(r)
-	c.place(r, parts)
-	return c.claimIn(r, j, c.avoids(j))
+	c.unplaceReservation(r)
+	c.placeReservation(r, assignments)
+	return c.claimInReservation(r, j, c.excludedWorkers(j))
 }
 
-func (r *reservation) rooms() []placement.Candidate {
-	out := make([]placement.Candidate, 0, len(r.shares))
-	for _, s := range r.shares {
-		if s.worker.InService() && !s.worker.Paused {
-			out = append(out, placement.Candidate{Worker: s.worker.Worker, Available: s.amount.Sub(s.used)})
+func (r *reservation) candidates() []placement.Candidate {
+	out := make([]placement.Candidate, 0, len(r.parts))
+	for _, part := range r.parts {
+		if part.worker.InService() && !part.worker.Paused {
+			out = append(out, placement.Candidate{Worker: part.worker.Worker, Available: part.resources.Sub(part.used)})
 		}
 	}
 	return out
 }
 
-// slotOpen reports whether a guarantee of the profile has capacity for a task.
-func (c *Core) slotOpen(profile string, perTask api.Resources) bool {
-	for _, r := range c.slotsOf[profile] {
-		for _, s := range r.shares {
-			if perTask.Fits(s.amount.Sub(s.used)) {
+// hasOpenGuarantee reports whether a guarantee of the profile has capacity for one
+// task.
+func (c *Core) hasOpenGuarantee(profile string, perTask api.Resources) bool {
+	for _, r := range c.guaranteesOf[profile] {
+		for _, part := range r.parts {
+			if perTask.Fits(part.resources.Sub(part.used)) {
 				return true
 			}
 		}
