--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -12,7 +12,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// silentListener counts connections; the first ones never answer.
+// silentListener counts connections; the first ones, up to silent, are never
+// answered.
 type silentListener struct {
 	net.Listener
 	silent   int32
@@ -25,12 +26,12 @@
 		if err != nil || l.accepted.Add(1) > l.silent {
 			return conn, err
 		}
-		go swallow(conn)
+		go discardInput(conn)
 	}
 }
 
-// swallow reads a connection without ever answering.
-func swallow(conn net.Conn) {
+// discardInput reads from a connection without ever answering.
+func discardInput(conn net.Conn) {
 	buf := make([]byte, 1024)
 	for {
 		if _, err := conn.Read(buf); err != nil {
@@ -45,8 +46,8 @@
 	return &rpc.PeerState{EntryId: "b", ConfigVersion: s.ConfigVersion}, nil
 }
 
-// TestSilentConnectionIsReplaced shows that a connection on which nothing comes
-// back is given up for a new one, without waiting for TCP.
+// TestSilentConnectionIsReplaced checks that a connection on which no reply arrives
+// is replaced by a new one, without waiting for a TCP timeout.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +59,7 @@
 	go func() { _ = server.Serve(listener) }()
 	defer server.Stop()
 	d := NewDialer()
-	defer d.Keep(nil)
+	defer d.RetainConnections(nil)
 	misses := 0
 	for end := time.Now().Add(20 * time.Second); ; misses++ {
 		if time.Now().After(end) {
@@ -71,7 +72,7 @@
 			break
 		}
 	}
-	if misses < maxMisses || listener.accepted.Load() < 2 {
+	if misses < maxUnanswered || listener.accepted.Load() < 2 {
 		t.Errorf("answer after %d misses on connection %d", misses, listener.accepted.Load())
 	}
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -1,5 +1,5 @@
-// Package membership knows the entries of the system. Each entry keeps a row
-// of presence in the ledger and exchanges its state with the others.
+// Package membership keeps the list of live entries. Each entry renews a presence
+// row in the ledger and exchanges its state with its peers.
 package membership
 
 import (
@@ -11,40 +11,41 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// Times of presence.
+// Timing of presence.
 const (
 	// PresenceInterval is the time between two writes of an entry's own row.
 	PresenceInterval = 2 * time.Second
 	// PresenceLease is how long an entry counts as present without a change of
-	// its row and without an answer.
+	// its row and without a reply to an exchange.
 	PresenceLease = 6 * time.Second
-	// ScanInterval is the time between two reads of all rows.
+	// ScanInterval is the time between two scans of all rows.
 	ScanInterval = time.Second
-	// RowLifetime is how long the row of an absent entry stays.
-	RowLifetime = 2 * time.Minute
+	// PresenceRowTTL is how long the row of an absent entry is kept.
+	PresenceRowTTL = 2 * time.Minute
 
-	// scanGap is the longest time between two scans of an unbroken watch.
-	scanGap = 3 * ScanInterval
-	// announceGap is the longest time between two writes of the own row in
+	// maxScanGap is the longest time between two scans of an unbroken watch.
+	maxScanGap = 3 * ScanInterval
+	// maxAnnounceGap is the longest time between two writes of the own row for
 	// which no other entry has dropped this one.
-	announceGap = PresenceLease - time.Second
+	maxAnnounceGap = PresenceLease - time.Second
 )
 
-// separator stands between an entry's id and the incarnation of its process.
-const separator = "#"
+// nameSeparator separates the entry's ID from the incarnation in a process
+// name.
+const nameSeparator = "#"
 
-// fullName names one start of an entry's process. An entry that comes in place
-// of another does not know what the other had accepted, so the rule on starts
-// must not take one for the other.
-func fullName(id, incarnation string) string { return id + separator + incarnation }
+// processName returns the name of one incarnation of an entry. A new incarnation
+// does not know what the previous one had accepted, so the rule for starting work
+// must tell them apart.
+func processName(id, incarnation string) string { return id + nameSeparator + incarnation }
 
-// idOf returns the entry's id in a full name.
-func idOf(name string) string {
-	id, _, _ := strings.Cut(name, separator)
+// entryID returns the ID of the entry in a process name.
+func entryID(name string) string {
+	id, _, _ := strings.Cut(name, nameSeparator)
 	return id
 }
 
-// Presence is the row of an entry's process.
+// Presence is the row of one incarnation of an entry.
 type Presence struct {
 	ID          string    `json:"id"`
 	Addr        string    `json:"rpc_address"`
@@ -54,104 +55,107 @@
 	Beat        uint64    `json:"beat"`
 }
 
-func (p Presence) name() string { return fullName(p.ID, p.Incarnation) }
+func (p Presence) name() string { return processName(p.ID, p.Incarnation) }
 
-// member is the process of another entry.
+// member is a process of another entry.
 type member struct {
 	name string
 	addr string
 	zone string
 
-	// The row as last scanned; rowVersion is 0 for an entry without one.
-	rowVersion uint64
-	rowSince   time.Duration // first sight of rowVersion in an unbroken watch
-	// expired is set at a scan; between scans nobody is dropped.
+	// The row as last scanned; rowVersion is 0 for a process without a row.
+	rowVersion        uint64
+	rowUnchangedSince time.Duration // when rowVersion was first seen in an unbroken watch
+	// expired is set at a scan and cleared by a report; no member expires between
+	// scans.
 	expired bool
 
-	// state is the last report; heard is when the request was sent that it answers.
-	state *rpc.PeerState
-	heard time.Duration
-	ever  bool
+	// lastReport is the latest state that the peer has reported. repliedAt is when
+	// the request was sent to which the peer last replied.
+	lastReport *rpc.PeerState
+	repliedAt  time.Duration
+	hasReplied bool
 }
 
-func (m *member) heardWithin(now, limit time.Duration) bool {
-	return m.ever && now-m.heard <= limit
+func (m *member) repliedWithin(now, limit time.Duration) bool {
+	return m.hasReplied && now-m.repliedAt <= limit
 }
 
 // alive reports whether the member counts as present at a scan.
 func (m *member) alive(now time.Duration) bool {
-	return m.rowVersion != 0 && now-m.rowSince <= PresenceLease || m.heardWithin(now, PresenceLease)
+	return m.rowVersion != 0 && now-m.rowUnchangedSince <= PresenceLease || m.repliedWithin(now, PresenceLease)
 }
 
-// row is a scanned row of presence.
+// row is a scanned presence row.
 type row struct {
 	version uint64
 	Presence
 }
 
-// roster is the list of the other entries' processes, by full name. It is
-// pure; times are on the process's monotonic clock. While the rows cannot be
-// scanned, nobody is dropped for being silent.
+// roster is the list of the processes of other entries, by process name. It does
+// no I/O and reads no clock; times are on the monotonic clock of this process.
+// While the rows cannot be scanned, no member is dropped for being silent.
 type roster struct {
-	self     string
-	members  map[string]*member
-	hints    map[string]bool   // addresses at which an entry may answer
-	gone     map[string]uint64 // rows of processes that have left, by version
-	scanned  bool
-	lastScan time.Duration // start of the last scan
-	highest  uint64        // highest owner epoch heard of
+	self              string
+	members           map[string]*member
+	hints             map[string]bool   // addresses at which an entry may reply
+	departed          map[string]uint64 // row version by name of a process that has left
+	hasScanned        bool
+	lastScan          time.Duration // start of the last scan
+	highestOwnerEpoch uint64        // highest owner epoch that a peer has reported
 }
 
 func newRoster(self string) *roster {
 	return &roster{
-		self:    self,
-		members: map[string]*member{},
-		hints:   map[string]bool{},
-		gone:    map[string]uint64{},
+		self:     self,
+		members:  map[string]*member{},
+		hints:    map[string]bool{},
+		departed: map[string]uint64{},
 	}
 }
 
-// scan takes over all rows, read by a call that began at start and has ended
-// now. It returns the rows that are to be removed.
-func (r *roster) scan(start, now time.Duration, rows []row) []row {
-	unbroken := r.scanned && now-r.lastScan <= scanGap
+// applyScan records all rows, read by a call that began at start and ended at now.
+// It returns the stale rows, which are to be removed.
+func (r *roster) applyScan(start, now time.Duration, rows []row) []row {
+	unbroken := r.hasScanned && now-r.lastScan <= maxScanGap
 	found := map[string]bool{}
-	var dead []row
+	var stale []row
 	for _, w := range rows {
 		if w.name() == r.self {
 			continue
 		}
 		found[w.name()] = true
-		if r.see(now, w, unbroken) {
-			dead = append(dead, w)
+		if r.applyRow(now, w, unbroken) {
+			stale = append(stale, w)
 		}
 	}
-	r.expire(now, found)
-	r.scanned, r.lastScan = true, start
+	r.expireMembers(now, found)
+	r.hasScanned, r.lastScan = true, start
 	clear(r.hints)
-	return dead
+	return stale
 }
 
-// see takes over one row and reports whether it is to be removed.
-func (r *roster) see(now time.Duration, w row, unbroken bool) bool {
-	if r.gone[w.name()] == w.version {
+// applyRow records one row and reports whether it is stale.
+func (r *roster) applyRow(now time.Duration, w row, unbroken bool) bool {
+	if r.departed[w.name()] == w.version {
 		return false
 	}
-	delete(r.gone, w.name())
-	m := r.member(w.name())
+	delete(r.departed, w.name())
+	m := r.ensureMember(w.name())
 	if m.rowVersion != w.version {
-		m.rowVersion, m.rowSince = w.version, now
+		m.rowVersion, m.rowUnchangedSince = w.version, now
 		m.addr, m.zone = w.Addr, w.Zone
 		return false
 	}
 	if !unbroken {
-		m.rowSince = now
+		m.rowUnchangedSince = now
 	}
-	return now-m.rowSince > RowLifetime && !m.heardWithin(now, PresenceLease)
+	return now-m.rowUnchangedSince > PresenceRowTTL && !m.repliedWithin(now, PresenceLease)
 }
 
-// expire drops the entries that are neither in a scanned row nor heard.
-func (r *roster) expire(now time.Duration, found map[string]bool) {
+// expireMembers marks the members that are not alive as expired, and drops those
+// of them that have no row.
+func (r *roster) expireMembers(now time.Duration, found map[string]bool) {
 	for id, m := range r.members {
 		if !found[id] {
 			m.rowVersion = 0
@@ -161,14 +165,14 @@
 			delete(r.members, id)
 		}
 	}
-	for id := range r.gone {
+	for id := range r.departed {
 		if !found[id] {
-			delete(r.gone, id)
+			delete(r.departed, id)
 		}
 	}
 }
 
-func (r *roster) member(name string) *member {
+func (r *roster) ensureMember(name string) *member {
 	m, ok := r.members[name]
 	if !ok {
 		m = &member{name: name}
@@ -177,40 +181,41 @@
 	return m
 }
 
-// answered takes over a peer's answer to a request that was sent at a time.
-func (r *roster) answered(sent time.Duration, s *rpc.PeerState) {
+// applyReply records a peer's reply to a request that was sent at the given time.
+func (r *roster) applyReply(sent time.Duration, s *rpc.PeerState) {
 	name := s.EntryId
-	if !r.received(s) {
+	if !r.applyReport(s) {
 		return
 	}
-	m := r.member(name)
-	if !m.ever || sent > m.heard {
-		m.heard, m.ever = sent, true
+	m := r.ensureMember(name)
+	if !m.hasReplied || sent > m.repliedAt {
+		m.repliedAt, m.hasReplied = sent, true
 	}
 }
 
-// received takes over a report whose age is not known. It returns false when
-// the peer has left. The report's full name becomes the entry's id.
-func (r *roster) received(s *rpc.PeerState) bool {
+// applyReport records a report of unknown age. It returns false if the peer has
+// left. It replaces the process name in the report by the entry's ID.
+func (r *roster) applyReport(s *rpc.PeerState) bool {
 	name := s.EntryId
 	if name == "" || name == r.self {
 		return false
 	}
-	s.EntryId = idOf(name)
-	r.highest = max(r.highest, s.OwnerEpoch)
+	s.EntryId = entryID(name)
+	r.highestOwnerEpoch = max(r.highestOwnerEpoch, s.OwnerEpoch)
 	if s.RpcAddress == "" {
-		r.leave(name)
+		r.removeDeparted(name)
 		return false
 	}
-	m := r.member(name)
-	m.addr, m.state, m.expired = s.RpcAddress, s, false
+	m := r.ensureMember(name)
+	m.addr, m.lastReport, m.expired = s.RpcAddress, s, false
 	return true
 }
 
-// leave drops an entry that stops as planned.
-func (r *roster) leave(name string) {
+// removeDeparted drops a process that has stopped as planned. Its remaining row is
+// ignored until it changes.
+func (r *roster) removeDeparted(name string) {
 	if m, ok := r.members[name]; ok {
-		r.gone[name] = m.rowVersion
+		r.departed[name] = m.rowVersion
 		delete(r.members, name)
 	}
 }
@@ -225,13 +230,14 @@
 	return out
 }
 
-// watching reports whether the rows are being scanned, so that silence tells.
-func (r *roster) watching(now time.Duration) bool {
-	return r.scanned && now-r.lastScan <= scanGap
+// isScanning reports whether the rows are being scanned, so that the absence of a
+// change is meaningful.
+func (r *roster) isScanning(now time.Duration) bool {
+	return r.hasScanned && now-r.lastScan <= maxScanGap
 }
 
-// entries returns the members that count as present.
-func (r *roster) entries() []*member {
+// present returns the members that have an address and are not expired.
+func (r *roster) present() []*member {
 	var out []*member
 	for _, m := range r.list() {
 		if m.addr != "" && !m.expired {
@@ -241,48 +247,52 @@
 	return out
 }
 
-// newest returns the present members, for each entry the process that was heard
-// last. The others of the same entry are dead but not yet expired.
-func (r *roster) newest() []*member {
+// latestProcesses returns the present members with one process for each entry: the
+// one that has replied last. Its other processes are dead but not yet expired.
+func (r *roster) latestProcesses() []*member {
 	var out []*member
-	for _, m := range r.entries() {
+	for _, m := range r.present() {
 		last := len(out) - 1
 		switch {
-		case last < 0 || idOf(out[last].name) != idOf(m.name):
+		case last < 0 || entryID(out[last].name) != entryID(m.name):
 			out = append(out, m)
-		case m.later(out[last]):
+		case m.moreRecentThan(out[last]):
 			out[last] = m
 		}
 	}
 	return out
 }
 
-func (m *member) later(o *member) bool {
-	if m.ever != o.ever {
-		return m.ever
+// moreRecentThan reports whether m has replied more recently than o. A process that
+// has replied counts as more recent than one that has not; two that have not are
+// compared by their rows.
+func (m *member) moreRecentThan(o *member) bool {
+	if m.hasReplied != o.hasReplied {
+		return m.hasReplied
 	}
-	if m.ever {
-		return m.heard > o.heard
+	if m.hasReplied {
+		return m.repliedAt > o.repliedAt
 	}
-	return m.rowSince > o.rowSince
+	return m.rowUnchangedSince > o.rowUnchangedSince
 }
 
-// peers returns the members as the rule for starting work needs them.
+// peers returns the present members in the form that the rule for starting work
+// needs.
 func (r *roster) peers() []confstate.Peer {
 	var out []confstate.Peer
-	for _, m := range r.entries() {
-		p := confstate.Peer{ID: m.name, LastReportAt: m.heard, HasReported: m.ever}
-		p.StoreFailing = m.state != nil && m.state.StoreFailing
+	for _, m := range r.present() {
+		p := confstate.Peer{ID: m.name, LastReportAt: m.repliedAt, HasReported: m.hasReplied}
+		p.StoreFailing = m.lastReport != nil && m.lastReport.StoreFailing
 		out = append(out, p)
 	}
 	return out
 }
 
-// met reports whether every entry has answered once, so that it knows of this
-// one. A process whose place another one has taken starts no work any more.
-func (r *roster) met() bool {
-	for _, m := range r.newest() {
-		if !m.ever {
+// allReplied reports whether every entry has replied once, so that it knows this
+// one. A process that another incarnation has replaced starts no more work.
+func (r *roster) allReplied() bool {
+	for _, m := range r.latestProcesses() {
+		if !m.hasReplied {
 			return false
 		}
 	}
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -15,7 +15,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
 )
 
-// fakeLedger holds the rows of presence.
+// fakeLedger holds the presence rows.
 type fakeLedger struct {
 	ledger.Ledger
 	rows map[string]ledger.Row
@@ -49,7 +49,7 @@
 	return []ledger.Row{{Key: w.Key, Version: w.Version + 1}}, nil
 }
 
-// fakeConfig records what exchanges bring.
+// fakeConfig records the configurations and confirmations that exchanges carry.
 type fakeConfig struct {
 	current *api.Config
 	age     time.Duration
@@ -72,42 +72,42 @@
 	}
 }
 
-// network joins services in one process.
+// network connects services in one process.
 type network struct {
-	now   time.Duration
-	way   time.Duration // of one exchange
-	store *fakeLedger
-	nodes map[string]*Service
-	confs map[string]*fakeConfig
+	now           time.Duration
+	exchangeDelay time.Duration // duration of one exchange
+	store         *fakeLedger
+	services      map[string]*Service
+	confs         map[string]*fakeConfig
 }
 
 func newNetwork() *network {
 	return &network{
-		store: &fakeLedger{rows: map[string]ledger.Row{}},
-		nodes: map[string]*Service{},
-		confs: map[string]*fakeConfig{},
+		store:    &fakeLedger{rows: map[string]ledger.Row{}},
+		services: map[string]*Service{},
+		confs:    map[string]*fakeConfig{},
 	}
 }
 
 func (n *network) Exchange(_ context.Context, addr string, s *rpc.PeerState) (*rpc.PeerState, error) {
-	peer, ok := n.nodes[addr]
+	peer, ok := n.services[addr]
 	if !ok {
 		return nil, errors.New("unreachable")
 	}
-	n.now += n.way
+	n.now += n.exchangeDelay
 	return peer.HandleExchange(s), nil
 }
 
 func (n *network) Entries(_ context.Context, addr string) ([]*rpc.EntryAddress, error) {
-	if peer, ok := n.nodes[addr]; ok {
+	if peer, ok := n.services[addr]; ok {
 		return peer.Entries(), nil
 	}
 	return nil, errors.New("unreachable")
 }
 
-func (n *network) Keep(map[string]bool) {}
+func (n *network) RetainConnections(map[string]bool) {}
 
-// start starts an incarnation of the entry at an address.
+// start starts an incarnation of the entry at addr.
 func (n *network) start(id, addr, incarnation string) *Service {
 	self := Self{ID: id, Addr: addr, Incarnation: incarnation}
 	s := New(n.store, self, n, func() time.Duration { return n.now }, Config{
@@ -116,26 +116,26 @@
 	})
 	n.confs[addr] = &fakeConfig{current: &api.Config{}}
 	s.Bind(n.confs[addr])
-	n.nodes[addr] = s
+	n.services[addr] = s
 	return s
 }
 
-// run lets all services work for a time.
+// run runs all services for the time d.
 func (n *network) run(d time.Duration) {
 	ctx := context.Background()
 	for end := n.now + d; n.now < end; n.now += 500 * time.Millisecond {
 		for _, addr := range []string{"addr-a", "addr-b", "addr-c"} {
-			if s, ok := n.nodes[addr]; ok {
+			if s, ok := n.services[addr]; ok {
 				s.Announce(ctx)
 				s.Scan(ctx)
-				s.Lookup(ctx)
+				s.QuerySeeds(ctx)
 				s.ExchangeAll(ctx)
 			}
 		}
 	}
 }
 
-func entries(s *Service) string {
+func entryIDs(s *Service) string {
 	var out []string
 	for _, e := range s.Entries() {
 		out = append(out, e.Id)
@@ -143,7 +143,7 @@
 	return strings.Join(out, " ")
 }
 
-func peers(s *Service) string {
+func describePeers(s *Service) string {
 	var out []string
 	list, _, known := s.Peers()
 	for _, p := range list {
@@ -159,58 +159,58 @@
 	}
 }
 
-func TestEntriesComeAndGo(t *testing.T) {
+func TestEntriesJoinAndLeave(t *testing.T) {
 	n := newNetwork()
 	a, b := n.start("a", "addr-a", "1"), n.start("b", "addr-b", "1")
 	n.run(time.Second)
-	expect(t, "entries", entries(a), "a b")
-	delete(n.nodes, "addr-b")
+	expect(t, "entries", entryIDs(a), "a b")
+	delete(n.services, "addr-b")
 	n.run(PresenceLease / 2)
-	expect(t, "entries within the lease", entries(a), "a b")
+	expect(t, "entries within the lease", entryIDs(a), "a b")
 	n.run(PresenceLease)
-	expect(t, "entries after a kill", entries(a), "a")
-	n.nodes["addr-b"] = b
+	expect(t, "entries after a kill", entryIDs(a), "a")
+	n.services["addr-b"] = b
 	n.run(time.Second)
-	expect(t, "entries after a pause", entries(a), "a b")
+	expect(t, "entries after a pause", entryIDs(a), "a b")
 	b.Leave(context.Background())
-	delete(n.nodes, "addr-b")
-	expect(t, "entries after a planned stop", entries(a), "a")
+	delete(n.services, "addr-b")
+	expect(t, "entries after a planned stop", entryIDs(a), "a")
 	n.run(time.Second)
-	expect(t, "entries after the next scan", entries(a), "a")
+	expect(t, "entries after the next scan", entryIDs(a), "a")
 }
 
-func TestDeadRowsAreRemoved(t *testing.T) {
+func TestStaleRowsAreRemoved(t *testing.T) {
 	n := newNetwork()
 	n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
 	n.run(time.Second)
-	delete(n.nodes, "addr-b")
-	n.run(RowLifetime + PresenceLease)
+	delete(n.services, "addr-b")
+	n.run(PresenceRowTTL + PresenceLease)
 	if len(n.store.rows) != 1 {
 		t.Errorf("rows %v", n.store.rows)
 	}
 }
 
-// TestListSurvivesOutage shows that silence tells nothing while the store is
-// down, nor right after it is back.
+// TestListSurvivesOutage checks that a silent entry is not dropped while the store
+// is down, nor right after the store is reachable again.
 func TestListSurvivesOutage(t *testing.T) {
 	n := newNetwork()
 	a := n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
 	n.run(time.Second)
 	n.store.down = true
-	delete(n.nodes, "addr-b")
+	delete(n.services, "addr-b")
 	n.run(10 * PresenceLease)
-	expect(t, "entries in the outage", entries(a), "a b")
+	expect(t, "entries in the outage", entryIDs(a), "a b")
 	n.store.down = false
 	n.run(time.Second)
-	expect(t, "entries right after", entries(a), "a b")
+	expect(t, "entries right after", entryIDs(a), "a b")
 	n.run(2 * PresenceLease)
-	expect(t, "entries later", entries(a), "a")
+	expect(t, "entries later", entryIDs(a), "a")
 }
 
-// TestRestartedEntryIsAnother shows that the rule on starts still counts the
-// earlier process, while agents see one entry.
+// TestRestartedEntryIsAnother checks that after a restart the rule for starting work
+// still counts the previous incarnation, while agents see one entry.
 func TestRestartedEntryIsAnother(t *testing.T) {
 	n := newNetwork()
 	a := n.start("a", "addr-a", "1")
@@ -219,16 +219,16 @@
 	n.store.down = true
 	n.start("b", "addr-b", "2")
 	n.run(PresenceLease)
-	expect(t, "entries", entries(a), "a b")
-	expect(t, "peers", peers(a), "true [b#1:true b#2:true]")
+	expect(t, "entries", entryIDs(a), "a b")
+	expect(t, "peers", describePeers(a), "true [b#1:true b#2:true]")
 	list, _, _ := a.Peers()
 	if age := n.now - list[0].LastReportAt; age <= confstate.MaxPeerReportAge {
-		t.Errorf("b#1 was heard %v ago", age)
+		t.Errorf("b#1 last replied %v ago", age)
 	}
 }
 
-// TestStartInOutage shows that an entry which has never read the store hears of
-// the others through the balancer, but does not count its list as known.
+// TestStartInOutage checks that an entry which has never read the store finds the
+// others through the balancer, but does not count its list as known.
 func TestStartInOutage(t *testing.T) {
 	n := newNetwork()
 	a := n.start("a", "addr-a", "1")
@@ -237,9 +237,9 @@
 	n.confs["addr-a"].Offer(&api.Config{Version: 7}, 0)
 	b := n.start("b", "addr-b", "1")
 	n.run(2 * time.Second)
-	expect(t, "entries of b", entries(b), "a b")
-	expect(t, "peers of b", peers(b), "false [a#1:true]")
-	expect(t, "entries of a", entries(a), "a b")
+	expect(t, "entries of b", entryIDs(b), "a b")
+	expect(t, "peers of b", describePeers(b), "false [a#1:true]")
+	expect(t, "entries of a", entryIDs(a), "a b")
 	if v := n.confs["addr-b"].current.Version; v != 7 {
 		t.Errorf("b has version %d", v)
 	}
@@ -260,7 +260,7 @@
 	if !a.Settled() {
 		t.Error("not settled")
 	}
-	n.now += PresenceLease // a pause
+	n.now += PresenceLease // the process was paused
 	if a.Settled() {
 		t.Error("settled right after a pause")
 	}
@@ -274,28 +274,28 @@
 	}
 }
 
-// TestRequestConfirmsNothing shows that a configuration is taken from a request,
-// which may be old, but not its confirmation.
+// TestRequestConfirmsNothing checks that an entry takes a configuration from a
+// request but not its confirmation, because the request may be old.
 func TestRequestConfirmsNothing(t *testing.T) {
 	n := newNetwork()
 	a, b := n.start("a", "addr-a", "1"), n.start("b", "addr-b", "1")
 	n.confs["addr-a"].Offer(&api.Config{Version: 3}, 0)
-	b.HandleExchange(a.state(0))
+	b.HandleExchange(a.localState(0))
 	if c := n.confs["addr-b"]; c.current.Version != 3 || c.age < time.Hour {
 		t.Errorf("version %d confirmed %v ago", c.current.Version, c.age)
 	}
 }
 
-// TestAgeCountsTheWay shows that a confirmation which was on its way for long
-// is an old one.
-func TestAgeCountsTheWay(t *testing.T) {
+// TestAgeIncludesExchangeTime checks that the age of a confirmation includes the time that
+// the exchange took.
+func TestAgeIncludesExchangeTime(t *testing.T) {
 	n := newNetwork()
 	n.start("a", "addr-a", "1")
 	n.start("b", "addr-b", "1")
 	n.confs["addr-a"].Offer(&api.Config{Version: 3}, 0)
-	n.way = 4 * time.Second
+	n.exchangeDelay = 4 * time.Second
 	n.run(time.Second)
-	if c := n.confs["addr-b"]; c.current.Version != 3 || c.age < n.way {
+	if c := n.confs["addr-b"]; c.current.Version != 3 || c.age < n.exchangeDelay {
 		t.Errorf("version %d confirmed %v ago", c.current.Version, c.age)
 	}
 }
