--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -20,10 +20,10 @@
 )
 
 // Errors without an answer. After ErrUnreachable nothing has been changed;
-// after ErrNoAnswer a change may or may not have taken effect.
+// after ErrNoResponse a change may or may not have taken effect.
 const (
 	ErrUnreachable = errors.ConstError("entry not reachable")
-	ErrNoAnswer    = errors.ConstError("no complete answer from the entry")
+	ErrNoResponse  = errors.ConstError("no complete answer from the entry")
 )
 
 // ProblemError is a refusal by the entry.
@@ -31,8 +31,8 @@
 	Problem api.Problem
 	// Outcome is what the entry says about the call, or empty.
 	Outcome api.Outcome
-	// Change is true for a call that asked for a change or for work.
-	Change bool
+	// Mutating is true for a call that asked for a change or for work.
+	Mutating bool
 }
 
 // Error returns the problem's title and detail.
@@ -116,7 +116,7 @@
 		return answer{}, transportError(call.method, sent, err)
 	}
 	if len(body) > maxAnswerBytes {
-		return answer{}, errors.Annotatef(ErrNoAnswer, "answer exceeds %d bytes", maxAnswerBytes)
+		return answer{}, errors.Annotatef(ErrNoResponse, "answer exceeds %d bytes", maxAnswerBytes)
 	}
 	return answer{resp.StatusCode, resp.Header, body}, nil
 }
@@ -126,7 +126,7 @@
 	if !sent || method == http.MethodGet {
 		return errors.Annotate(ErrUnreachable, err.Error())
 	}
-	return errors.Annotate(ErrNoAnswer, err.Error())
+	return errors.Annotate(ErrNoResponse, err.Error())
 }
 
 // json carries out the call and reads its answer into out, if out is not nil.
@@ -142,13 +142,13 @@
 		return a, nil
 	}
 	if err := json.Unmarshal(a.body, out); err != nil {
-		return a, errors.Annotatef(ErrNoAnswer, "answer of %s %s not understood: %v", call.method, call.path, err)
+		return a, errors.Annotatef(ErrNoResponse, "answer of %s %s not understood: %v", call.method, call.path, err)
 	}
 	return a, nil
 }
 
 func problemError(method string, a answer) error {
-	e := &ProblemError{Outcome: api.Outcome(a.header.Get(httpx.HeaderOutcome)), Change: method != http.MethodGet}
+	e := &ProblemError{Outcome: api.Outcome(a.header.Get(httpx.HeaderOutcome)), Mutating: method != http.MethodGet}
 	if err := json.Unmarshal(a.body, &e.Problem); err != nil || e.Problem.Title == "" {
 		e.Problem = api.Problem{Title: http.StatusText(a.status), Detail: string(bytes.TrimSpace(a.body))}
 	}
--- a/internal/client/work.go
+++ b/internal/client/work.go
@@ -86,8 +86,8 @@
 	Body        []byte
 }
 
-// Answer is the complete answer to a Request.
-type Answer struct {
+// Response is the complete answer to a Request.
+type Response struct {
 	Outcome     api.Outcome
 	Status      int
 	ContentType string
@@ -96,7 +96,7 @@
 
 // Request calls a service. A refusal by the entry is a ProblemError with an
 // Outcome; an answer of the service itself is an Answer, whatever its status.
-func (c *Client) Request(ctx context.Context, r Request) (Answer, error) {
+func (c *Client) Request(ctx context.Context, r Request) (Response, error) {
 	header := http.Header{}
 	setHeader(header, "Content-Type", r.ContentType)
 	setHeader(header, httpx.HeaderProfile, r.Profile)
@@ -108,17 +108,17 @@
 	path := "/v1/services/" + url.PathEscape(r.Service) + "/requests"
 	a, err := c.do(ctx, call{method: http.MethodPost, path: path, header: header, body: r.Body, wait: r.Timeout})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	outcome := api.Outcome(a.header.Get(httpx.HeaderOutcome))
 	contentType := a.header.Get("Content-Type")
 	if contentType == httpx.ContentTypeProblem && outcome != api.OutcomeDone {
-		return Answer{}, problemError(http.MethodPost, a)
+		return Response{}, problemError(http.MethodPost, a)
 	}
 	if outcome == "" {
-		return Answer{}, errors.Annotatef(ErrNoAnswer, "answer with status %d names no outcome", a.status)
+		return Response{}, errors.Annotatef(ErrNoResponse, "answer with status %d names no outcome", a.status)
 	}
-	return Answer{outcome, a.status, contentType, a.body}, nil
+	return Response{outcome, a.status, contentType, a.body}, nil
 }
 
 func setHeader(header http.Header, name, value string) {
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -12,14 +12,14 @@
 
 // The exit codes of coltsfootctl.
 const (
-	ExitOK          = 0
-	ExitFailed      = 1
-	ExitUsage       = 2
-	ExitNotRun      = 3
-	ExitLostRace    = 4
-	ExitUnreachable = 5
-	ExitUnknown     = 6
-	ExitNotYet      = 7
+	ExitOK              = 0
+	ExitFailed          = 1
+	ExitUsage           = 2
+	ExitNotRun          = 3
+	ExitVersionConflict = 4
+	ExitUnreachable     = 5
+	ExitOutcomeUnknown  = 6
+	ExitWaitTimeout     = 7
 )
 
 const exitCodeHelp = `Exit codes:
@@ -105,10 +105,10 @@
 		return ExitUsage
 	case errors.Is(err, client.ErrUnreachable):
 		return ExitUnreachable
-	case errors.Is(err, client.ErrNoAnswer):
-		return ExitUnknown
+	case errors.Is(err, client.ErrNoResponse):
+		return ExitOutcomeUnknown
 	case errors.Is(err, errNotYet):
-		return ExitNotYet
+		return ExitWaitTimeout
 	}
 	return ExitFailed
 }
@@ -120,7 +120,7 @@
 	case api.OutcomeNotRun:
 		return ExitNotRun
 	case api.OutcomeUnknown:
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	}
 	return ExitFailed
 }
@@ -132,15 +132,15 @@
 	later := e.Problem.RetryAfter > 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 	switch {
 	case status == http.StatusPreconditionFailed:
-		return ExitLostRace
+		return ExitVersionConflict
 	case e.Outcome == api.OutcomeNotRun && later:
 		return ExitNotRun
 	case e.Outcome == api.OutcomeNotRun:
 		return ExitFailed
 	case e.Outcome != "":
 		return outcomeCode(e.Outcome)
-	case later && e.Change:
-		return ExitUnknown
+	case later && e.Mutating:
+		return ExitOutcomeUnknown
 	case later:
 		return ExitNotRun
 	}
--- a/internal/ctl/jobs.go
+++ b/internal/ctl/jobs.go
@@ -224,5 +224,5 @@
 // transient reports whether the same call may succeed later.
 func transient(err error) bool {
 	code := exitCode(err)
-	return code == ExitUnreachable || code == ExitUnknown || code == ExitNotRun
+	return code == ExitUnreachable || code == ExitOutcomeUnknown || code == ExitNotRun
 }
--- a/internal/ctl/request.go
+++ b/internal/ctl/request.go
@@ -80,7 +80,7 @@
 	Body        string      `json:"body"`
 }
 
-func (e *env) printAnswer(a client.Answer) error {
+func (e *env) printAnswer(a client.Response) error {
 	if e.json {
 		return e.printJSON(answerDocument{a.Outcome, a.Status, a.ContentType, string(a.Body)})
 	}
--- a/internal/ctl/submit.go
+++ b/internal/ctl/submit.go
@@ -152,7 +152,7 @@
 		if err == nil || attempt == submitAttempts {
 			return record, err
 		}
-		if code := exitCode(err); code != ExitUnreachable && code != ExitUnknown {
+		if code := exitCode(err); code != ExitUnreachable && code != ExitOutcomeUnknown {
 			return record, err
 		}
 		if sleep(ctx, submitPause) != nil {
--- a/test/procs/harness/jobs.go
+++ b/test/procs/harness/jobs.go
@@ -42,7 +42,7 @@
 func (h *Harness) Submit(ctx context.Context, key string, job api.JobRequest, clients ...*client.Client) (api.JobRecord, error) {
 	for calls := 0; ; calls++ {
 		record, err := clients[calls%len(clients)].SubmitJob(ctx, job, key)
-		if !errors.Is(err, client.ErrUnreachable) && !errors.Is(err, client.ErrNoAnswer) || ctx.Err() != nil {
+		if !errors.Is(err, client.ErrUnreachable) && !errors.Is(err, client.ErrNoResponse) || ctx.Err() != nil {
 			return record, err
 		}
 		time.Sleep(retryPause)
--- a/test/procs/harness/load.go
+++ b/test/procs/harness/load.go
@@ -79,7 +79,7 @@
 			Timeout: requestTimeout, ContentType: httpx.ContentTypeJSON, Body: body,
 		})
 		r.Err = err
-		if !errors.Is(err, client.ErrUnreachable) && !errors.Is(err, client.ErrNoAnswer) {
+		if !errors.Is(err, client.ErrUnreachable) && !errors.Is(err, client.ErrNoResponse) {
 			r.finish(answer, body)
 			return
 		}
@@ -88,7 +88,7 @@
 }
 
 // finish takes in the entry's answer, which must be complete and this request's.
-func (r *Request) finish(answer client.Answer, body []byte) {
+func (r *Request) finish(answer client.Response, body []byte) {
 	var problem *client.ProblemError
 	if errors.As(r.Err, &problem) {
 		r.Outcome = problem.Outcome
