--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -46,14 +46,14 @@
 // idleConnTimeout lets a client that is not used any more hold no connection.
 const idleConnTimeout = 2 * time.Second
 
-// maxAnswerBytes bounds an answer's body.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds an answer's body.
+const maxResponseBytes = 64 << 20
 
 // Client talks to one entry, or to the balancer in front of the entries.
 type Client struct {
-	base    string
-	timeout time.Duration
-	http    *http.Client
+	baseURL    string
+	timeout    time.Duration
+	httpClient *http.Client
 }
 
 // New returns a client for the address, which is HOST:PORT or a base URL.
@@ -63,17 +63,17 @@
 		address = "http://" + address
 	}
 	return &Client{
-		base:    strings.TrimRight(address, "/"),
+		baseURL: strings.TrimRight(address, "/"),
 		timeout: timeout,
-		http: &http.Client{Transport: &http.Transport{
+		httpClient: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 1,
 			IdleConnTimeout:     idleConnTimeout,
 		}},
 	}
 }
 
-// call is one HTTP call.
-type call struct {
+// apiCall is one HTTP apiCall.
+type apiCall struct {
 	method string
 	path   string
 	query  url.Values
@@ -83,42 +83,42 @@
 	wait time.Duration
 }
 
-// answer is a complete answer.
-type answer struct {
+// response is a complete response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// do carries out the call and returns its complete answer, whatever its status.
-func (c *Client) do(ctx context.Context, call call) (answer, error) {
+// send carries out the call and returns its complete answer, whatever its status.
+func (c *Client) send(ctx context.Context, call apiCall) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.wait)
 	defer cancel()
-	target := c.base + call.path
+	target := c.baseURL + call.path
 	if len(call.query) > 0 {
 		target += "?" + call.query.Encode()
 	}
 	req, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
-		return answer{}, errors.NewNotValid(err, "entry address")
+		return response{}, errors.NewNotValid(err, "entry address")
 	}
 	for name, values := range call.header {
 		req.Header[name] = values
 	}
 	sent := false
-	resp, err := c.http.Do(withSentTrace(req, &sent))
+	resp, err := c.httpClient.Do(withSentTrace(req, &sent))
 	if err != nil {
-		return answer{}, transportError(call.method, sent, err)
+		return response{}, transportError(call.method, sent, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return answer{}, transportError(call.method, sent, err)
+		return response{}, transportError(call.method, sent, err)
 	}
-	if len(body) > maxAnswerBytes {
-		return answer{}, errors.Annotatef(ErrNoResponse, "answer exceeds %d bytes", maxAnswerBytes)
+	if len(body) > maxResponseBytes {
+		return response{}, errors.Annotatef(ErrNoResponse, "answer exceeds %d bytes", maxResponseBytes)
 	}
-	return answer{resp.StatusCode, resp.Header, body}, nil
+	return response{resp.StatusCode, resp.Header, body}, nil
 }
 
 // transportError tells a call that has had no effect from one that may have.
@@ -129,31 +129,31 @@
 	return errors.Annotate(ErrNoResponse, err.Error())
 }
 
-// json carries out the call and reads its answer into out, if out is not nil.
-func (c *Client) json(ctx context.Context, call call, out any) (answer, error) {
-	a, err := c.do(ctx, call)
+// sendJSON carries out the call and reads its answer into out, if out is not nil.
+func (c *Client) sendJSON(ctx context.Context, call apiCall, out any) (response, error) {
+	resp, err := c.send(ctx, call)
 	if err != nil {
-		return a, err
+		return resp, err
 	}
-	if a.status >= http.StatusBadRequest {
-		return a, problemError(call.method, a)
+	if resp.status >= http.StatusBadRequest {
+		return resp, problemError(call.method, resp)
 	}
-	if out == nil || len(a.body) == 0 {
-		return a, nil
+	if out == nil || len(resp.body) == 0 {
+		return resp, nil
 	}
-	if err := json.Unmarshal(a.body, out); err != nil {
-		return a, errors.Annotatef(ErrNoResponse, "answer of %s %s not understood: %v", call.method, call.path, err)
+	if err := json.Unmarshal(resp.body, out); err != nil {
+		return resp, errors.Annotatef(ErrNoResponse, "answer of %s %s not understood: %v", call.method, call.path, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
-func problemError(method string, a answer) error {
-	e := &ProblemError{Outcome: api.Outcome(a.header.Get(httpx.HeaderOutcome)), Mutating: method != http.MethodGet}
-	if err := json.Unmarshal(a.body, &e.Problem); err != nil || e.Problem.Title == "" {
-		e.Problem = api.Problem{Title: http.StatusText(a.status), Detail: string(bytes.TrimSpace(a.body))}
+func problemError(method string, resp response) error {
+	e := &ProblemError{Outcome: api.Outcome(resp.header.Get(httpx.HeaderOutcome)), Mutating: method != http.MethodGet}
+	if err := json.Unmarshal(resp.body, &e.Problem); err != nil || e.Problem.Title == "" {
+		e.Problem = api.Problem{Title: http.StatusText(resp.status), Detail: string(bytes.TrimSpace(resp.body))}
 	}
-	e.Problem.Status = a.status
-	if seconds, err := strconv.Atoi(a.header.Get("Retry-After")); err == nil {
+	e.Problem.Status = resp.status
+	if seconds, err := strconv.Atoi(resp.header.Get("Retry-After")); err == nil {
 		e.Problem.RetryAfter = seconds
 	}
 	return e
--- a/internal/client/config.go
+++ b/internal/client/config.go
@@ -31,14 +31,14 @@
 	var list struct {
 		Profiles []api.Profile `json:"profiles"`
 	}
-	_, err := c.json(ctx, call{method: http.MethodGet, path: "/v1/profiles"}, &list)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: "/v1/profiles"}, &list)
 	return list.Profiles, err
 }
 
 // Profile returns one profile.
 func (c *Client) Profile(ctx context.Context, name string) (api.Profile, error) {
 	var p api.Profile
-	_, err := c.json(ctx, call{method: http.MethodGet, path: profilePath(name)}, &p)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: profilePath(name)}, &p)
 	return p, err
 }
 
@@ -49,15 +49,15 @@
 	if err != nil {
 		return p, "", err
 	}
-	call := call{method: http.MethodPut, path: profilePath(p.Name), header: ifMatch(header, version), body: body}
-	a, err := c.json(ctx, call, &p)
-	return p, a.header.Get(httpx.HeaderWarning), err
+	call := apiCall{method: http.MethodPut, path: profilePath(p.Name), header: ifMatch(header, version), body: body}
+	resp, err := c.sendJSON(ctx, call, &p)
+	return p, resp.header.Get(httpx.HeaderWarning), err
 }
 
 // DeleteProfile deletes a profile if it still has the version.
 func (c *Client) DeleteProfile(ctx context.Context, name string, version uint64) error {
-	call := call{method: http.MethodDelete, path: profilePath(name), header: ifMatch(nil, version)}
-	_, err := c.json(ctx, call, nil)
+	call := apiCall{method: http.MethodDelete, path: profilePath(name), header: ifMatch(nil, version)}
+	_, err := c.sendJSON(ctx, call, nil)
 	return err
 }
 
@@ -66,7 +66,7 @@
 	var list struct {
 		Zones []api.AvailabilityZone `json:"zones"`
 	}
-	_, err := c.json(ctx, call{method: http.MethodGet, path: "/v1/zones"}, &list)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: "/v1/zones"}, &list)
 	return list.Zones, err
 }
 
@@ -79,21 +79,21 @@
 	if err != nil {
 		return zone, err
 	}
-	call := call{method: http.MethodPut, path: zonePath(name), header: ifMatch(header, version), body: body}
-	_, err = c.json(ctx, call, &zone)
+	call := apiCall{method: http.MethodPut, path: zonePath(name), header: ifMatch(header, version), body: body}
+	_, err = c.sendJSON(ctx, call, &zone)
 	return zone, err
 }
 
 // ConfigStatus tells which process has which configuration in force.
 func (c *Client) ConfigStatus(ctx context.Context) (api.ConfigStatus, error) {
 	var status api.ConfigStatus
-	_, err := c.json(ctx, call{method: http.MethodGet, path: "/v1/config/status"}, &status)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: "/v1/config/status"}, &status)
 	return status, err
 }
 
 // DumpState returns the state dump of the process at the client's address.
 func (c *Client) DumpState(ctx context.Context) (json.RawMessage, error) {
 	var dump json.RawMessage
-	_, err := c.json(ctx, call{method: http.MethodGet, path: httpx.PathState}, &dump)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: httpx.PathState}, &dump)
 	return dump, err
 }
--- a/internal/client/work.go
+++ b/internal/client/work.go
@@ -36,7 +36,7 @@
 		return record, err
 	}
 	header.Set(httpx.HeaderIdempotencyKey, key)
-	_, err = c.json(ctx, call{method: http.MethodPost, path: "/v1/jobs", header: header, body: body}, &record)
+	_, err = c.sendJSON(ctx, apiCall{method: http.MethodPost, path: "/v1/jobs", header: header, body: body}, &record)
 	return record, err
 }
 
@@ -53,25 +53,25 @@
 		query.Set("limit", strconv.Itoa(q.Limit))
 	}
 	var page JobsPage
-	_, err := c.json(ctx, call{method: http.MethodGet, path: "/v1/jobs", query: query}, &page)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: "/v1/jobs", query: query}, &page)
 	return page, err
 }
 
 // Job returns a job, after waiting up to wait for its end.
 func (c *Client) Job(ctx context.Context, id string, wait time.Duration) (api.JobRecord, error) {
-	call := call{method: http.MethodGet, path: jobPath(id), wait: wait}
+	call := apiCall{method: http.MethodGet, path: jobPath(id), wait: wait}
 	if wait > 0 {
 		call.query = url.Values{"wait": {wait.String()}}
 	}
 	var record api.JobRecord
-	_, err := c.json(ctx, call, &record)
+	_, err := c.sendJSON(ctx, call, &record)
 	return record, err
 }
 
 // CancelJob asks for the end of a job.
 func (c *Client) CancelJob(ctx context.Context, id string) (api.JobRecord, error) {
 	var record api.JobRecord
-	_, err := c.json(ctx, call{method: http.MethodDelete, path: jobPath(id)}, &record)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodDelete, path: jobPath(id)}, &record)
 	return record, err
 }
 
@@ -106,19 +106,19 @@
 		header.Set(httpx.HeaderTimeout, r.Timeout.String())
 	}
 	path := "/v1/services/" + url.PathEscape(r.Service) + "/requests"
-	a, err := c.do(ctx, call{method: http.MethodPost, path: path, header: header, body: r.Body, wait: r.Timeout})
+	resp, err := c.send(ctx, apiCall{method: http.MethodPost, path: path, header: header, body: r.Body, wait: r.Timeout})
 	if err != nil {
 		return Response{}, err
 	}
-	outcome := api.Outcome(a.header.Get(httpx.HeaderOutcome))
-	contentType := a.header.Get("Content-Type")
+	outcome := api.Outcome(resp.header.Get(httpx.HeaderOutcome))
+	contentType := resp.header.Get("Content-Type")
 	if contentType == httpx.ContentTypeProblem && outcome != api.OutcomeDone {
-		return Response{}, problemError(http.MethodPost, a)
+		return Response{}, problemError(http.MethodPost, resp)
 	}
 	if outcome == "" {
-		return Response{}, errors.Annotatef(ErrNoResponse, "answer with status %d names no outcome", a.status)
+		return Response{}, errors.Annotatef(ErrNoResponse, "answer with status %d names no outcome", resp.status)
 	}
-	return Response{outcome, a.status, contentType, a.body}, nil
+	return Response{outcome, resp.status, contentType, resp.body}, nil
 }
 
 func setHeader(header http.Header, name, value string) {
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -59,7 +59,7 @@
 
 // Execute implements subcommands.Command.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	args, err := positional(f)
+	args, err := positionalArgs(f)
 	if err != nil {
 		return subcommands.ExitStatus(ExitUsage)
 	}
@@ -69,14 +69,14 @@
 		return subcommands.ExitStatus(ExitUsage)
 	}
 	if err := c.run(ctx, args); err != nil {
-		return subcommands.ExitStatus(c.env.report(err))
+		return subcommands.ExitStatus(c.env.reportError(err))
 	}
 	return subcommands.ExitSuccess
 }
 
-// positional returns the arguments that are not flags, and parses the flags
+// positionalArgs returns the arguments that are not flags, and parses the flags
 // among and after them.
-func positional(f *flag.FlagSet) ([]string, error) {
+func positionalArgs(f *flag.FlagSet) ([]string, error) {
 	var args []string
 	for f.NArg() > 0 {
 		args = append(args, f.Arg(0))
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -13,8 +13,8 @@
 // maxListedProcesses is up to how many processes the status lists all.
 const maxListedProcesses = 40
 
-// statusInterval is the time between two looks at the configuration status.
-const statusInterval = 200 * time.Millisecond
+// statusPollInterval is the time between two looks at the configuration status.
+const statusPollInterval = 200 * time.Millisecond
 
 func configCommands(e *env) []*command {
 	var wait time.Duration
@@ -31,7 +31,7 @@
 }
 
 func (e *env) configStatus(ctx context.Context, wait time.Duration, all bool) error {
-	status, err := e.awaitInForce(ctx, wait)
+	status, err := e.awaitConfigInForce(ctx, wait)
 	if err != nil {
 		return err
 	}
@@ -39,19 +39,19 @@
 		return err
 	}
 	if wait > 0 && !status.InForce {
-		return errors.Annotatef(errNotYet, "version %d is not in force everywhere after %v", status.Version, wait)
+		return errors.Annotatef(errWaitTimeout, "version %d is not in force everywhere after %v", status.Version, wait)
 	}
 	return nil
 }
 
-func (e *env) awaitInForce(ctx context.Context, wait time.Duration) (api.ConfigStatus, error) {
+func (e *env) awaitConfigInForce(ctx context.Context, wait time.Duration) (api.ConfigStatus, error) {
 	c := e.client()
 	for deadline := time.Now().Add(wait); ; {
 		status, err := c.ConfigStatus(ctx)
 		if err != nil || status.InForce || !time.Now().Before(deadline) {
 			return status, err
 		}
-		if err := sleep(ctx, statusInterval); err != nil {
+		if err := sleep(ctx, statusPollInterval); err != nil {
 			return status, err
 		}
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -51,10 +51,10 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	return int(e.execute(ctx, programName, topCommands(e), args))
+	return int(e.execute(ctx, programName, topLevelCommands(e), args))
 }
 
-func topCommands(e *env) []subcommands.Command {
+func topLevelCommands(e *env) []subcommands.Command {
 	return []subcommands.Command{
 		newGroup(e, "profiles", "list, show, set and delete profiles", profileCommands(e)),
 		newGroup(e, "zones", "list availability zones, take them out and in", zoneCommands(e)),
@@ -68,42 +68,42 @@
 
 // execute finds and runs one of the commands.
 func (e *env) execute(ctx context.Context, name string, commands []subcommands.Command, args []string) subcommands.ExitStatus {
-	top := flag.NewFlagSet(name, flag.ContinueOnError)
-	top.SetOutput(e.stderr)
-	e.addFlags(top)
-	commander := subcommands.NewCommander(top, name)
+	flags := flag.NewFlagSet(name, flag.ContinueOnError)
+	flags.SetOutput(e.stderr)
+	e.addFlags(flags)
+	commander := subcommands.NewCommander(flags, name)
 	commander.Output, commander.Error = e.stdout, e.stderr
-	commander.Explain = func(w io.Writer) { explain(w, name, commands, top) }
+	commander.Explain = func(w io.Writer) { printUsage(w, name, commands, flags) }
 	for _, c := range commands {
 		commander.Register(c, "")
 	}
 	commander.Register(commander.HelpCommand(), "")
-	if err := top.Parse(helpArgs(commands, args)); err != nil {
+	if err := flags.Parse(helpFlagToCommand(commands, args)); err != nil {
 		return subcommands.ExitUsageError
 	}
-	if top.NArg() > 0 && top.Arg(0) != "help" && firstName(commands, top.Args()[:1]) == nil {
-		fmt.Fprintf(e.stderr, "%s: command %q does not exist\n\n", name, top.Arg(0))
+	if flags.NArg() > 0 && flags.Arg(0) != "help" && firstCommandName(commands, flags.Args()[:1]) == nil {
+		fmt.Fprintf(e.stderr, "%s: command %q does not exist\n\n", name, flags.Arg(0))
 	}
 	return commander.Execute(ctx)
 }
 
-// helpArgs turns a help flag into the help command, which exits with 0. Help
+// helpFlagToCommand turns a help flag into the help command, which exits with 0. Help
 // flags behind the name of a group are left to the group.
-func helpArgs(commands []subcommands.Command, args []string) []string {
+func helpFlagToCommand(commands []subcommands.Command, args []string) []string {
 	for i, arg := range args {
 		switch {
 		case arg == "--":
 			return args
-		case isHelp(arg):
-			return append([]string{"help"}, firstName(commands, args[:i])...)
-		case isGroup(commands, arg) && i+1 < len(args) && !isHelp(args[i+1]):
+		case isHelpFlag(arg):
+			return append([]string{"help"}, firstCommandName(commands, args[:i])...)
+		case isGroup(commands, arg) && i+1 < len(args) && !isHelpFlag(args[i+1]):
 			return args
 		}
 	}
 	return args
 }
 
-func isHelp(arg string) bool { return arg == "-h" || arg == "-help" || arg == "--help" }
+func isHelpFlag(arg string) bool { return arg == "-h" || arg == "-help" || arg == "--help" }
 
 func isGroup(commands []subcommands.Command, name string) bool {
 	for _, c := range commands {
@@ -114,7 +114,7 @@
 	return false
 }
 
-func firstName(commands []subcommands.Command, args []string) []string {
+func firstCommandName(commands []subcommands.Command, args []string) []string {
 	for _, arg := range args {
 		for _, c := range commands {
 			if c.Name() == arg {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func explain(w io.Writer, name string, commands []subcommands.Command, flags *flag.FlagSet) {
+func printUsage(w io.Writer, name string, commands []subcommands.Command, flags *flag.FlagSet) {
 	fmt.Fprintf(w, "Usage: %s [FLAGS] COMMAND [ARGUMENTS]\n\nCommands:\n", name)
 	for _, c := range commands {
 		fmt.Fprintf(w, "  %-10s %s\n", c.Name(), c.Synopsis())
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -23,7 +23,7 @@
 		entry := newFakeEntry()
 		defer entry.server.Close()
 		t.Chdir(t.TempDir())
-		datadriven.RunTest(t, absolute(t, path), func(t *testing.T, d *datadriven.TestData) string {
+		datadriven.RunTest(t, absolutePath(t, path), func(t *testing.T, d *datadriven.TestData) string {
 			return runScript(t, entry, d)
 		})
 	})
@@ -32,7 +32,7 @@
 // packageDir is the directory of the package; tests change their own.
 var packageDir, _ = os.Getwd()
 
-func absolute(t *testing.T, path string) string {
+func absolutePath(t *testing.T, path string) string {
 	t.Helper()
 	return filepath.Join(packageDir, path)
 }
@@ -43,7 +43,7 @@
 	case "ctl":
 		var out strings.Builder
 		for _, line := range strings.Split(d.Input, "\n") {
-			out.WriteString(runLine(entry, line))
+			out.WriteString(runCommandLine(entry, line))
 		}
 		return out.String()
 	case "file":
@@ -60,14 +60,14 @@
 		var id, outcome string
 		d.ScanArgs(t, "id", &id)
 		d.ScanArgs(t, "outcome", &outcome)
-		entry.finish(id, api.Outcome(outcome))
+		entry.finishJob(id, api.Outcome(outcome))
 	default:
 		d.Fatalf(t, "unknown command %q", d.Cmd)
 	}
 	return ""
 }
 
-func runLine(entry *fakeEntry, line string) string {
+func runCommandLine(entry *fakeEntry, line string) string {
 	var stdout, stderr bytes.Buffer
 	address := strings.TrimPrefix(entry.server.URL, "http://")
 	getenv := func(name string) string {
@@ -86,7 +86,7 @@
 func TestHelpHasExample(t *testing.T) {
 	entry := newFakeEntry()
 	defer entry.server.Close()
-	for _, c := range topCommands(&env{}) {
+	for _, c := range topLevelCommands(&env{}) {
 		paths := []string{c.Name()}
 		if g, ok := c.(*group); ok {
 			paths = nil
@@ -95,7 +95,7 @@
 			}
 		}
 		for _, path := range paths {
-			got := runLine(entry, path+" --help")
+			got := runCommandLine(entry, path+" --help")
 			if !strings.Contains(got, "Example:\n  coltsfootctl ") || !strings.Contains(got, "\n  coltsfootctl "+path) || !strings.HasSuffix(got, "exit 0\n") {
 				t.Errorf("%s --help: %s", path, got)
 			}
--- a/internal/ctl/examples_test.go
+++ b/internal/ctl/examples_test.go
@@ -22,7 +22,7 @@
 				t.Errorf("%s: files %v, error %v", site, files, err)
 				continue
 			}
-			if got := runLine(entry, command+" "+strings.Join(files, " ")); !strings.HasSuffix(got, "exit 0\n") {
+			if got := runCommandLine(entry, command+" "+strings.Join(files, " ")); !strings.HasSuffix(got, "exit 0\n") {
 				t.Errorf("%s", got)
 			}
 		}
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -33,18 +33,18 @@
   7  not yet: the awaited state was not reached in time
 `
 
-// errNotYet says that an awaited state was not reached in time.
-const errNotYet = errors.ConstError("not yet")
+// errWaitTimeout says that an awaited state was not reached in time.
+const errWaitTimeout = errors.ConstError("not yet")
 
 // outcomeError is a final answer other than done.
 type outcomeError struct {
-	what    string
+	subject string
 	outcome api.Outcome
 	detail  string
 }
 
 func (e *outcomeError) Error() string {
-	text := fmt.Sprintf("%s: %s", e.what, e.outcome)
+	text := fmt.Sprintf("%s: %s", e.subject, e.outcome)
 	if e.detail != "" {
 		text += ": " + e.detail
 	}
@@ -52,15 +52,15 @@
 }
 
 // checkOutcome returns nil for OutcomeDone.
-func checkOutcome(what string, outcome api.Outcome, detail string) error {
+func checkOutcome(subject string, outcome api.Outcome, detail string) error {
 	if outcome == api.OutcomeDone {
 		return nil
 	}
-	return &outcomeError{what, outcome, detail}
+	return &outcomeError{subject, outcome, detail}
 }
 
-// report writes the error and returns its exit code.
-func (e *env) report(err error) int {
+// reportError writes the error and returns its exit code.
+func (e *env) reportError(err error) int {
 	var problem *client.ProblemError
 	var findings settings.Findings
 	switch {
@@ -98,22 +98,22 @@
 	var findings settings.Findings
 	switch {
 	case errors.As(err, &problem):
-		return problemCode(problem)
+		return problemExitCode(problem)
 	case errors.As(err, &outcome):
-		return outcomeCode(outcome.outcome)
+		return outcomeExitCode(outcome.outcome)
 	case errors.As(err, &findings), errors.Is(err, errUsage):
 		return ExitUsage
 	case errors.Is(err, client.ErrUnreachable):
 		return ExitUnreachable
 	case errors.Is(err, client.ErrNoResponse):
 		return ExitOutcomeUnknown
-	case errors.Is(err, errNotYet):
+	case errors.Is(err, errWaitTimeout):
 		return ExitWaitTimeout
 	}
 	return ExitFailed
 }
 
-func outcomeCode(outcome api.Outcome) int {
+func outcomeExitCode(outcome api.Outcome) int {
 	switch outcome {
 	case api.OutcomeDone:
 		return ExitOK
@@ -125,23 +125,23 @@
 	return ExitFailed
 }
 
-// problemCode follows the outcome where the entry names one, and otherwise
+// problemExitCode follows the outcome where the entry names one, and otherwise
 // the status. "Not run" needs the entry's word, unless the call was a read.
-func problemCode(e *client.ProblemError) int {
+func problemExitCode(e *client.ProblemError) int {
 	status := e.Problem.Status
-	later := e.Problem.RetryAfter > 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
+	retryable := e.Problem.RetryAfter > 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 	switch {
 	case status == http.StatusPreconditionFailed:
 		return ExitVersionConflict
-	case e.Outcome == api.OutcomeNotRun && later:
+	case e.Outcome == api.OutcomeNotRun && retryable:
 		return ExitNotRun
 	case e.Outcome == api.OutcomeNotRun:
 		return ExitFailed
 	case e.Outcome != "":
-		return outcomeCode(e.Outcome)
-	case later && e.Mutating:
+		return outcomeExitCode(e.Outcome)
+	case retryable && e.Mutating:
 		return ExitOutcomeUnknown
-	case later:
+	case retryable:
 		return ExitNotRun
 	}
 	return ExitFailed
--- a/internal/ctl/fake_test.go
+++ b/internal/ctl/fake_test.go
@@ -40,7 +40,7 @@
 	mux.HandleFunc("DELETE /v1/jobs/{id}", f.getJob)
 	mux.HandleFunc("POST /v1/services/{service}/requests", f.postRequest)
 	mux.HandleFunc("GET /v1/config/status", f.getStatus)
-	mux.HandleFunc("GET /debug/state", func(w http.ResponseWriter, _ *http.Request) { answer(w, 200, map[string]int{"links": 2}) })
+	mux.HandleFunc("GET /debug/state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, map[string]int{"links": 2}) })
 	f.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -53,37 +53,37 @@
 		if fault == "late" { // the call takes effect and the answer is lost
 			mux.ServeHTTP(httptest.NewRecorder(), r)
 		}
-		f.fail(w, fault)
+		f.injectFault(w, fault)
 	}))
 	return f
 }
 
-func (f *fakeEntry) fail(w http.ResponseWriter, fault string) {
-	var status, retry int
+func (f *fakeEntry) injectFault(w http.ResponseWriter, fault string) {
+	var status, retryAfter int
 	var outcome string
-	if n, _ := fmt.Sscanf(fault, "%d/%d/%s", &status, &retry, &outcome); n == 0 {
+	if n, _ := fmt.Sscanf(fault, "%d/%d/%s", &status, &retryAfter, &outcome); n == 0 {
 		panic(http.ErrAbortHandler)
 	}
 	if outcome != "" {
 		w.Header().Set(httpx.HeaderOutcome, outcome)
 	}
-	if retry > 0 {
-		w.Header().Set("Retry-After", fmt.Sprint(retry))
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", fmt.Sprint(retryAfter))
 	}
-	refuse(w, httpx.Problemf(status, "fault of the test"))
+	writeProblem(w, httpx.Problemf(status, "fault of the test"))
 }
 
-func refuse(w http.ResponseWriter, p api.Problem) {
+func writeProblem(w http.ResponseWriter, p api.Problem) {
 	w.Header().Set("Content-Type", httpx.ContentTypeProblem)
-	answer(w, p.Status, p)
+	writeJSON(w, p.Status, p)
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func read[T any](r *http.Request) T {
+func decodeBody[T any](r *http.Request) T {
 	var v T
 	_ = json.NewDecoder(r.Body).Decode(&v)
 	return v
@@ -92,27 +92,27 @@
 func (f *fakeEntry) getProfile(w http.ResponseWriter, r *http.Request) {
 	p, ok := f.profiles[r.PathValue("name")]
 	if !ok {
-		refuse(w, httpx.Problemf(404, "profile %q does not exist", r.PathValue("name")))
+		writeProblem(w, httpx.Problemf(404, "profile %q does not exist", r.PathValue("name")))
 		return
 	}
-	answer(w, 200, p)
+	writeJSON(w, 200, p)
 }
 
-// lostRace refuses a change whose If-Match is not the current version.
-func lostRace(w http.ResponseWriter, r *http.Request, current uint64) bool {
+// rejectStaleVersion refuses a change whose If-Match is not the current version.
+func rejectStaleVersion(w http.ResponseWriter, r *http.Request, current uint64) bool {
 	tag := r.Header.Get("If-Match")
 	if tag == "" || tag == httpx.ETag(current) {
 		return false
 	}
 	p := httpx.Problemf(412, "item has another version")
 	p.Version = current
-	refuse(w, p)
+	writeProblem(w, p)
 	return true
 }
 
 func (f *fakeEntry) putProfile(w http.ResponseWriter, r *http.Request) {
-	p := read[api.Profile](r)
-	if lostRace(w, r, f.profiles[p.Name].Version) {
+	p := decodeBody[api.Profile](r)
+	if rejectStaleVersion(w, r, f.profiles[p.Name].Version) {
 		return
 	}
 	if p.Guarantee != nil {
@@ -121,12 +121,12 @@
 	f.version++
 	p.Version = f.version
 	f.profiles[p.Name] = p
-	answer(w, 200, p)
+	writeJSON(w, 200, p)
 }
 
 func (f *fakeEntry) deleteProfile(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	if lostRace(w, r, f.profiles[name].Version) {
+	if rejectStaleVersion(w, r, f.profiles[name].Version) {
 		return
 	}
 	delete(f.profiles, name)
@@ -135,24 +135,24 @@
 
 func (f *fakeEntry) putZone(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	if lostRace(w, r, f.zones[name].Version) {
+	if rejectStaleVersion(w, r, f.zones[name].Version) {
 		return
 	}
 	f.version++
-	f.zones[name] = api.AvailabilityZone{Name: name, State: read[api.AvailabilityZone](r).State, Version: f.version}
-	answer(w, 200, f.zones[name])
+	f.zones[name] = api.AvailabilityZone{Name: name, State: decodeBody[api.AvailabilityZone](r).State, Version: f.version}
+	writeJSON(w, 200, f.zones[name])
 }
 
 func (f *fakeEntry) listZones(w http.ResponseWriter, _ *http.Request) {
-	answer(w, 200, map[string]any{"zones": []api.AvailabilityZone{f.zones["zone-a"], f.zones["zone-b"]}})
+	writeJSON(w, 200, map[string]any{"zones": []api.AvailabilityZone{f.zones["zone-a"], f.zones["zone-b"]}})
 }
 
 func (f *fakeEntry) postJob(w http.ResponseWriter, r *http.Request) {
-	job := read[api.Job](r)
+	job := decodeBody[api.Job](r)
 	job.IdempotencyKey = r.Header.Get("Idempotency-Key")
 	for _, record := range f.jobs {
 		if record.Job.IdempotencyKey == job.IdempotencyKey {
-			answer(w, 202, record)
+			writeJSON(w, 202, record)
 			return
 		}
 	}
@@ -160,7 +160,7 @@
 	job.Submitted = time.Date(2026, 2, 1, 3, 0, 0, 0, time.UTC)
 	record := api.JobRecord{Job: job, State: api.JobQueued}
 	f.jobs = append(f.jobs, record)
-	answer(w, 202, record)
+	writeJSON(w, 202, record)
 }
 
 // listJobs returns one job on each page.
@@ -174,10 +174,10 @@
 		if i+1 < len(f.jobs) {
 			page["next"] = record.Job.ID
 		}
-		answer(w, 200, page)
+		writeJSON(w, 200, page)
 		return
 	}
-	answer(w, 200, map[string]any{"jobs": []api.JobRecord{}})
+	writeJSON(w, 200, map[string]any{"jobs": []api.JobRecord{}})
 }
 
 func (f *fakeEntry) getJob(w http.ResponseWriter, r *http.Request) {
@@ -186,14 +186,14 @@
 			continue
 		}
 		f.jobs[i].CancelAsked = record.CancelAsked || r.Method == http.MethodDelete
-		answer(w, 200, f.jobs[i])
+		writeJSON(w, 200, f.jobs[i])
 		return
 	}
-	refuse(w, httpx.Problemf(404, "job %q does not exist", r.PathValue("id")))
+	writeProblem(w, httpx.Problemf(404, "job %q does not exist", r.PathValue("id")))
 }
 
-// finish gives a job its outcome.
-func (f *fakeEntry) finish(id string, outcome api.Outcome) {
+// finishJob gives a job its outcome.
+func (f *fakeEntry) finishJob(id string, outcome api.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.jobs {
@@ -229,5 +229,5 @@
 		}
 		status.Processes[7].Version--
 	}
-	answer(w, 200, status)
+	writeJSON(w, 200, status)
 }
--- a/internal/ctl/input.go
+++ b/internal/ctl/input.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// readDocument reads a JSON file. Unknown fields are refused.
-func readDocument[T any](e *env, file string) (T, error) {
+// readJSONFile reads a JSON file. Unknown fields are refused.
+func readJSONFile[T any](e *env, file string) (T, error) {
 	var v T
 	data, err := e.readFile(file)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return data, nil
 }
 
-// body returns the text or the content of the file; only one may be given.
-func (e *env) body(data, file string) ([]byte, error) {
+// inlineOrFile returns the text or the content of the file; only one may be given.
+func (e *env) inlineOrFile(data, file string) ([]byte, error) {
 	if data != "" && file != "" {
 		return nil, usagef("--data and --file exclude each other")
 	}
--- a/internal/ctl/jobs.go
+++ b/internal/ctl/jobs.go
@@ -94,7 +94,7 @@
 	rows := [][]string{{"JOB", "PROFILE", "GANG", "STATE", "OUTCOME", "ATTEMPT", "SUBMITTED", "DETAIL"}}
 	for _, r := range jobs {
 		rows = append(rows, []string{
-			r.Job.ID, r.Job.Profile, shapeText(r.Job.Gang), string(r.State), orDash(string(r.Outcome)),
+			r.Job.ID, r.Job.Profile, formatShape(r.Job.Gang), string(r.State), orDash(string(r.Outcome)),
 			fmt.Sprint(r.Attempt), r.Job.Submitted.Format(time.RFC3339), orDash(r.Detail),
 		})
 	}
@@ -108,12 +108,12 @@
 	rows := [][]string{
 		{"job", r.Job.ID},
 		{"profile", r.Job.Profile},
-		{"gang", shapeText(r.Job.Gang)},
+		{"gang", formatShape(r.Job.Gang)},
 		{"state", string(r.State)},
 		{"outcome", orDash(string(r.Outcome))},
 		{"detail", orDash(r.Detail)},
 		{"attempt", fmt.Sprint(r.Attempt)},
-		{"placement", placementText(r.Placements)},
+		{"placement", formatPlacements(r.Placements)},
 		{"submitted", r.Job.Submitted.Format(time.RFC3339)},
 	}
 	if r.CancelAsked {
@@ -123,28 +123,28 @@
 		rows = append(rows, []string{"finished", r.Finished.Format(time.RFC3339)})
 	}
 	for _, result := range r.Results {
-		rows = append(rows, []string{"output of " + taskRange(result.FirstTask, result.Tasks), compact(result.Output)})
+		rows = append(rows, []string{"output of " + formatTaskRange(result.FirstTask, result.Tasks), compactJSON(result.Output)})
 	}
 	return e.printTable(rows)
 }
 
-func placementText(placements []api.Placement) string {
+func formatPlacements(placements []api.Placement) string {
 	parts := make([]string, len(placements))
 	for i, p := range placements {
-		parts[i] = fmt.Sprintf("%s on %s (%s)", taskRange(p.FirstTask, p.Tasks), p.Worker, p.Zone)
+		parts[i] = fmt.Sprintf("%s on %s (%s)", formatTaskRange(p.FirstTask, p.Tasks), p.Worker, p.Zone)
 	}
 	return orDash(strings.Join(parts, ", "))
 }
 
-func taskRange(first, n int) string {
+func formatTaskRange(first, n int) string {
 	if n <= 1 {
 		return fmt.Sprintf("task %d", first)
 	}
 	return fmt.Sprintf("tasks %d-%d", first, first+n-1)
 }
 
-// compact returns a JSON document on one line.
-func compact(document json.RawMessage) string {
+// compactJSON returns a JSON document on one line.
+func compactJSON(document json.RawMessage) string {
 	var b bytes.Buffer
 	if err := json.Compact(&b, document); err != nil {
 		return string(document)
@@ -154,32 +154,32 @@
 
 // Times of waiting for a job.
 const (
-	// waitStep is how long one call waits at the entry.
-	waitStep = 20 * time.Second
-	// waitPatience is how long a wait goes on without any answer.
-	waitPatience = time.Minute
-	waitPause    = 500 * time.Millisecond
+	// maxWaitPerCall is how long one call waits at the entry.
+	maxWaitPerCall = 20 * time.Second
+	// maxTimeWithoutResponse is how long a wait goes on without any answer.
+	maxTimeWithoutResponse = time.Minute
+	waitRetryInterval      = 500 * time.Millisecond
 )
 
 func waitCommand(e *env) *command {
-	var bound time.Duration
+	var maxWait time.Duration
 	return &command{
 		name: "wait", arguments: "ID", minArgs: 1, maxArgs: 1,
 		synopsis: "wait for the end of a job; the exit code tells its outcome",
 		example:  "  coltsfootctl jobs wait 7d0c3a52 --for 2h",
-		flags:    func(f *flag.FlagSet) { addBound(f, &bound) },
+		flags:    func(f *flag.FlagSet) { addMaxWaitFlag(f, &maxWait) },
 		run: func(ctx context.Context, args []string) error {
-			return e.waitForJob(ctx, args[0], bound)
+			return e.waitForJob(ctx, args[0], maxWait)
 		},
 	}
 }
 
-func addBound(f *flag.FlagSet, bound *time.Duration) {
-	f.DurationVar(bound, "for", 0, "wait at most `DURATION`; 0 stands for no bound")
+func addMaxWaitFlag(f *flag.FlagSet, maxWait *time.Duration) {
+	f.DurationVar(maxWait, "for", 0, "wait at most `DURATION`; 0 stands for no bound")
 }
 
-func (e *env) waitForJob(ctx context.Context, id string, bound time.Duration) error {
-	record, err := e.awaitFinal(ctx, id, bound)
+func (e *env) waitForJob(ctx context.Context, id string, maxWait time.Duration) error {
+	record, err := e.awaitFinalJob(ctx, id, maxWait)
 	if err != nil {
 		return err
 	}
@@ -187,42 +187,42 @@
 		return err
 	}
 	if record.State != api.JobFinal {
-		return errors.Annotatef(errNotYet, "job %q is %s after %v", id, record.State, bound)
+		return errors.Annotatef(errWaitTimeout, "job %q is %s after %v", id, record.State, maxWait)
 	}
 	return checkOutcome("job "+id, record.Outcome, record.Detail)
 }
 
-// awaitFinal returns the job once it is final or bound has passed. It goes on
+// awaitFinalJob returns the job once it is final or bound has passed. It goes on
 // while entries are replaced, as reading a job has no effect.
-func (e *env) awaitFinal(ctx context.Context, id string, bound time.Duration) (api.JobRecord, error) {
+func (e *env) awaitFinalJob(ctx context.Context, id string, maxWait time.Duration) (api.JobRecord, error) {
 	c := e.client()
 	start := time.Now()
-	answered := start
+	lastResponse := start
 	for {
-		step := waitStep
-		if bound > 0 {
-			step = min(step, max(0, bound-time.Since(start)))
+		callWait := maxWaitPerCall
+		if maxWait > 0 {
+			callWait = min(callWait, max(0, maxWait-time.Since(start)))
 		}
-		record, err := c.Job(ctx, id, step)
+		record, err := c.Job(ctx, id, callWait)
 		switch {
 		case err == nil:
-			answered = time.Now()
-			if record.State == api.JobFinal || (bound > 0 && time.Since(start) >= bound) {
+			lastResponse = time.Now()
+			if record.State == api.JobFinal || (maxWait > 0 && time.Since(start) >= maxWait) {
 				return record, nil
 			}
-		case !transient(err) || ctx.Err() != nil || time.Since(answered) > waitPatience:
+		case !isTransient(err) || ctx.Err() != nil || time.Since(lastResponse) > maxTimeWithoutResponse:
 			return record, err
-		case bound > 0 && time.Since(start) >= bound:
+		case maxWait > 0 && time.Since(start) >= maxWait:
 			return record, err
 		}
-		if err := sleep(ctx, waitPause); err != nil {
+		if err := sleep(ctx, waitRetryInterval); err != nil {
 			return record, err
 		}
 	}
 }
 
-// transient reports whether the same call may succeed later.
-func transient(err error) bool {
+// isTransient reports whether the same call may succeed later.
+func isTransient(err error) bool {
 	code := exitCode(err)
 	return code == ExitUnreachable || code == ExitOutcomeUnknown || code == ExitNotRun
 }
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -25,7 +25,7 @@
 	return errors.Trace(w.Flush())
 }
 
-func shapeText(s api.Shape) string {
+func formatShape(s api.Shape) string {
 	text := fmt.Sprintf("%d x %d acc", s.Tasks, s.PerTask.Accelerators)
 	if s.Adjacency != "" {
 		text += " in one " + string(s.Adjacency)
@@ -33,14 +33,14 @@
 	return text
 }
 
-func guaranteeText(g *api.Guarantee) string {
+func formatGuarantee(g *api.Guarantee) string {
 	if g == nil {
 		return "-"
 	}
-	return fmt.Sprintf("%d x (%s)", g.Gangs, shapeText(g.Shape))
+	return fmt.Sprintf("%d x (%s)", g.Gangs, formatShape(g.Shape))
 }
 
-func numberText[T ~int | ~uint64](n T) string {
+func numberOrDash[T ~int | ~uint64](n T) string {
 	if n == 0 {
 		return "-"
 	}
--- a/internal/ctl/profiles.go
+++ b/internal/ctl/profiles.go
@@ -49,7 +49,7 @@
 	return &command{
 		name: "delete", arguments: "NAME", synopsis: "delete a profile", minArgs: 1, maxArgs: 1,
 		example: "  coltsfootctl profiles delete reconstruction --if-version 12",
-		flags:   version.add,
+		flags:   version.register,
 		run: func(ctx context.Context, args []string) error {
 			if err := e.client().DeleteProfile(ctx, args[0], uint64(version)); err != nil {
 				return err
@@ -86,8 +86,8 @@
 	rows := [][]string{{"PROFILE", "ACCOUNT", "GUARANTEE", "QUOTA", "URGENT", "PREEMPTIBLE", "WEIGHT", "VERSION"}}
 	for _, p := range profiles {
 		rows = append(rows, []string{
-			p.Name, p.ClientAccount, guaranteeText(p.Guarantee), numberText(p.QuotaAccelerators),
-			yesNo(p.Urgent), yesNo(p.Preemptible), numberText(p.Weight), numberText(p.Version),
+			p.Name, p.ClientAccount, formatGuarantee(p.Guarantee), numberOrDash(p.QuotaAccelerators),
+			yesOrDash(p.Urgent), yesOrDash(p.Preemptible), numberOrDash(p.Weight), numberOrDash(p.Version),
 		})
 	}
 	return e.printTable(rows)
@@ -104,23 +104,23 @@
 		}
 		profiles[i] = p
 	}
-	set := []api.Profile{}
+	updated := []api.Profile{}
 	for _, p := range profiles {
-		done, err := e.setProfile(ctx, p, force)
+		stored, err := e.setProfile(ctx, p, force)
 		if err != nil {
-			return e.reportPartlySet(set, errors.Annotatef(err, "profile %q", p.Name))
+			return e.reportPartialUpdate(updated, errors.Annotatef(err, "profile %q", p.Name))
 		}
-		set = append(set, done)
+		updated = append(updated, stored)
 	}
-	return e.printProfiles(set)
+	return e.printProfiles(updated)
 }
 
-// reportPartlySet prints the profiles that were set before the refusal.
-func (e *env) reportPartlySet(set []api.Profile, refusal error) error {
-	if len(set) == 0 {
+// reportPartialUpdate prints the profiles that were set before the refusal.
+func (e *env) reportPartialUpdate(updated []api.Profile, refusal error) error {
+	if len(updated) == 0 {
 		return refusal
 	}
-	if err := e.printProfiles(set); err != nil {
+	if err := e.printProfiles(updated); err != nil {
 		return err
 	}
 	return refusal
@@ -131,18 +131,18 @@
 	if version == 0 || force {
 		version = client.AnyVersion
 	}
-	set, warning, err := e.client().PutProfile(ctx, p, version)
+	stored, warning, err := e.client().PutProfile(ctx, p, version)
 	if err != nil {
 		return p, err
 	}
 	if warning != "" {
 		fmt.Fprintf(e.stderr, "%s: warning: profile %q: %s\n", programName, p.Name, warning)
 	}
-	return set, nil
+	return stored, nil
 }
 
 func (e *env) readProfile(file string) (api.Profile, error) {
-	p, err := readDocument[api.Profile](e, file)
+	p, err := readJSONFile[api.Profile](e, file)
 	if err == nil && p.Name == "" {
 		return p, usagef("%s: profile has no name", file)
 	}
@@ -152,7 +152,7 @@
 // versionFlag is the flag --if-version.
 type versionFlag uint64
 
-func (v *versionFlag) add(f *flag.FlagSet) {
+func (v *versionFlag) register(f *flag.FlagSet) {
 	f.Var(v, "if-version", "change the item only if it still has this `VERSION`")
 }
 
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func yesNo(b bool) string {
+func yesOrDash(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/internal/ctl/request.go
+++ b/internal/ctl/request.go
@@ -21,7 +21,7 @@
 	file    string
 }
 
-func (r *requestFlags) add(f *flag.FlagSet) {
+func (r *requestFlags) register(f *flag.FlagSet) {
 	f.StringVar(&r.request.Profile, "profile", "", "`NAME` of the profile (required)")
 	f.StringVar(&r.request.Key, "key", "", "idempotency `KEY`; the same key always meets the same execution (default: a new one)")
 	f.BoolVar(&r.request.Idempotent, "idempotent", false, "the request may run more than once")
@@ -38,20 +38,20 @@
 		synopsis: "send one request to a service and print its complete answer",
 		example: "  coltsfootctl request assessment --profile survey --idempotent --data '{\"tree\": 17}'\n" +
 			"  coltsfootctl request assessment --profile consent --key consent-2031 --file finding.json",
-		flags: flags.add,
+		flags: flags.register,
 		run: func(ctx context.Context, args []string) error {
 			flags.request.Service = args[0]
-			return e.request(ctx, flags)
+			return e.sendRequest(ctx, flags)
 		},
 	}
 }
 
-func (e *env) request(ctx context.Context, flags *requestFlags) error {
+func (e *env) sendRequest(ctx context.Context, flags *requestFlags) error {
 	r := flags.request
 	if r.Profile == "" {
 		return usagef("--profile is required")
 	}
-	body, err := e.body(flags.data, flags.file)
+	body, err := e.inlineOrFile(flags.data, flags.file)
 	if err != nil {
 		return err
 	}
@@ -59,36 +59,36 @@
 	if r.Key == "" {
 		r.Key = uuid.NewString()
 	}
-	answer, err := e.client().Request(ctx, r)
+	response, err := e.client().Request(ctx, r)
 	if err != nil {
 		return errors.Annotatef(err, "request with key %s", r.Key)
 	}
-	if err := e.printAnswer(answer); err != nil {
+	if err := e.printResponse(response); err != nil {
 		return err
 	}
-	if answer.Outcome == api.OutcomeDone && answer.Status >= http.StatusBadRequest {
-		return errors.Errorf("service answered with status %d", answer.Status)
+	if response.Outcome == api.OutcomeDone && response.Status >= http.StatusBadRequest {
+		return errors.Errorf("service answered with status %d", response.Status)
 	}
-	return checkOutcome("request with key "+r.Key, answer.Outcome, "")
+	return checkOutcome("request with key "+r.Key, response.Outcome, "")
 }
 
-// answerDocument is the form of an answer for programs.
-type answerDocument struct {
+// responseDocument is the form of an answer for programs.
+type responseDocument struct {
 	Outcome     api.Outcome `json:"outcome"`
 	Status      int         `json:"status"`
 	ContentType string      `json:"content_type"`
 	Body        string      `json:"body"`
 }
 
-func (e *env) printAnswer(a client.Response) error {
+func (e *env) printResponse(response client.Response) error {
 	if e.json {
-		return e.printJSON(answerDocument{a.Outcome, a.Status, a.ContentType, string(a.Body)})
+		return e.printJSON(responseDocument{response.Outcome, response.Status, response.ContentType, string(response.Body)})
 	}
-	fmt.Fprintf(e.stderr, "outcome: %s, status %d\n", a.Outcome, a.Status)
-	if _, err := e.stdout.Write(a.Body); err != nil {
+	fmt.Fprintf(e.stderr, "outcome: %s, status %d\n", response.Outcome, response.Status)
+	if _, err := e.stdout.Write(response.Body); err != nil {
 		return errors.Trace(err)
 	}
-	if n := len(a.Body); n > 0 && a.Body[n-1] != '\n' {
+	if n := len(response.Body); n > 0 && response.Body[n-1] != '\n' {
 		fmt.Fprintln(e.stdout)
 	}
 	return nil
--- a/internal/ctl/settings.go
+++ b/internal/ctl/settings.go
@@ -18,31 +18,31 @@
 }
 
 func (e *env) checkSettings(files []string) error {
-	all := settings.Findings{}
+	allFindings := settings.Findings{}
 	for _, file := range files {
 		err := settings.Check(file)
 		var findings settings.Findings
 		switch {
 		case err == nil:
-			e.printChecked(file)
+			e.printFileOK(file)
 		case errors.As(err, &findings):
-			all = append(all, findings...)
+			allFindings = append(allFindings, findings...)
 		default:
-			all = append(all, settings.Finding{File: file, Message: err.Error()})
+			allFindings = append(allFindings, settings.Finding{File: file, Message: err.Error()})
 		}
 	}
 	if e.json {
-		if err := e.printJSON(all); err != nil {
+		if err := e.printJSON(allFindings); err != nil {
 			return err
 		}
 	}
-	if len(all) > 0 {
-		return all
+	if len(allFindings) > 0 {
+		return allFindings
 	}
 	return nil
 }
 
-func (e *env) printChecked(file string) {
+func (e *env) printFileOK(file string) {
 	if !e.json {
 		fmt.Fprintf(e.stdout, "%s: ok\n", file)
 	}
--- a/internal/ctl/submit.go
+++ b/internal/ctl/submit.go
@@ -13,26 +13,26 @@
 
 // Repeats of a submission that got no answer.
 const (
-	submitAttempts = 5
-	submitPause    = 500 * time.Millisecond
+	submitAttempts      = 5
+	submitRetryInterval = 500 * time.Millisecond
 )
 
 type submitFlags struct {
-	job       api.JobRequest
-	adjacency string
-	declared  time.Duration
-	deadline  string
-	data      string
-	file      string
-	key       string
-	wait      bool
-	bound     time.Duration
-	// set is the flag set that the flags were added to.
-	set *flag.FlagSet
+	job         api.JobRequest
+	adjacency   string
+	declaredRun time.Duration
+	deadline    string
+	data        string
+	file        string
+	key         string
+	wait        bool
+	maxWait     time.Duration
+	// flagSet is the flag flagSet that the flags were added to.
+	flagSet *flag.FlagSet
 }
 
-func (s *submitFlags) add(f *flag.FlagSet) {
-	s.set = f
+func (s *submitFlags) register(f *flag.FlagSet) {
+	s.flagSet = f
 	f.StringVar(&s.job.Profile, "profile", "", "`NAME` of the profile (required)")
 	f.IntVar(&s.job.Gang.Tasks, "tasks", 1, "`N` tasks, which run together or not at all")
 	f.IntVar(&s.job.Gang.PerTask.Accelerators, "accelerators", 0, "`N` accelerators for each task")
@@ -41,13 +41,13 @@
 	f.StringVar(&s.adjacency, "adjacency", string(api.AdjacentZone), "`PART` of the fleet that holds the whole gang: worker, rack or zone")
 	f.BoolVar(&s.job.Idempotent, "idempotent", false, "the job may run more than once")
 	f.BoolVar(&s.job.Checkpointable, "checkpointable", false, "the job can go on from a checkpoint")
-	f.DurationVar(&s.declared, "declared-run", 0, "`DURATION` that the job is expected to run")
+	f.DurationVar(&s.declaredRun, "declared-run", 0, "`DURATION` that the job is expected to run")
 	f.StringVar(&s.deadline, "deadline", "", "`TIME` in RFC 3339, or a duration from now, after which the job is of no use")
 	f.StringVar(&s.data, "data", "", "`JSON` payload for the tasks")
 	f.StringVar(&s.file, "file", "", "`FILE` with the JSON payload (\"-\" is the standard input)")
 	f.StringVar(&s.key, "key", "", "idempotency `KEY`; the same key always gives the same job (default: a new one)")
 	f.BoolVar(&s.wait, "wait", false, "wait for the end of the job; the exit code tells its outcome")
-	addBound(f, &s.bound)
+	addMaxWaitFlag(f, &s.maxWait)
 }
 
 func submitCommand(e *env) *command {
@@ -58,7 +58,7 @@
 		example: "  coltsfootctl jobs submit --profile reconstruction --tasks 4 --accelerators 2 \\\n" +
 			"    --adjacency rack --declared-run 40m --checkpointable --data '{\"night\": \"2026-02-01\"}' --wait\n" +
 			"  coltsfootctl jobs submit --key night-2026-02-01 job.json",
-		flags: flags.add,
+		flags: flags.register,
 		run:   func(ctx context.Context, args []string) error { return e.submit(ctx, flags, args) },
 	}
 }
@@ -77,25 +77,25 @@
 		return errors.Annotatef(err, "job with key %s", key)
 	}
 	if flags.wait {
-		return e.waitForJob(ctx, record.Job.ID, flags.bound)
+		return e.waitForJob(ctx, record.Job.ID, flags.maxWait)
 	}
 	return e.printJob(record)
 }
 
 func (e *env) jobToSubmit(flags *submitFlags, files []string) (api.JobRequest, error) {
 	if len(files) == 0 {
-		return e.buildJob(flags, time.Now())
+		return e.jobFromFlags(flags, time.Now())
 	}
 	if flags.describesJob() {
 		return api.JobRequest{}, usagef("a job file and flags that describe the job exclude each other")
 	}
-	return readDocument[api.JobRequest](e, files[0])
+	return readJSONFile[api.JobRequest](e, files[0])
 }
 
 // describesJob reports whether a flag was given that a job file has a field for.
 func (s *submitFlags) describesJob() bool {
 	found := false
-	s.set.Visit(func(f *flag.Flag) {
+	s.flagSet.Visit(func(f *flag.Flag) {
 		switch f.Name {
 		case "entry", "json", "timeout", "key", "wait", "for":
 		default:
@@ -105,7 +105,7 @@
 	return found
 }
 
-func (e *env) buildJob(flags *submitFlags, now time.Time) (api.JobRequest, error) {
+func (e *env) jobFromFlags(flags *submitFlags, now time.Time) (api.JobRequest, error) {
 	job := flags.job
 	if job.Profile == "" {
 		return job, usagef("--profile is required")
@@ -116,7 +116,7 @@
 	default:
 		return job, usagef("--adjacency %q is not worker, rack or zone", flags.adjacency)
 	}
-	payload, err := e.body(flags.data, flags.file)
+	payload, err := e.inlineOrFile(flags.data, flags.file)
 	if err != nil {
 		return job, err
 	}
@@ -124,7 +124,7 @@
 		return job, usagef("payload is not valid JSON")
 	}
 	job.Payload = payload
-	job.DeclaredRun = api.Duration(flags.declared)
+	job.DeclaredRun = api.Duration(flags.declaredRun)
 	job.Deadline, err = parseDeadline(flags.deadline, now)
 	return job, err
 }
@@ -155,7 +155,7 @@
 		if code := exitCode(err); code != ExitUnreachable && code != ExitOutcomeUnknown {
 			return record, err
 		}
-		if sleep(ctx, submitPause) != nil {
+		if sleep(ctx, submitRetryInterval) != nil {
 			return record, err
 		}
 	}
--- a/internal/ctl/zones.go
+++ b/internal/ctl/zones.go
@@ -25,7 +25,7 @@
 	return &command{
 		name: name, arguments: "ZONE", synopsis: synopsis, minArgs: 1, maxArgs: 1,
 		example: "  coltsfootctl zones " + name + " zone-b && coltsfootctl config status --wait 10s",
-		flags:   version.add,
+		flags:   version.register,
 		run: func(ctx context.Context, args []string) error {
 			zone, err := e.client().PutZone(ctx, args[0], state, uint64(version))
 			if err != nil {
@@ -51,7 +51,7 @@
 	}
 	rows := [][]string{{"ZONE", "STATE", "VERSION"}}
 	for _, z := range zones {
-		rows = append(rows, []string{z.Name, string(z.State), numberText(z.Version)})
+		rows = append(rows, []string{z.Name, string(z.State), numberOrDash(z.Version)})
 	}
 	return e.printTable(rows)
 }
--- a/internal/entry/httpapi/config.go
+++ b/internal/entry/httpapi/config.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-var nameRule = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // ProfileList is the answer to a listing of profiles.
 type ProfileList struct {
@@ -24,8 +24,8 @@
 	Zones []api.AvailabilityZone `json:"zones"`
 }
 
-// expected returns the version that the caller expects an item to have.
-func expected(ctx *fasthttp.RequestCtx) (uint64, error) {
+// ifMatchVersion returns the version that the caller expects an item to have.
+func ifMatchVersion(ctx *fasthttp.RequestCtx) (uint64, error) {
 	tag := string(ctx.Request.Header.Peek(fasthttp.HeaderIfMatch))
 	if tag == "" || tag == "*" {
 		return confstate.AnyVersion, nil
@@ -46,7 +46,7 @@
 	name := pathValue(ctx, "name")
 	p, ok := a.Config.Current().Profiles[name]
 	if !ok {
-		problem(ctx, fasthttp.StatusNotFound, "profile %q does not exist", name)
+		writeProblem(ctx, fasthttp.StatusNotFound, "profile %q does not exist", name)
 		return
 	}
 	ctx.Response.Header.Set(fasthttp.HeaderETag, httpx.ETag(p.Version))
@@ -56,27 +56,27 @@
 func (a *API) putProfile(ctx *fasthttp.RequestCtx) {
 	var p api.Profile
 	if err := httpx.ReadJSON(ctx, &p); err != nil {
-		problem(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeProblem(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
 	name := pathValue(ctx, "name")
 	if p.Name == "" {
 		p.Name = name
 	}
-	if err := checkProfile(name, p); err != nil {
-		problem(ctx, fasthttp.StatusBadRequest, "%v", err)
+	if err := validateProfile(name, p); err != nil {
+		writeProblem(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
-	warning, err := a.Scheduler.CheckGuarantees(withProfile(a.Config.Current(), p), name)
+	warning, err := a.Scheduler.CheckGuarantees(configWithProfile(a.Config.Current(), p), name)
 	if err != nil {
-		problem(ctx, fasthttp.StatusUnprocessableEntity, "%v", err)
+		writeProblem(ctx, fasthttp.StatusUnprocessableEntity, "%v", err)
 		return
 	}
 	if warning != "" {
 		ctx.Response.Header.Set(httpx.HeaderWarning, warning)
 	}
-	version := func(config *api.Config) uint64 { return config.ProfileVersion(name) }
-	config, ok := a.change(ctx, version, func(c context.Context, expect uint64) (*api.Config, error) {
+	versionOf := func(config *api.Config) uint64 { return config.ProfileVersion(name) }
+	config, ok := a.applyChange(ctx, versionOf, func(c context.Context, expect uint64) (*api.Config, error) {
 		return a.Config.PutProfile(c, p, expect)
 	})
 	if ok {
@@ -84,14 +84,14 @@
 	}
 }
 
-func withProfile(c *api.Config, p api.Profile) *api.Config {
+func configWithProfile(c *api.Config, p api.Profile) *api.Config {
 	out := c.Clone()
 	out.Profiles[p.Name] = p
 	return out
 }
 
-func checkProfile(name string, p api.Profile) error {
-	if !nameRule.MatchString(name) {
+func validateProfile(name string, p api.Profile) error {
+	if !namePattern.MatchString(name) {
 		return errors.NotValidf("profile name %q (want letters, digits, dot, dash, underscore; at most 64)", name)
 	}
 	if p.Name != name {
@@ -109,17 +109,17 @@
 	if p.Guarantee.Gangs < 1 {
 		return errors.NotValidf("guarantee.gangs: %d (want 1 or more)", p.Guarantee.Gangs)
 	}
-	return checkShape("guarantee.shape", p.Guarantee.Shape)
+	return validateShape("guarantee.shape", p.Guarantee.Shape)
 }
 
 func (a *API) deleteProfile(ctx *fasthttp.RequestCtx) {
 	name := pathValue(ctx, "name")
 	if _, ok := a.Config.Current().Profiles[name]; !ok {
-		problem(ctx, fasthttp.StatusNotFound, "profile %q does not exist", name)
+		writeProblem(ctx, fasthttp.StatusNotFound, "profile %q does not exist", name)
 		return
 	}
 	version := func(config *api.Config) uint64 { return config.ProfileVersion(name) }
-	_, ok := a.change(ctx, version, func(c context.Context, expect uint64) (*api.Config, error) {
+	_, ok := a.applyChange(ctx, version, func(c context.Context, expect uint64) (*api.Config, error) {
 		return a.Config.DeleteProfile(c, name, expect)
 	})
 	if ok {
@@ -127,28 +127,28 @@
 	}
 }
 
-// change makes a change of one item, whose version in a configuration is given
-// by version. It answers a change that was not made and then returns false;
+// applyChange makes a applyChange of one item, whose version in a configuration is given
+// by version. It answers a applyChange that was not made and then returns false;
 // after one that was made it sets the item's new tag.
-func (a *API) change(ctx *fasthttp.RequestCtx, version func(*api.Config) uint64, edit func(c context.Context, expect uint64) (*api.Config, error)) (*api.Config, bool) {
-	expect, err := expected(ctx)
+func (a *API) applyChange(ctx *fasthttp.RequestCtx, versionOf func(*api.Config) uint64, update func(c context.Context, expect uint64) (*api.Config, error)) (*api.Config, bool) {
+	expected, err := ifMatchVersion(ctx)
 	if err != nil {
-		problem(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeProblem(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return nil, false
 	}
-	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
+	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	config, err := edit(c, expect)
+	config, err := update(storeCtx, expected)
 	if err != nil {
-		refuseChange(ctx, err, version(config))
+		writeChangeProblem(ctx, err, versionOf(config))
 		return nil, false
 	}
-	ctx.Response.Header.Set(fasthttp.HeaderETag, httpx.ETag(version(config)))
+	ctx.Response.Header.Set(fasthttp.HeaderETag, httpx.ETag(versionOf(config)))
 	return config, true
 }
 
-// refuseChange answers a change that was not made.
-func refuseChange(ctx *fasthttp.RequestCtx, err error, version uint64) {
+// writeChangeProblem answers a change that was not made.
+func writeChangeProblem(ctx *fasthttp.RequestCtx, err error, version uint64) {
 	switch {
 	case errors.Is(err, confstate.ErrVersionConflict):
 		p := httpx.Problemf(fasthttp.StatusPreconditionFailed, "%v; the current version is %d", err, version)
@@ -156,7 +156,7 @@
 		ctx.Response.Header.Set(fasthttp.HeaderETag, httpx.ETag(version))
 		httpx.WriteProblem(ctx, p)
 	default:
-		storeProblem(ctx, err)
+		writeStoreProblem(ctx, err)
 	}
 }
 
@@ -189,19 +189,19 @@
 		State api.ZoneState `json:"state"`
 	}
 	if err := httpx.ReadJSON(ctx, &body); err != nil {
-		problem(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeProblem(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
 	if body.State != api.ZoneIn && body.State != api.ZoneOut {
-		problem(ctx, fasthttp.StatusBadRequest, "state %q is not valid (want in or out)", body.State)
+		writeProblem(ctx, fasthttp.StatusBadRequest, "state %q is not valid (want in or out)", body.State)
 		return
 	}
-	if !nameRule.MatchString(name) {
-		problem(ctx, fasthttp.StatusBadRequest, "zone name %q is not valid", name)
+	if !namePattern.MatchString(name) {
+		writeProblem(ctx, fasthttp.StatusBadRequest, "zone name %q is not valid", name)
 		return
 	}
-	version := func(config *api.Config) uint64 { return config.Zone(name).Version }
-	config, ok := a.change(ctx, version, func(c context.Context, expect uint64) (*api.Config, error) {
+	versionOf := func(config *api.Config) uint64 { return config.Zone(name).Version }
+	config, ok := a.applyChange(ctx, versionOf, func(c context.Context, expect uint64) (*api.Config, error) {
 		return a.Config.PutZone(c, name, body.State, expect)
 	})
 	if ok {
--- a/internal/entry/httpapi/httpapi.go
+++ b/internal/entry/httpapi/httpapi.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	defaultTimeout = 30 * time.Second
-	maxTimeout     = 10 * time.Minute
+	defaultRequestTimeout = 30 * time.Second
+	maxRequestTimeout     = 10 * time.Minute
 	// storeTimeout bounds the store's part of a call. An entry that has just started
 	// waits some seconds before it acknowledges a change of the configuration.
 	storeTimeout = 8 * time.Second
@@ -76,69 +76,69 @@
 	return s
 }
 
-// notRun refuses work that has certainly not run, with when to come back.
-func notRun(ctx *fasthttp.RequestCtx, status int, retryAfter time.Duration, format string, args ...any) {
+// writeNotRun refuses work that has certainly not run, with when to come back.
+func writeNotRun(ctx *fasthttp.RequestCtx, status int, retryAfter time.Duration, format string, args ...any) {
 	ctx.Response.Header.Set(httpx.HeaderOutcome, string(api.OutcomeNotRun))
 	p := httpx.Problemf(status, format, args...)
-	p.RetryAfter = seconds(retryAfter)
+	p.RetryAfter = retryAfterSeconds(retryAfter)
 	httpx.WriteProblem(ctx, p)
 }
 
-func problem(ctx *fasthttp.RequestCtx, status int, format string, args ...any) {
+func writeProblem(ctx *fasthttp.RequestCtx, status int, format string, args ...any) {
 	httpx.WriteProblem(ctx, httpx.Problemf(status, format, args...))
 }
 
-// seconds rounds up, since Retry-After has whole seconds.
-func seconds(d time.Duration) int {
+// retryAfterSeconds rounds up, since Retry-After has whole retryAfterSeconds.
+func retryAfterSeconds(d time.Duration) int {
 	if d <= 0 {
 		return 0
 	}
 	return int((d + time.Second - 1) / time.Second)
 }
 
-// storeProblem answers after the store gave no answer; nothing was accepted.
-func storeProblem(ctx *fasthttp.RequestCtx, err error) {
+// writeStoreProblem answers after the store gave no answer; nothing was accepted.
+func writeStoreProblem(ctx *fasthttp.RequestCtx, err error) {
 	p := httpx.Problemf(fasthttp.StatusServiceUnavailable, "platform's table is unavailable: %v", err)
 	if errors.Is(err, ledger.ErrOutcomeUnknown) {
 		p.Detail = "platform's table gave no answer: the change may or may not take effect; repeat the call"
 	}
-	p.RetryAfter = seconds(storeRetryAfter)
+	p.RetryAfter = retryAfterSeconds(storeRetryAfter)
 	httpx.WriteProblem(ctx, p)
 }
 
-// profile returns the named profile, or answers with a problem. Keyed tells that
+// lookupProfile returns the named lookupProfile, or answers with a problem. Keyed tells that
 // earlier calls with the same key count as this one.
-func (a *API) profile(ctx *fasthttp.RequestCtx, name string, keyed bool) (api.Profile, bool) {
+func (a *API) lookupProfile(ctx *fasthttp.RequestCtx, name string, keyed bool) (api.Profile, bool) {
 	config := a.Config.Current()
 	if config.Version == 0 {
-		refuse(ctx, keyed, fasthttp.StatusServiceUnavailable, time.Second, "configuration has not been read yet")
+		rejectWork(ctx, keyed, fasthttp.StatusServiceUnavailable, time.Second, "configuration has not been read yet")
 		return api.Profile{}, false
 	}
 	p, ok := config.Profiles[name]
 	if !ok {
-		refuse(ctx, keyed, fasthttp.StatusUnprocessableEntity, 0, "profile %q does not exist", name)
+		rejectWork(ctx, keyed, fasthttp.StatusUnprocessableEntity, 0, "profile %q does not exist", name)
 	}
 	return p, ok
 }
 
-// refuse refuses work whose key, if it has one, has not been looked up: an
+// rejectWork refuses work whose key, if it has one, has not been looked up: an
 // earlier call with it may have run.
-func refuse(ctx *fasthttp.RequestCtx, keyed bool, status int, retryAfter time.Duration, format string, args ...any) {
+func rejectWork(ctx *fasthttp.RequestCtx, keyed bool, status int, retryAfter time.Duration, format string, args ...any) {
 	if !keyed {
-		notRun(ctx, status, retryAfter, format, args...)
+		writeNotRun(ctx, status, retryAfter, format, args...)
 		return
 	}
 	ctx.Response.Header.Set(httpx.HeaderOutcome, string(api.OutcomeUnknown))
 	p := httpx.Problemf(status, format+"; this call has not run, an earlier one with the same key may have", args...)
-	p.RetryAfter = seconds(retryAfter)
+	p.RetryAfter = retryAfterSeconds(retryAfter)
 	httpx.WriteProblem(ctx, p)
 }
 
 // boolHeader reads "true" or "false"; absent is the given default.
-func boolHeader(ctx *fasthttp.RequestCtx, name string, absent bool) (bool, error) {
+func boolHeader(ctx *fasthttp.RequestCtx, name string, defaultValue bool) (bool, error) {
 	text := string(ctx.Request.Header.Peek(name))
 	if text == "" {
-		return absent, nil
+		return defaultValue, nil
 	}
 	v, err := strconv.ParseBool(text)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return v, nil
 }
 
-func keyHeader(ctx *fasthttp.RequestCtx) (string, error) {
+func idempotencyKeyHeader(ctx *fasthttp.RequestCtx) (string, error) {
 	key := string(ctx.Request.Header.Peek(httpx.HeaderIdempotencyKey))
 	if len(key) > maxKeyBytes {
 		return "", errors.NotValidf("header %s of %d bytes (at most %d)", httpx.HeaderIdempotencyKey, len(key), maxKeyBytes)
--- a/internal/entry/httpapi/jobs.go
+++ b/internal/entry/httpapi/jobs.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	maxWait        = 5 * time.Minute
-	defaultListing = 100
-	maxListing     = 1000
-	maxGangTasks   = 1024
+	maxWait          = 5 * time.Minute
+	defaultListLimit = 100
+	maxListLimit     = 1000
+	maxGangTasks     = 1024
 	// maxPayloadBytes bounds a job's payload, which is kept in its row and in
 	// the owner's memory. Larger inputs belong into the object store.
 	maxPayloadBytes = 64 << 10
@@ -32,65 +32,65 @@
 func (a *API) postJob(ctx *fasthttp.RequestCtx) {
 	job, err := readJob(ctx)
 	if err != nil {
-		notRun(ctx, fasthttp.StatusBadRequest, 0, "%v", err)
+		writeNotRun(ctx, fasthttp.StatusBadRequest, 0, "%v", err)
 		return
 	}
-	profile, ok := a.profile(ctx, job.Profile, job.IdempotencyKey != "")
+	profile, ok := a.lookupProfile(ctx, job.Profile, job.IdempotencyKey != "")
 	if !ok {
 		return
 	}
 	job.ID = jobs.JobID(profile.ClientAccount, job.IdempotencyKey)
-	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
+	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if !job.Deadline.IsZero() && job.Deadline.Before(job.Submitted) {
-		a.refuseJob(ctx, c, job, fasthttp.StatusBadRequest, "%v", errors.NotValidf("deadline: %v has passed", job.Deadline))
+		a.rejectJob(ctx, storeCtx, job, fasthttp.StatusBadRequest, "%v", errors.NotValidf("deadline: %v has passed", job.Deadline))
 		return
 	}
 	if reason, never := a.Scheduler.NeverFits(job); never {
-		a.refuseJob(ctx, c, job, fasthttp.StatusUnprocessableEntity, "job can never run: %s", reason)
+		a.rejectJob(ctx, storeCtx, job, fasthttp.StatusUnprocessableEntity, "job can never run: %s", reason)
 		return
 	}
 	// Set before the write, so that a caller without a key can ask for a job
 	// whose write got no answer.
 	ctx.Response.Header.Set("Location", "/v1/jobs/"+job.ID)
-	record, created, err := a.Jobs.Create(c, job)
+	record, created, err := a.Jobs.Create(storeCtx, job)
 	switch {
 	case errors.Is(err, jobs.ErrKeyReused):
-		problem(ctx, fasthttp.StatusUnprocessableEntity, "%v", err)
+		writeProblem(ctx, fasthttp.StatusUnprocessableEntity, "%v", err)
 		return
 	case err != nil:
 		metrics.GetOrRegisterCounter("jobs.refused.store", a.Registry).Inc(1)
-		storeProblem(ctx, err)
+		writeStoreProblem(ctx, err)
 		return
 	}
 	if created {
 		metrics.GetOrRegisterCounter("jobs.accepted", a.Registry).Inc(1)
-		a.announce(record)
+		a.notifyScheduler(record)
 	}
 	httpx.WriteJSON(ctx, fasthttp.StatusAccepted, record)
 }
 
-// refuseJob refuses a job that could not run now. One that an earlier call with
+// rejectJob refuses a job that could not run now. One that an earlier call with
 // the same key has brought is answered as it stands, since time has passed and
 // workers may have gone away meanwhile.
-func (a *API) refuseJob(ctx *fasthttp.RequestCtx, c context.Context, job api.Job, status int, format string, args ...any) {
+func (a *API) rejectJob(ctx *fasthttp.RequestCtx, storeCtx context.Context, job api.Job, status int, format string, args ...any) {
 	if job.IdempotencyKey == "" {
-		notRun(ctx, status, 0, format, args...)
+		writeNotRun(ctx, status, 0, format, args...)
 		return
 	}
-	record, err := a.Jobs.One(c, job.ID)
+	record, err := a.Jobs.One(storeCtx, job.ID)
 	switch {
 	case errors.Is(err, jobs.ErrNoJob):
-		notRun(ctx, status, 0, format, args...)
+		writeNotRun(ctx, status, 0, format, args...)
 	case err != nil:
-		storeProblem(ctx, err)
+		writeStoreProblem(ctx, err)
 	default:
 		httpx.WriteJSON(ctx, fasthttp.StatusAccepted, record)
 	}
 }
 
-// announce tells the owner of the cell; its scan finds the job in any case.
-func (a *API) announce(record api.JobRecord) {
+// notifyScheduler tells the owner of the cell; its scan finds the job in any case.
+func (a *API) notifyScheduler(record api.JobRecord) {
 	if !a.Scheduler.Submitted(record) {
 		a.Notifier.JobChanged(record.Job.ID)
 	}
@@ -101,7 +101,7 @@
 	if err := httpx.ReadJSON(ctx, &r); err != nil {
 		return api.Job{}, err
 	}
-	key, err := keyHeader(ctx)
+	key, err := idempotencyKeyHeader(ctx)
 	if err != nil {
 		return api.Job{}, err
 	}
@@ -116,10 +116,10 @@
 		Deadline:       r.Deadline,
 		Submitted:      time.Now().UTC(),
 	}
-	return job, checkJob(job)
+	return job, validateJob(job)
 }
 
-func checkJob(job api.Job) error {
+func validateJob(job api.Job) error {
 	if job.Profile == "" {
 		return errors.NotValidf("profile: missing")
 	}
@@ -129,10 +129,10 @@
 	if job.DeclaredRun < 0 {
 		return errors.NotValidf("declared_run: %v", job.DeclaredRun.D())
 	}
-	return checkShape("gang", job.Gang)
+	return validateShape("gang", job.Gang)
 }
 
-func checkShape(name string, s api.Shape) error {
+func validateShape(name string, s api.Shape) error {
 	if s.Tasks < 1 || s.Tasks > maxGangTasks {
 		return errors.NotValidf("%s.tasks: %d (want 1 to %d)", name, s.Tasks, maxGangTasks)
 	}
@@ -148,38 +148,38 @@
 }
 
 func (a *API) getJob(ctx *fasthttp.RequestCtx) {
-	wait, err := waitArgument(ctx)
+	wait, err := waitParam(ctx)
 	if err != nil {
-		problem(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeProblem(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
 	id := pathValue(ctx, "id")
-	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
+	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	record, err := a.Jobs.One(c, id)
+	record, err := a.Jobs.One(storeCtx, id)
 	if err == nil && wait > 0 && record.State != api.JobFinal {
 		record = a.awaitJob(id, wait, record)
 	}
-	writeRecord(ctx, fasthttp.StatusOK, record, err)
+	writeJobRecord(ctx, fasthttp.StatusOK, record, err)
 }
 
 // awaitJob returns the final record, or the given one when it does not come in
 // time or a planned stop begins; the caller goes on waiting at another entry.
 func (a *API) awaitJob(id string, wait time.Duration, record api.JobRecord) api.JobRecord {
-	c, cancel := context.WithTimeout(a.Serving(), wait)
+	waitCtx, cancel := context.WithTimeout(a.Serving(), wait)
 	defer cancel()
-	if final, err := a.Waiters.Wait(c, id); err == nil {
+	if final, err := a.Waiters.Wait(waitCtx, id); err == nil {
 		return final
 	}
 	return record
 }
 
-func writeRecord(ctx *fasthttp.RequestCtx, status int, record api.JobRecord, err error) {
+func writeJobRecord(ctx *fasthttp.RequestCtx, status int, record api.JobRecord, err error) {
 	switch {
 	case errors.Is(err, jobs.ErrNoJob):
-		problem(ctx, fasthttp.StatusNotFound, "%v", err)
+		writeProblem(ctx, fasthttp.StatusNotFound, "%v", err)
 	case err != nil:
-		storeProblem(ctx, err)
+		writeStoreProblem(ctx, err)
 	default:
 		if record.State == api.JobFinal {
 			ctx.Response.Header.Set(httpx.HeaderOutcome, string(record.Outcome))
@@ -188,7 +188,7 @@
 	}
 }
 
-func waitArgument(ctx *fasthttp.RequestCtx) (time.Duration, error) {
+func waitParam(ctx *fasthttp.RequestCtx) (time.Duration, error) {
 	text := string(ctx.QueryArgs().Peek("wait"))
 	if text == "" {
 		return 0, nil
@@ -202,31 +202,31 @@
 
 func (a *API) cancelJob(ctx *fasthttp.RequestCtx) {
 	id := pathValue(ctx, "id")
-	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
+	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	record, err := a.Jobs.AskCancel(c, id)
+	record, err := a.Jobs.AskCancel(storeCtx, id)
 	if errors.Is(err, jobs.ErrFinal) {
-		writeRecord(ctx, fasthttp.StatusOK, record, nil)
+		writeJobRecord(ctx, fasthttp.StatusOK, record, nil)
 		return
 	}
 	if err == nil {
 		a.Notifier.JobChanged(id)
 	}
-	writeRecord(ctx, fasthttp.StatusAccepted, record, err)
+	writeJobRecord(ctx, fasthttp.StatusAccepted, record, err)
 }
 
 func (a *API) listJobs(ctx *fasthttp.RequestCtx) {
-	limit, err := limitArgument(ctx)
+	limit, err := limitParam(ctx)
 	if err != nil {
-		problem(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeProblem(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
 	state := api.JobState(ctx.QueryArgs().Peek("state"))
-	c, cancel := context.WithTimeout(context.Background(), storeTimeout)
+	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	list, err := a.Jobs.List(c, string(ctx.QueryArgs().Peek("after")), limit)
+	list, err := a.Jobs.List(storeCtx, string(ctx.QueryArgs().Peek("after")), limit)
 	if err != nil {
-		storeProblem(ctx, err)
+		writeStoreProblem(ctx, err)
 		return
 	}
 	out := JobList{Jobs: []api.JobRecord{}}
@@ -241,14 +241,14 @@
 	httpx.WriteJSON(ctx, fasthttp.StatusOK, out)
 }
 
-func limitArgument(ctx *fasthttp.RequestCtx) (int, error) {
+func limitParam(ctx *fasthttp.RequestCtx) (int, error) {
 	text := string(ctx.QueryArgs().Peek("limit"))
 	if text == "" {
-		return defaultListing, nil
+		return defaultListLimit, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > maxListing {
-		return 0, errors.NotValidf("limit %q (want 1 to %d)", text, maxListing)
+	if err != nil || n < 1 || n > maxListLimit {
+		return 0, errors.NotValidf("limit %q (want 1 to %d)", text, maxListLimit)
 	}
 	return n, nil
 }
--- a/internal/entry/httpapi/jobs_test.go
+++ b/internal/entry/httpapi/jobs_test.go
@@ -9,16 +9,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/entry/jobs"
 )
 
-func TestPlannedStopEndsTheWaitForAJob(t *testing.T) {
+func TestPlannedStopEndsJobWait(t *testing.T) {
 	serving, stop := context.WithCancel(context.Background())
 	a := &API{Waiters: jobs.NewWaiters(nil), Serving: func() context.Context { return serving }}
-	answer := make(chan api.JobRecord, 1)
+	result := make(chan api.JobRecord, 1)
 	go func() {
-		answer <- a.awaitJob("j", maxWait, api.JobRecord{State: api.JobRunning})
+		result <- a.awaitJob("j", maxWait, api.JobRecord{State: api.JobRunning})
 	}()
 	stop()
 	select {
-	case record := <-answer:
+	case record := <-result:
 		if record.State != api.JobRunning {
 			t.Fatalf("state %q, want the state before the wait", record.State)
 		}
--- a/internal/entry/httpapi/refusals_test.go
+++ b/internal/entry/httpapi/refusals_test.go
@@ -34,11 +34,11 @@
 	}
 }
 
-func withOneProfile() *api.Config {
+func oneProfileConfig() *api.Config {
 	return &api.Config{Version: 1, Profiles: map[string]api.Profile{"p": {Name: "p", ClientAccount: "acc"}}}
 }
 
-func submission(key, profile string, deadline time.Time) *fasthttp.RequestCtx {
+func newSubmission(key, profile string, deadline time.Time) *fasthttp.RequestCtx {
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.Header.SetMethod(fasthttp.MethodPost)
 	ctx.Request.Header.Set(httpx.HeaderIdempotencyKey, key)
@@ -53,8 +53,8 @@
 	return api.Outcome(ctx.Response.Header.Peek(httpx.HeaderOutcome))
 }
 
-func TestJobOfAKnownKeyIsAnsweredAfterItsDeadline(t *testing.T) {
-	a := newTestAPI(withOneProfile())
+func TestKnownKeyReturnsItsJobAfterDeadline(t *testing.T) {
+	a := newTestAPI(oneProfileConfig())
 	past := time.Now().Add(-time.Hour)
 	job := api.Job{ID: jobs.JobID("acc", "known"), IdempotencyKey: "known", Profile: "p", Deadline: past}
 	if _, _, err := a.Jobs.Create(context.Background(), job); err != nil {
@@ -69,7 +69,7 @@
 		{"other", fasthttp.StatusBadRequest, api.OutcomeNotRun},
 		{"", fasthttp.StatusBadRequest, api.OutcomeNotRun},
 	} {
-		ctx := submission(tc.key, "p", past)
+		ctx := newSubmission(tc.key, "p", past)
 		a.postJob(ctx)
 		if ctx.Response.StatusCode() != tc.status || outcomeOf(ctx) != tc.outcome {
 			t.Errorf("key %q: status %d, outcome %q, want %d, %q", tc.key, ctx.Response.StatusCode(), outcomeOf(ctx), tc.status, tc.outcome)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestRefusalWithoutTheKeysRowIsNotRunForCallsWithoutKey(t *testing.T) {
+func TestRefusalBeforeKeyLookupHasUnknownOutcomeOnlyWithKey(t *testing.T) {
 	for _, tc := range []struct {
 		config  *api.Config
 		key     string
@@ -85,12 +85,12 @@
 	}{
 		{&api.Config{}, "", api.OutcomeNotRun},
 		{&api.Config{}, "k", api.OutcomeUnknown},
-		{withOneProfile(), "", api.OutcomeNotRun},
-		{withOneProfile(), "k", api.OutcomeUnknown},
+		{oneProfileConfig(), "", api.OutcomeNotRun},
+		{oneProfileConfig(), "k", api.OutcomeUnknown},
 	} {
 		a := newTestAPI(tc.config)
 		for name, post := range map[string]func(*fasthttp.RequestCtx){"job": a.postJob, "request": a.postRequest} {
-			ctx := submission(tc.key, "deleted", time.Now().Add(time.Hour))
+			ctx := newSubmission(tc.key, "deleted", time.Now().Add(time.Hour))
 			post(ctx)
 			if outcomeOf(ctx) != tc.outcome {
 				t.Errorf("%s with key %q at version %d: outcome %q, want %q", name, tc.key, tc.config.Version, outcomeOf(ctx), tc.outcome)
--- a/internal/entry/httpapi/requests.go
+++ b/internal/entry/httpapi/requests.go
@@ -14,23 +14,23 @@
 func (a *API) postRequest(ctx *fasthttp.RequestCtx) {
 	call, err := readCall(ctx)
 	if err != nil {
-		notRun(ctx, fasthttp.StatusBadRequest, 0, "%v", err)
+		writeNotRun(ctx, fasthttp.StatusBadRequest, 0, "%v", err)
 		return
 	}
-	profile, ok := a.profile(ctx, call.Profile.Name, call.Key != "" && !call.Idempotent)
+	profile, ok := a.lookupProfile(ctx, call.Profile.Name, call.Key != "" && !call.Idempotent)
 	if !ok {
 		return
 	}
 	call.Profile = profile
 	if call.Timeout == 0 {
-		call.Timeout = defaultTimeout
+		call.Timeout = defaultRequestTimeout
 		if profile.Timeout > 0 {
 			call.Timeout = profile.Timeout.D()
 		}
 	}
 	reply, err := a.Requests.Submit(call)
 	if err != nil {
-		notRun(ctx, fasthttp.StatusServiceUnavailable, time.Second, "%v", err)
+		writeNotRun(ctx, fasthttp.StatusServiceUnavailable, time.Second, "%v", err)
 		return
 	}
 	writeReply(ctx, reply)
@@ -47,7 +47,7 @@
 		return call, errors.NotValidf("missing header %s", httpx.HeaderProfile)
 	}
 	var err error
-	if call.Key, err = keyHeader(ctx); err != nil {
+	if call.Key, err = idempotencyKeyHeader(ctx); err != nil {
 		return call, err
 	}
 	if call.Idempotent, err = boolHeader(ctx, httpx.HeaderIdempotent, false); err != nil {
@@ -64,8 +64,8 @@
 		return 0, nil
 	}
 	d, err := time.ParseDuration(text)
-	if err != nil || d <= 0 || d > maxTimeout {
-		return 0, errors.NotValidf("header %s %q (want a Go duration up to %v)", httpx.HeaderTimeout, text, maxTimeout)
+	if err != nil || d <= 0 || d > maxRequestTimeout {
+		return 0, errors.NotValidf("header %s %q (want a Go duration up to %v)", httpx.HeaderTimeout, text, maxRequestTimeout)
 	}
 	return d, nil
 }
@@ -81,7 +81,7 @@
 		return
 	}
 	p := httpx.Problemf(replyStatus(reply), "%s", replyDetail(reply))
-	p.RetryAfter = seconds(reply.RetryAfter)
+	p.RetryAfter = retryAfterSeconds(reply.RetryAfter)
 	httpx.WriteProblem(ctx, p)
 }
 
