--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client is an HTTP client of an entry's interface for callers and
+// Package client is an HTTP client of the API that an entry offers to callers and
 // operators.
 package client
 
@@ -19,19 +19,19 @@
 	"github.com/juju/errors"
 )
 
-// Errors without an answer. After ErrUnreachable nothing has been changed;
-// after ErrNoResponse a change may or may not have taken effect.
+// Errors of calls without a complete response. After ErrUnreachable nothing has been
+// changed; after ErrNoResponse a change may or may not have taken effect.
 const (
 	ErrUnreachable = errors.ConstError("entry not reachable")
 	ErrNoResponse  = errors.ConstError("no complete answer from the entry")
 )
 
-// ProblemError is a refusal by the entry.
+// ProblemError is an error response of the entry.
 type ProblemError struct {
 	Problem api.Problem
-	// Outcome is what the entry says about the call, or empty.
+	// Outcome is the outcome that the entry reports, or empty.
 	Outcome api.Outcome
-	// Mutating is true for a call that asked for a change or for work.
+	// Mutating is true for calls that request a change or submit work.
 	Mutating bool
 }
 
@@ -43,13 +43,13 @@
 	return fmt.Sprintf("%s: %s", e.Problem.Title, e.Problem.Detail)
 }
 
-// idleConnTimeout lets a client that is not used any more hold no connection.
+// idleConnTimeout closes the connections of a client that is no longer used.
 const idleConnTimeout = 2 * time.Second
 
-// maxResponseBytes bounds an answer's body.
+// maxResponseBytes bounds the body of a response.
 const maxResponseBytes = 64 << 20
 
-// Client talks to one entry, or to the balancer in front of the entries.
+// Client sends calls to one entry, or to the balancer in front of the entries.
 type Client struct {
 	baseURL    string
 	timeout    time.Duration
@@ -57,7 +57,7 @@
 }
 
 // New returns a client for the address, which is HOST:PORT or a base URL.
-// The timeout bounds each call, in addition to what the call waits for.
+// The timeout bounds each call; the time that a call asks the entry to wait is added.
 func New(address string, timeout time.Duration) *Client {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -72,25 +72,25 @@
 	}
 }
 
-// apiCall is one HTTP apiCall.
+// apiCall describes one HTTP request to the entry.
 type apiCall struct {
 	method string
 	path   string
 	query  url.Values
 	header http.Header
 	body   []byte
-	// wait is how long the entry may take in addition to the timeout.
+	// wait is added to the client's timeout.
 	wait time.Duration
 }
 
-// response is a complete response.
+// response is an HTTP response with its complete body.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// send carries out the call and returns its complete answer, whatever its status.
+// send sends the call and returns the complete response, whatever its status.
 func (c *Client) send(ctx context.Context, call apiCall) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.wait)
 	defer cancel()
@@ -121,7 +121,8 @@
 	return response{resp.StatusCode, resp.Header, body}, nil
 }
 
-// transportError tells a call that has had no effect from one that may have.
+// transportError returns ErrUnreachable if the call cannot have had an effect, and
+// ErrNoResponse if it may have.
 func transportError(method string, sent bool, err error) error {
 	if !sent || method == http.MethodGet {
 		return errors.Annotate(ErrUnreachable, err.Error())
@@ -129,7 +130,8 @@
 	return errors.Annotate(ErrNoResponse, err.Error())
 }
 
-// sendJSON carries out the call and reads its answer into out, if out is not nil.
+// sendJSON sends the call and decodes the response into out, unless out is nil. A
+// status of 400 or more is a ProblemError.
 func (c *Client) sendJSON(ctx context.Context, call apiCall, out any) (response, error) {
 	resp, err := c.send(ctx, call)
 	if err != nil {
--- a/internal/client/config.go
+++ b/internal/client/config.go
@@ -10,7 +10,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/httpx"
 )
 
-// AnyVersion as an expected version skips the comparison.
+// AnyVersion, as an expected version, skips the version check.
 const AnyVersion = ^uint64(0)
 
 func profilePath(name string) string { return "/v1/profiles/" + url.PathEscape(name) }
@@ -42,8 +42,8 @@
 	return p, err
 }
 
-// PutProfile creates or replaces a profile if it still has the version. It
-// returns the new profile and the entry's warning, or "".
+// PutProfile creates or replaces a profile if its current version is the given one.
+// It returns the new profile and the entry's warning, or "".
 func (c *Client) PutProfile(ctx context.Context, p api.Profile, version uint64) (api.Profile, string, error) {
 	body, header, err := jsonBody(p)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return p, resp.header.Get(httpx.HeaderWarning), err
 }
 
-// DeleteProfile deletes a profile if it still has the version.
+// DeleteProfile deletes a profile if its current version is the given one.
 func (c *Client) DeleteProfile(ctx context.Context, name string, version uint64) error {
 	call := apiCall{method: http.MethodDelete, path: profilePath(name), header: ifMatch(nil, version)}
 	_, err := c.sendJSON(ctx, call, nil)
@@ -70,7 +70,7 @@
 	return list.Zones, err
 }
 
-// PutZone takes an availability zone out or in if it still has the version.
+// PutZone sets the state of an availability zone if its current version is the given one.
 func (c *Client) PutZone(ctx context.Context, name string, state api.ZoneState, version uint64) (api.AvailabilityZone, error) {
 	zone := api.AvailabilityZone{Name: name, State: state}
 	body, header, err := jsonBody(struct {
@@ -84,7 +84,7 @@
 	return zone, err
 }
 
-// ConfigStatus tells which process has which configuration in force.
+// ConfigStatus returns the configuration version in force on each process.
 func (c *Client) ConfigStatus(ctx context.Context) (api.ConfigStatus, error) {
 	var status api.ConfigStatus
 	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: "/v1/config/status"}, &status)
--- a/internal/client/trace.go
+++ b/internal/client/trace.go
@@ -5,8 +5,8 @@
 	"net/http/httptrace"
 )
 
-// withSentTrace sets sent once a connection carries the request: from then on
-// the entry may have received it.
+// withSentTrace returns a request that sets sent once it is assigned a connection:
+// from then on the entry may have received it.
 func withSentTrace(req *http.Request, sent *bool) *http.Request {
 	trace := &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { *sent = true },
--- a/internal/client/work.go
+++ b/internal/client/work.go
@@ -12,14 +12,15 @@
 	"github.com/juju/errors"
 )
 
-// JobsQuery selects jobs of a list.
+// JobsQuery selects a page of the list of jobs. After is the Next of the page before,
+// or empty for the first page; the zero Limit leaves the page size to the entry.
 type JobsQuery struct {
 	State api.JobState
 	After string
 	Limit int
 }
 
-// JobsPage is a part of a list. Next is the After of the next part, or "".
+// JobsPage is one page of the list of jobs. Next is the After of the next page, or "".
 type JobsPage struct {
 	Jobs []api.JobRecord `json:"jobs"`
 	Next string          `json:"next"`
@@ -27,8 +28,8 @@
 
 func jobPath(id string) string { return "/v1/jobs/" + url.PathEscape(id) }
 
-// SubmitJob submits a job. The same key always gives the same job, so that a
-// call without an answer can be repeated.
+// SubmitJob submits a job. The same key always gives the same job, so a call without
+// a response can be repeated.
 func (c *Client) SubmitJob(ctx context.Context, job api.JobRequest, key string) (api.JobRecord, error) {
 	var record api.JobRecord
 	body, header, err := jsonBody(job)
@@ -40,7 +41,7 @@
 	return record, err
 }
 
-// Jobs returns a part of the list of jobs.
+// Jobs returns one page of the list of jobs.
 func (c *Client) Jobs(ctx context.Context, q JobsQuery) (JobsPage, error) {
 	query := url.Values{}
 	if q.State != "" {
@@ -57,7 +58,7 @@
 	return page, err
 }
 
-// Job returns a job, after waiting up to wait for its end.
+// Job returns a job. If wait is positive, the entry waits up to wait for the job to end.
 func (c *Client) Job(ctx context.Context, id string, wait time.Duration) (api.JobRecord, error) {
 	call := apiCall{method: http.MethodGet, path: jobPath(id), wait: wait}
 	if wait > 0 {
@@ -68,14 +69,14 @@
 	return record, err
 }
 
-// CancelJob asks for the end of a job.
+// CancelJob requests the cancellation of a job.
 func (c *Client) CancelJob(ctx context.Context, id string) (api.JobRecord, error) {
 	var record api.JobRecord
 	_, err := c.sendJSON(ctx, apiCall{method: http.MethodDelete, path: jobPath(id)}, &record)
 	return record, err
 }
 
-// Request is one call of a service.
+// Request is one request to a service.
 type Request struct {
 	Service     string
 	Profile     string
@@ -86,7 +87,7 @@
 	Body        []byte
 }
 
-// Response is the complete answer to a Request.
+// Response is the complete response to a Request.
 type Response struct {
 	Outcome     api.Outcome
 	Status      int
@@ -94,8 +95,9 @@
 	Body        []byte
 }
 
-// Request calls a service. A refusal by the entry is a ProblemError with an
-// Outcome; an answer of the service itself is an Answer, whatever its status.
+// Request sends a request to a service. A problem document of the entry is a
+// ProblemError with an Outcome; a response of the service itself is a Response,
+// whatever its status.
 func (c *Client) Request(ctx context.Context, r Request) (Response, error) {
 	header := http.Header{}
 	setHeader(header, "Content-Type", r.ContentType)
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -11,23 +11,23 @@
 	"github.com/juju/errors"
 )
 
-// errUsage says that the command line is wrong.
+// errUsage is the cause of errors for an invalid command line or input file.
 const errUsage = errors.ConstError("wrong usage")
 
 func usagef(format string, args ...any) error {
 	return errors.Annotatef(errUsage, format, args...)
 }
 
-// command is a subcommand that does something.
+// command is a subcommand without subcommands of its own.
 type command struct {
 	env       *env
-	path      string // all names from the top, such as "zones out"
+	path      string // group and command name, such as "zones out"
 	name      string
 	arguments string
 	synopsis  string
 	example   string
 	minArgs   int
-	maxArgs   int // below 0: no bound
+	maxArgs   int // negative: unlimited
 	flags     func(f *flag.FlagSet)
 	run       func(ctx context.Context, args []string) error
 }
@@ -74,8 +74,8 @@
 	return subcommands.ExitSuccess
 }
 
-// positionalArgs returns the arguments that are not flags, and parses the flags
-// among and after them.
+// positionalArgs returns the arguments that are not flags. It also parses flags that
+// stand between or after them.
 func positionalArgs(f *flag.FlagSet) ([]string, error) {
 	var args []string
 	for f.NArg() > 0 {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -10,10 +10,11 @@
 	"github.com/juju/errors"
 )
 
-// maxListedProcesses is up to how many processes the status lists all.
+// maxListedProcesses is the number of processes above which the status lists only
+// those that lag, unless --all is given.
 const maxListedProcesses = 40
 
-// statusPollInterval is the time between two looks at the configuration status.
+// statusPollInterval is the interval between two reads of the configuration status.
 const statusPollInterval = 200 * time.Millisecond
 
 func configCommands(e *env) []*command {
@@ -79,7 +80,7 @@
 	return e.printTable(rows)
 }
 
-// laggingProcesses returns the processes that do not have the newest version.
+// laggingProcesses returns the processes whose configuration is not the newest version.
 func laggingProcesses(status api.ConfigStatus) []api.ProcessConfig {
 	var lagging []api.ProcessConfig
 	for _, p := range status.Processes {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl holds the subcommands of coltsfootctl.
+// Package ctl implements the subcommands of coltsfootctl.
 package ctl
 
 import (
@@ -22,7 +22,7 @@
 	defaultTimeout = 10 * time.Second
 )
 
-// env is what all subcommands share.
+// env holds the global flags and standard streams that all subcommands share.
 type env struct {
 	entry   string
 	json    bool
@@ -42,8 +42,8 @@
 	f.DurationVar(&e.timeout, "timeout", e.timeout, "`DURATION` that one call to the entry may take")
 }
 
-// Run carries out one command line, without the program's name, and returns
-// the exit code.
+// Run executes one command line, given without the program's name, and returns the
+// exit code.
 func Run(args []string, getenv func(string) string, stdin io.Reader, stdout, stderr io.Writer) int {
 	e := &env{entry: defaultEntry, timeout: defaultTimeout, stdin: stdin, stdout: stdout, stderr: stderr}
 	if entry := getenv(entryVariable); entry != "" {
@@ -66,7 +66,7 @@
 	}
 }
 
-// execute finds and runs one of the commands.
+// execute parses args and runs the command that they name.
 func (e *env) execute(ctx context.Context, name string, commands []subcommands.Command, args []string) subcommands.ExitStatus {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(e.stderr)
@@ -87,8 +87,8 @@
 	return commander.Execute(ctx)
 }
 
-// helpFlagToCommand turns a help flag into the help command, which exits with 0. Help
-// flags behind the name of a group are left to the group.
+// helpFlagToCommand replaces a help flag by the help command, which exits with 0. A
+// help flag after a group and a further argument is left to the group.
 func helpFlagToCommand(commands []subcommands.Command, args []string) []string {
 	for i, arg := range args {
 		switch {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -15,9 +15,9 @@
 // TestScripts runs scripts of command lines against a fake entry. Commands:
 //
 //	ctl                   each line of the input is one command line
-//	file name=NAME        writes a file that command lines can name
-//	faults                each line is what the entry does to one call
-//	finish id=ID outcome=OUTCOME
+//	file name=NAME        writes a file for use by command lines
+//	faults                each line is the fault of one of the next calls
+//	finish id=ID outcome=OUTCOME   makes a job final
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		entry := newFakeEntry()
@@ -29,7 +29,7 @@
 	})
 }
 
-// packageDir is the directory of the package; tests change their own.
+// packageDir is the directory of the package. Tests change the working directory.
 var packageDir, _ = os.Getwd()
 
 func absolutePath(t *testing.T, path string) string {
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("%sexit %d\n", text, code)
 }
 
-// TestHelpHasExample asks every subcommand for help in both ways.
+// TestHelpHasExample checks that --help of every subcommand shows an example and exits with 0.
 func TestHelpHasExample(t *testing.T) {
 	entry := newFakeEntry()
 	defer entry.server.Close()
--- a/internal/ctl/examples_test.go
+++ b/internal/ctl/examples_test.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/settings"
 )
 
-// TestExamplesLoad checks all example settings, and sets all example profiles.
+// TestExamplesLoad checks all example settings files and sets all example profiles.
 func TestExamplesLoad(t *testing.T) {
 	entry := newFakeEntry()
 	defer entry.server.Close()
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestExampleGuaranteesFit checks that the example guarantees of each site fit
-// on its workers, without a warning for the loss of any one zone.
+// TestExampleGuaranteesFit checks that the example guarantees of each site fit on its
+// workers, also after the loss of any one zone.
 func TestExampleGuaranteesFit(t *testing.T) {
 	for _, site := range []string{"maraval", "institute"} {
 		dir := filepath.Join("..", "..", "examples", site)
@@ -59,8 +59,8 @@
 	}
 }
 
-// exampleWorkers puts three workers of a zone into each rack; a worker's id is
-// worker-ZONE-NUMBER.
+// exampleWorkers returns the workers of a site with three workers of a zone in each
+// rack. A worker's id is worker-ZONE-NUMBER.
 func exampleWorkers(s *settings.Standin) []feasibility.Worker {
 	const workersPerRack = 3
 	var workers []feasibility.Worker
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -33,10 +33,10 @@
   7  not yet: the awaited state was not reached in time
 `
 
-// errWaitTimeout says that an awaited state was not reached in time.
+// errWaitTimeout is the cause if an awaited state was not reached in time.
 const errWaitTimeout = errors.ConstError("not yet")
 
-// outcomeError is a final answer other than done.
+// outcomeError reports work that ended with an outcome other than done.
 type outcomeError struct {
 	subject string
 	outcome api.Outcome
@@ -51,7 +51,7 @@
 	return text
 }
 
-// checkOutcome returns nil for OutcomeDone.
+// checkOutcome returns nil for OutcomeDone and an outcomeError otherwise.
 func checkOutcome(subject string, outcome api.Outcome, detail string) error {
 	if outcome == api.OutcomeDone {
 		return nil
@@ -59,7 +59,7 @@
 	return &outcomeError{subject, outcome, detail}
 }
 
-// reportError writes the error and returns its exit code.
+// reportError prints the error and returns its exit code.
 func (e *env) reportError(err error) int {
 	var problem *client.ProblemError
 	var findings settings.Findings
@@ -76,7 +76,7 @@
 
 func (e *env) reportProblem(err error, problem *client.ProblemError) {
 	if e.json {
-		// A failing write to stdout leaves nothing else to report to.
+		// If stdout fails, the text on stderr below is all that can be reported.
 		_ = e.printJSON(problem.Problem)
 	}
 	fmt.Fprintf(e.stderr, "%s: %v", programName, err)
@@ -125,8 +125,9 @@
 	return ExitFailed
 }
 
-// problemExitCode follows the outcome where the entry names one, and otherwise
-// the status. "Not run" needs the entry's word, unless the call was a read.
+// problemExitCode maps a problem to an exit code by the outcome, if the entry reports
+// one, and otherwise by the status. Without an outcome, a retryable problem is ExitNotRun
+// only for reads: a mutating call may have taken effect.
 func problemExitCode(e *client.ProblemError) int {
 	status := e.Problem.Status
 	retryable := e.Problem.RetryAfter > 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
--- a/internal/ctl/fake_test.go
+++ b/internal/ctl/fake_test.go
@@ -13,8 +13,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/httpx"
 )
 
-// fakeEntry serves the interface of an entry from memory. Faults are answers
-// for the next calls, by name.
+// fakeEntry serves the HTTP API of an entry from memory. faults holds one fault for
+// each of the next calls: "late", "hangup", or a problem as STATUS/RETRY-AFTER/OUTCOME.
 type fakeEntry struct {
 	server *httptest.Server
 
@@ -50,7 +50,7 @@
 		}
 		fault := f.faults[0]
 		f.faults = f.faults[1:]
-		if fault == "late" { // the call takes effect and the answer is lost
+		if fault == "late" { // the call takes effect and the response is lost
 			mux.ServeHTTP(httptest.NewRecorder(), r)
 		}
 		f.injectFault(w, fault)
@@ -98,7 +98,8 @@
 	writeJSON(w, 200, p)
 }
 
-// rejectStaleVersion refuses a change whose If-Match is not the current version.
+// rejectStaleVersion rejects a change whose If-Match is not the current version, and
+// reports whether it did.
 func rejectStaleVersion(w http.ResponseWriter, r *http.Request, current uint64) bool {
 	tag := r.Header.Get("If-Match")
 	if tag == "" || tag == httpx.ETag(current) {
@@ -163,7 +164,7 @@
 	writeJSON(w, 202, record)
 }
 
-// listJobs returns one job on each page.
+// listJobs returns pages of one job each.
 func (f *fakeEntry) listJobs(w http.ResponseWriter, r *http.Request) {
 	after := r.URL.Query().Get("after")
 	for i, record := range f.jobs {
@@ -192,7 +193,7 @@
 	writeProblem(w, httpx.Problemf(404, "job %q does not exist", r.PathValue("id")))
 }
 
-// finishJob gives a job its outcome.
+// finishJob makes a job final with the given outcome.
 func (f *fakeEntry) finishJob(id string, outcome api.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +206,7 @@
 	}
 }
 
-// postRequest echoes the headers and the body.
+// postRequest echoes the request's headers and body.
 func (f *fakeEntry) postRequest(w http.ResponseWriter, r *http.Request) {
 	body := new(strings.Builder)
 	for _, name := range []string{httpx.HeaderProfile, httpx.HeaderIdempotencyKey, httpx.HeaderIdempotent, httpx.HeaderTimeout} {
@@ -218,7 +219,8 @@
 	fmt.Fprintf(w, "%s%s: %s", body, r.PathValue("service"), data[:n])
 }
 
-// getStatus reports many agents, one of them behind, while zone-b is out.
+// getStatus reports a configuration in force on one entry. While zone-b is out it
+// also reports maxListedProcesses agents, one of them behind.
 func (f *fakeEntry) getStatus(w http.ResponseWriter, _ *http.Request) {
 	status := api.ConfigStatus{Version: f.version, InForce: f.zones["zone-b"].State != api.ZoneOut}
 	status.Processes = []api.ProcessConfig{{Process: "e1", Role: "entry", Zone: "zone-a", Version: f.version, AgeMS: 150}}
--- a/internal/ctl/input.go
+++ b/internal/ctl/input.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// readJSONFile reads a JSON file. Unknown fields are refused.
+// readJSONFile decodes a JSON file. Unknown fields are an error.
 func readJSONFile[T any](e *env, file string) (T, error) {
 	var v T
 	data, err := e.readFile(file)
@@ -24,7 +24,7 @@
 	return v, nil
 }
 
-// readFile reads a file; "-" is the standard input.
+// readFile reads a file, or the standard input if file is "-".
 func (e *env) readFile(file string) ([]byte, error) {
 	if file == "-" {
 		data, err := io.ReadAll(e.stdin)
@@ -37,7 +37,8 @@
 	return data, nil
 }
 
-// inlineOrFile returns the text or the content of the file; only one may be given.
+// inlineOrFile returns the value of --data or the content of the file named by
+// --file. Giving both is a usage error.
 func (e *env) inlineOrFile(data, file string) ([]byte, error) {
 	if data != "" && file != "" {
 		return nil, usagef("--data and --file exclude each other")
--- a/internal/ctl/jobs.go
+++ b/internal/ctl/jobs.go
@@ -14,7 +14,7 @@
 	"github.com/juju/errors"
 )
 
-// jobsPageSize is the number of jobs that one call asks for.
+// jobsPageSize is the largest number of jobs that one call requests.
 const jobsPageSize = 200
 
 func jobCommands(e *env) []*command {
@@ -143,7 +143,7 @@
 	return fmt.Sprintf("tasks %d-%d", first, first+n-1)
 }
 
-// compactJSON returns a JSON document on one line.
+// compactJSON returns a JSON document without whitespace, or the document itself if it is invalid.
 func compactJSON(document json.RawMessage) string {
 	var b bytes.Buffer
 	if err := json.Compact(&b, document); err != nil {
@@ -152,11 +152,11 @@
 	return b.String()
 }
 
-// Times of waiting for a job.
+// Bounds of waiting for a job.
 const (
-	// maxWaitPerCall is how long one call waits at the entry.
+	// maxWaitPerCall bounds the time that the entry holds one call open.
 	maxWaitPerCall = 20 * time.Second
-	// maxTimeWithoutResponse is how long a wait goes on without any answer.
+	// maxTimeWithoutResponse ends a wait in which every call fails for this long.
 	maxTimeWithoutResponse = time.Minute
 	waitRetryInterval      = 500 * time.Millisecond
 )
@@ -192,8 +192,9 @@
 	return checkOutcome("job "+id, record.Outcome, record.Detail)
 }
 
-// awaitFinalJob returns the job once it is final or bound has passed. It goes on
-// while entries are replaced, as reading a job has no effect.
+// awaitFinalJob returns the job once it is final or maxWait has passed. It retries
+// transient errors, for example while entries are replaced: reading a job has no
+// effect. A maxWait of 0 means no bound.
 func (e *env) awaitFinalJob(ctx context.Context, id string, maxWait time.Duration) (api.JobRecord, error) {
 	c := e.client()
 	start := time.Now()
--- a/internal/ctl/profiles.go
+++ b/internal/ctl/profiles.go
@@ -93,8 +93,8 @@
 	return e.printTable(rows)
 }
 
-// setProfiles reads all files before it changes anything. After a refusal it
-// prints the profiles that were set before.
+// setProfiles reads all files before it changes anything. If the entry rejects one
+// profile, it prints the profiles that were set before and stops.
 func (e *env) setProfiles(ctx context.Context, files []string, force bool) error {
 	profiles := make([]api.Profile, len(files))
 	for i, file := range files {
@@ -115,7 +115,7 @@
 	return e.printProfiles(updated)
 }
 
-// reportPartialUpdate prints the profiles that were set before the refusal.
+// reportPartialUpdate prints the profiles that were set before the refusal, and returns the refusal.
 func (e *env) reportPartialUpdate(updated []api.Profile, refusal error) error {
 	if len(updated) == 0 {
 		return refusal
@@ -149,7 +149,7 @@
 	return p, err
 }
 
-// versionFlag is the flag --if-version.
+// versionFlag is the value of the flag --if-version.
 type versionFlag uint64
 
 func (v *versionFlag) register(f *flag.FlagSet) {
--- a/internal/ctl/request.go
+++ b/internal/ctl/request.go
@@ -72,7 +72,7 @@
 	return checkOutcome("request with key "+r.Key, response.Outcome, "")
 }
 
-// responseDocument is the form of an answer for programs.
+// responseDocument is the JSON output for a response.
 type responseDocument struct {
 	Outcome     api.Outcome `json:"outcome"`
 	Status      int         `json:"status"`
--- a/internal/ctl/submit.go
+++ b/internal/ctl/submit.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 )
 
-// Repeats of a submission that got no answer.
+// Retries of a submission without a response.
 const (
 	submitAttempts      = 5
 	submitRetryInterval = 500 * time.Millisecond
@@ -27,7 +27,7 @@
 	key         string
 	wait        bool
 	maxWait     time.Duration
-	// flagSet is the flag flagSet that the flags were added to.
+	// flagSet is the set that the flags are registered on.
 	flagSet *flag.FlagSet
 }
 
@@ -92,7 +92,7 @@
 	return readJSONFile[api.JobRequest](e, files[0])
 }
 
-// describesJob reports whether a flag was given that a job file has a field for.
+// describesJob reports whether a flag that describes the job was given.
 func (s *submitFlags) describesJob() bool {
 	found := false
 	s.flagSet.Visit(func(f *flag.Flag) {
@@ -143,8 +143,8 @@
 	return t, nil
 }
 
-// submitWithRetries repeats a submission that was not received or may or may
-// not have taken effect. That is safe, as the same key always gives the same job.
+// submitWithRetries retries a submission that was not received or whose effect is
+// unknown. Retries are safe, as the same key always gives the same job.
 func (e *env) submitWithRetries(ctx context.Context, job api.JobRequest, key string) (api.JobRecord, error) {
 	c := e.client()
 	for attempt := 1; ; attempt++ {
--- a/internal/ctl/zones.go
+++ b/internal/ctl/zones.go
@@ -44,7 +44,7 @@
 	return e.printZones(zones, zones)
 }
 
-// printZones prints document as JSON or zones as a table.
+// printZones prints document in JSON mode, and otherwise zones as a table.
 func (e *env) printZones(document any, zones []api.AvailabilityZone) error {
 	if e.json {
 		return e.printJSON(document)
--- a/internal/entry/httpapi/config.go
+++ b/internal/entry/httpapi/config.go
@@ -14,17 +14,18 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// ProfileList is the answer to a listing of profiles.
+// ProfileList is the response body of GET /v1/profiles.
 type ProfileList struct {
 	Profiles []api.Profile `json:"profiles"`
 }
 
-// ZoneList is the answer to a listing of availability zones.
+// ZoneList is the response body of GET /v1/zones.
 type ZoneList struct {
 	Zones []api.AvailabilityZone `json:"zones"`
 }
 
-// ifMatchVersion returns the version that the caller expects an item to have.
+// ifMatchVersion returns the version that the caller expects an item to have, from
+// If-Match. It returns confstate.AnyVersion if the header is absent or "*".
 func ifMatchVersion(ctx *fasthttp.RequestCtx) (uint64, error) {
 	tag := string(ctx.Request.Header.Peek(fasthttp.HeaderIfMatch))
 	if tag == "" || tag == "*" {
@@ -76,8 +77,8 @@
 		ctx.Response.Header.Set(httpx.HeaderWarning, warning)
 	}
 	versionOf := func(config *api.Config) uint64 { return config.ProfileVersion(name) }
-	config, ok := a.applyChange(ctx, versionOf, func(c context.Context, expect uint64) (*api.Config, error) {
-		return a.Config.PutProfile(c, p, expect)
+	config, ok := a.applyChange(ctx, versionOf, func(storeCtx context.Context, expected uint64) (*api.Config, error) {
+		return a.Config.PutProfile(storeCtx, p, expected)
 	})
 	if ok {
 		httpx.WriteJSON(ctx, fasthttp.StatusOK, config.Profiles[name])
@@ -118,18 +119,18 @@
 		writeProblem(ctx, fasthttp.StatusNotFound, "profile %q does not exist", name)
 		return
 	}
-	version := func(config *api.Config) uint64 { return config.ProfileVersion(name) }
-	_, ok := a.applyChange(ctx, version, func(c context.Context, expect uint64) (*api.Config, error) {
-		return a.Config.DeleteProfile(c, name, expect)
+	versionOf := func(config *api.Config) uint64 { return config.ProfileVersion(name) }
+	_, ok := a.applyChange(ctx, versionOf, func(storeCtx context.Context, expected uint64) (*api.Config, error) {
+		return a.Config.DeleteProfile(storeCtx, name, expected)
 	})
 	if ok {
 		ctx.SetStatusCode(fasthttp.StatusNoContent)
 	}
 }
 
-// applyChange makes a applyChange of one item, whose version in a configuration is given
-// by version. It answers a applyChange that was not made and then returns false;
-// after one that was made it sets the item's new tag.
+// applyChange applies update to one item and sets the ETag of the new version.
+// versionOf returns the item's version in a configuration. If the change is not
+// acknowledged, applyChange writes a problem and returns false.
 func (a *API) applyChange(ctx *fasthttp.RequestCtx, versionOf func(*api.Config) uint64, update func(c context.Context, expect uint64) (*api.Config, error)) (*api.Config, bool) {
 	expected, err := ifMatchVersion(ctx)
 	if err != nil {
@@ -147,7 +148,7 @@
 	return config, true
 }
 
-// writeChangeProblem answers a change that was not made.
+// writeChangeProblem responds to a change that was not acknowledged.
 func writeChangeProblem(ctx *fasthttp.RequestCtx, err error, version uint64) {
 	switch {
 	case errors.Is(err, confstate.ErrVersionConflict):
@@ -201,8 +202,8 @@
 		return
 	}
 	versionOf := func(config *api.Config) uint64 { return config.Zone(name).Version }
-	config, ok := a.applyChange(ctx, versionOf, func(c context.Context, expect uint64) (*api.Config, error) {
-		return a.Config.PutZone(c, name, body.State, expect)
+	config, ok := a.applyChange(ctx, versionOf, func(storeCtx context.Context, expected uint64) (*api.Config, error) {
+		return a.Config.PutZone(storeCtx, name, body.State, expected)
 	})
 	if ok {
 		httpx.WriteJSON(ctx, fasthttp.StatusOK, config.Zone(name))
--- a/internal/entry/httpapi/httpapi.go
+++ b/internal/entry/httpapi/httpapi.go
@@ -1,4 +1,4 @@
-// Package httpapi is the callers' and operators' HTTP interface of an entry.
+// Package httpapi implements the HTTP API that an entry offers to callers and operators.
 package httpapi
 
 import (
@@ -22,25 +22,25 @@
 const (
 	defaultRequestTimeout = 30 * time.Second
 	maxRequestTimeout     = 10 * time.Minute
-	// storeTimeout bounds the store's part of a call. An entry that has just started
-	// waits some seconds before it acknowledges a change of the configuration.
+	// storeTimeout bounds the store operations of one call. It covers the few seconds
+	// that an entry waits after its start before it acknowledges a configuration change.
 	storeTimeout = 8 * time.Second
-	// storeRetryAfter is when to come back after a refusal because of the store.
+	// storeRetryAfter is the Retry-After value of calls that failed because of the store.
 	storeRetryAfter = 5 * time.Second
 	maxKeyBytes     = 256
 )
 
-// StatusSource tells which process has which configuration.
+// StatusSource reports the configuration version of each process.
 type StatusSource interface {
 	ConfigStatus() api.ConfigStatus
 }
 
-// Notifier tells the owner of the cell that a job's row has changed.
+// Notifier notifies the owner of the cell that a job's row has changed.
 type Notifier interface {
 	JobChanged(id string)
 }
 
-// API serves the interface.
+// API holds the dependencies of the HTTP handlers.
 type API struct {
 	Config    confstate.Store
 	Requests  *requests.Service
@@ -50,11 +50,11 @@
 	Notifier  Notifier
 	Status    StatusSource
 	Registry  metrics.Registry
-	// Serving returns a context that ends when a planned stop begins.
+	// Serving returns a context that is cancelled when a planned stop begins.
 	Serving func() context.Context
 }
 
-// Mount adds the interface's paths to a router.
+// Mount registers the handlers on a router.
 func (a *API) Mount(r *router.Router) {
 	r.POST("/v1/services/{service}/requests", a.postRequest)
 	r.POST("/v1/jobs", a.postJob)
@@ -76,7 +76,8 @@
 	return s
 }
 
-// writeNotRun refuses work that has certainly not run, with when to come back.
+// writeNotRun rejects work that has certainly not run, with outcome not-run. A
+// positive retryAfter sets Retry-After.
 func writeNotRun(ctx *fasthttp.RequestCtx, status int, retryAfter time.Duration, format string, args ...any) {
 	ctx.Response.Header.Set(httpx.HeaderOutcome, string(api.OutcomeNotRun))
 	p := httpx.Problemf(status, format, args...)
@@ -88,7 +89,7 @@
 	httpx.WriteProblem(ctx, httpx.Problemf(status, format, args...))
 }
 
-// retryAfterSeconds rounds up, since Retry-After has whole retryAfterSeconds.
+// retryAfterSeconds rounds up, since Retry-After is given in whole seconds.
 func retryAfterSeconds(d time.Duration) int {
 	if d <= 0 {
 		return 0
@@ -96,7 +97,8 @@
 	return int((d + time.Second - 1) / time.Second)
 }
 
-// writeStoreProblem answers after the store gave no answer; nothing was accepted.
+// writeStoreProblem responds to a call whose store operation failed. No work was
+// accepted; after ledger.ErrOutcomeUnknown a change may still take effect.
 func writeStoreProblem(ctx *fasthttp.RequestCtx, err error) {
 	p := httpx.Problemf(fasthttp.StatusServiceUnavailable, "platform's table is unavailable: %v", err)
 	if errors.Is(err, ledger.ErrOutcomeUnknown) {
@@ -106,8 +108,9 @@
 	httpx.WriteProblem(ctx, p)
 }
 
-// lookupProfile returns the named lookupProfile, or answers with a problem. Keyed tells that
-// earlier calls with the same key count as this one.
+// lookupProfile returns the named profile. If there is none, or if no configuration
+// has been read yet, it writes a problem and returns false. keyed is true if an earlier call with the same idempotency
+// key stands for this one.
 func (a *API) lookupProfile(ctx *fasthttp.RequestCtx, name string, keyed bool) (api.Profile, bool) {
 	config := a.Config.Current()
 	if config.Version == 0 {
@@ -121,8 +124,9 @@
 	return p, ok
 }
 
-// rejectWork refuses work whose key, if it has one, has not been looked up: an
-// earlier call with it may have run.
+// rejectWork rejects work before its idempotency key has been looked up. An earlier
+// call with the same key may have run, so keyed calls get outcome unknown and others
+// get not-run.
 func rejectWork(ctx *fasthttp.RequestCtx, keyed bool, status int, retryAfter time.Duration, format string, args ...any) {
 	if !keyed {
 		writeNotRun(ctx, status, retryAfter, format, args...)
@@ -134,7 +138,7 @@
 	httpx.WriteProblem(ctx, p)
 }
 
-// boolHeader reads "true" or "false"; absent is the given default.
+// boolHeader parses a boolean header; it returns defaultValue if the header is absent.
 func boolHeader(ctx *fasthttp.RequestCtx, name string, defaultValue bool) (bool, error) {
 	text := string(ctx.Request.Header.Peek(name))
 	if text == "" {
--- a/internal/entry/httpapi/jobs.go
+++ b/internal/entry/httpapi/jobs.go
@@ -18,12 +18,13 @@
 	defaultListLimit = 100
 	maxListLimit     = 1000
 	maxGangTasks     = 1024
-	// maxPayloadBytes bounds a job's payload, which is kept in its row and in
-	// the owner's memory. Larger inputs belong into the object store.
+	// maxPayloadBytes bounds a job's payload, which is stored in the job's row and
+	// held in the owner's memory. Larger inputs belong in the object store.
 	maxPayloadBytes = 64 << 10
 )
 
-// JobList is the answer to a listing. Next is the id to go on after.
+// JobList is the response body of GET /v1/jobs. Next is the "after" parameter of
+// the next page, or empty after the last page.
 type JobList struct {
 	Jobs []api.JobRecord `json:"jobs"`
 	Next string          `json:"next,omitempty"`
@@ -50,8 +51,8 @@
 		a.rejectJob(ctx, storeCtx, job, fasthttp.StatusUnprocessableEntity, "job can never run: %s", reason)
 		return
 	}
-	// Set before the write, so that a caller without a key can ask for a job
-	// whose write got no answer.
+	// Set before the write, so that a caller without a key can look up a job
+	// whose write has an unknown outcome.
 	ctx.Response.Header.Set("Location", "/v1/jobs/"+job.ID)
 	record, created, err := a.Jobs.Create(storeCtx, job)
 	switch {
@@ -70,9 +71,9 @@
 	httpx.WriteJSON(ctx, fasthttp.StatusAccepted, record)
 }
 
-// rejectJob refuses a job that could not run now. One that an earlier call with
-// the same key has brought is answered as it stands, since time has passed and
-// workers may have gone away meanwhile.
+// rejectJob rejects a job that cannot run now. If an earlier call with the same key
+// created the job, it returns that job's record instead: the job may have been valid
+// then, before its deadline passed or workers left.
 func (a *API) rejectJob(ctx *fasthttp.RequestCtx, storeCtx context.Context, job api.Job, status int, format string, args ...any) {
 	if job.IdempotencyKey == "" {
 		writeNotRun(ctx, status, 0, format, args...)
@@ -89,7 +90,8 @@
 	}
 }
 
-// notifyScheduler tells the owner of the cell; its scan finds the job in any case.
+// notifyScheduler notifies the owner of the cell of a new job. A lost notification
+// only delays the job: the owner's scan of the rows finds it.
 func (a *API) notifyScheduler(record api.JobRecord) {
 	if !a.Scheduler.Submitted(record) {
 		a.Notifier.JobChanged(record.Job.ID)
@@ -163,8 +165,8 @@
 	writeJobRecord(ctx, fasthttp.StatusOK, record, err)
 }
 
-// awaitJob returns the final record, or the given one when it does not come in
-// time or a planned stop begins; the caller goes on waiting at another entry.
+// awaitJob waits for the job's final record. It returns the given record if the wait
+// times out or a planned stop begins; the caller can then wait at another entry.
 func (a *API) awaitJob(id string, wait time.Duration, record api.JobRecord) api.JobRecord {
 	waitCtx, cancel := context.WithTimeout(a.Serving(), wait)
 	defer cancel()
@@ -224,21 +226,21 @@
 	state := api.JobState(ctx.QueryArgs().Peek("state"))
 	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	list, err := a.Jobs.List(storeCtx, string(ctx.QueryArgs().Peek("after")), limit)
+	records, err := a.Jobs.List(storeCtx, string(ctx.QueryArgs().Peek("after")), limit)
 	if err != nil {
 		writeStoreProblem(ctx, err)
 		return
 	}
-	out := JobList{Jobs: []api.JobRecord{}}
-	if len(list) == limit {
-		out.Next = list[len(list)-1].Job.ID
+	page := JobList{Jobs: []api.JobRecord{}}
+	if len(records) == limit {
+		page.Next = records[len(records)-1].Job.ID
 	}
-	for _, r := range list {
+	for _, r := range records {
 		if state == "" || r.State == state {
-			out.Jobs = append(out.Jobs, r)
+			page.Jobs = append(page.Jobs, r)
 		}
 	}
-	httpx.WriteJSON(ctx, fasthttp.StatusOK, out)
+	httpx.WriteJSON(ctx, fasthttp.StatusOK, page)
 }
 
 func limitParam(ctx *fasthttp.RequestCtx) (int, error) {
--- a/internal/entry/httpapi/requests.go
+++ b/internal/entry/httpapi/requests.go
@@ -57,7 +57,7 @@
 	return call, err
 }
 
-// timeoutHeader returns 0 when the header is absent.
+// timeoutHeader returns 0 if the header is absent.
 func timeoutHeader(ctx *fasthttp.RequestCtx) (time.Duration, error) {
 	text := string(ctx.Request.Header.Peek(httpx.HeaderTimeout))
 	if text == "" {
@@ -70,8 +70,8 @@
 	return d, nil
 }
 
-// writeReply writes the one answer. A minion's answer passes through with its
-// status; the entry's own answers are problem documents.
+// writeReply writes the response to a request. A response from a minion is passed
+// through with its status; the entry's own responses are problem documents.
 func writeReply(ctx *fasthttp.RequestCtx, reply requests.Reply) {
 	ctx.Response.Header.Set(httpx.HeaderOutcome, string(reply.Outcome))
 	if reply.HasBody && reply.Status > 0 {
