--- a/internal/entry/httpapi/jobs.go
+++ b/internal/entry/httpapi/jobs.go
@@ -79,9 +79,9 @@
 		writeNotRun(ctx, status, 0, format, args...)
 		return
 	}
-	record, err := a.Jobs.One(storeCtx, job.ID)
+	record, err := a.Jobs.GetRecord(storeCtx, job.ID)
 	switch {
-	case errors.Is(err, jobs.ErrNoJob):
+	case errors.Is(err, jobs.ErrJobNotFound):
 		writeNotRun(ctx, status, 0, format, args...)
 	case err != nil:
 		writeStoreProblem(ctx, err)
@@ -93,7 +93,7 @@
 // notifyScheduler notifies the owner of the cell of a new job. A lost notification
 // only delays the job: the owner's scan of the rows finds it.
 func (a *API) notifyScheduler(record api.JobRecord) {
-	if !a.Scheduler.Submitted(record) {
+	if !a.Scheduler.AddSubmitted(record) {
 		a.Notifier.JobChanged(record.Job.ID)
 	}
 }
@@ -158,7 +158,7 @@
 	id := pathValue(ctx, "id")
 	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	record, err := a.Jobs.One(storeCtx, id)
+	record, err := a.Jobs.GetRecord(storeCtx, id)
 	if err == nil && wait > 0 && record.State != api.JobFinal {
 		record = a.awaitJob(id, wait, record)
 	}
@@ -178,7 +178,7 @@
 
 func writeJobRecord(ctx *fasthttp.RequestCtx, status int, record api.JobRecord, err error) {
 	switch {
-	case errors.Is(err, jobs.ErrNoJob):
+	case errors.Is(err, jobs.ErrJobNotFound):
 		writeProblem(ctx, fasthttp.StatusNotFound, "%v", err)
 	case err != nil:
 		writeStoreProblem(ctx, err)
@@ -206,8 +206,8 @@
 	id := pathValue(ctx, "id")
 	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	record, err := a.Jobs.AskCancel(storeCtx, id)
-	if errors.Is(err, jobs.ErrFinal) {
+	record, err := a.Jobs.RequestCancel(storeCtx, id)
+	if errors.Is(err, jobs.ErrJobFinal) {
 		writeJobRecord(ctx, fasthttp.StatusOK, record, nil)
 		return
 	}
@@ -226,7 +226,7 @@
 	state := api.JobState(ctx.QueryArgs().Peek("state"))
 	storeCtx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	records, err := a.Jobs.List(storeCtx, string(ctx.QueryArgs().Peek("after")), limit)
+	records, err := a.Jobs.ListRecords(storeCtx, string(ctx.QueryArgs().Peek("after")), limit)
 	if err != nil {
 		writeStoreProblem(ctx, err)
 		return
--- a/internal/entry/jobs/retention.go
+++ b/internal/entry/jobs/retention.go
@@ -8,11 +8,11 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/entry/retention"
 )
 
-// finalKeep is how long a final job, with its answer and its idempotency key,
-// is remembered.
-const finalKeep = 7 * 24 * time.Hour
+// finalJobRetention is how long a final job is kept, with its result and its
+// idempotency key.
+const finalJobRetention = 7 * 24 * time.Hour
 
-// Retention removes final jobs after finalKeep.
+// Retention returns the rule that deletes final jobs after finalJobRetention.
 func Retention() retention.Rule {
 	return retention.Rule{
 		Name:   "jobs",
@@ -22,7 +22,7 @@
 			if json.Unmarshal(data, &row) != nil || row.Record.State != api.JobFinal {
 				return false
 			}
-			return now.Sub(row.Record.Finished) > finalKeep
+			return now.Sub(row.Record.Finished) > finalJobRetention
 		},
 	}
 }
--- a/internal/entry/scheduler/scheduler.go
+++ b/internal/entry/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler runs the scheduling core in the entry that owns the cell.
-// Each term of ownership has a core of its own, rebuilt from the table's rows
-// and the agents' reports.
+// Each term of ownership has its own core, which is rebuilt from the job rows
+// in the table and the reports of the worker agents.
 package scheduler
 
 import (
@@ -20,31 +20,32 @@
 )
 
 const (
-	// scanInterval is the time between two looks for active jobs that no
-	// notice has told of.
+	// scanInterval is the time between two scans for active jobs whose change
+	// notice was lost.
 	scanInterval = 2 * time.Second
 	scanTimeout  = 10 * time.Second
 	drainTimeout = 5 * time.Second
-	// maxReports bounds the reports kept for each worker.
-	maxReports = 256
+	// maxReportsPerWorker bounds the group reports stored for each worker.
+	maxReportsPerWorker = 256
 )
 
-// Ownership tells whether this entry owns the cell now.
-type Ownership interface {
-	// Authority returns the present standing; see sched.Authority. StartAfter
-	// is the wait that the term begins with.
-	Authority() (sched.Ownership, time.Duration)
+// OwnershipSource reports whether this entry owns the cell.
+type OwnershipSource interface {
+	// Authority returns the current ownership, without StartAfter, and how long
+	// a term that starts now must wait before it starts jobs.
+	Authority() (sched.OwnerStatus, time.Duration)
 }
 
-// Configuration is what the scheduler reads of the configuration.
-type Configuration interface {
+// ConfigSource returns the current configuration.
+type ConfigSource interface {
 	Current() *api.Config
 }
 
-// Service is the scheduling side of an entry.
+// Service runs the scheduler of an entry: a term while the entry owns the cell,
+// and the latest reports of the linked workers at all times.
 type Service struct {
-	owner    Ownership
-	config   Configuration
+	owner    OwnershipSource
+	config   ConfigSource
 	store    *jobs.Store
 	waiters  *jobs.Waiters
 	links    *links.Server
@@ -52,63 +53,63 @@
 	log      zerolog.Logger
 	created  time.Time
 
-	mu      sync.Mutex
-	term    *term // nil while another entry owns the cell
-	workers map[string]*worker
-	drained bool
+	mu       sync.Mutex
+	term     *term // nil while this entry does not own the cell
+	workers  map[string]*worker
+	draining bool
 
-	poke  chan string
-	loops kernel.Loops
+	changedJobs chan string
+	loops       kernel.Loops
 }
 
-// worker is a linked worker agent with the newest report of each group.
+// worker is a linked worker agent with the latest report of each group.
 type worker struct {
 	agent   links.Agent
 	status  sched.WorkerStatus
 	reports map[sched.GroupRef]sched.GroupReport
 }
 
-// New returns the service; it listens to srv from now on.
-func New(owner Ownership, config Configuration, store *jobs.Store, waiters *jobs.Waiters, srv *links.Server, registry metrics.Registry, log zerolog.Logger) *Service {
+// New returns a service and registers it as a listener of srv.
+func New(owner OwnershipSource, config ConfigSource, store *jobs.Store, waiters *jobs.Waiters, srv *links.Server, registry metrics.Registry, log zerolog.Logger) *Service {
 	s := &Service{
-		owner:    owner,
-		config:   config,
-		store:    store,
-		waiters:  waiters,
-		links:    srv,
-		registry: registry,
-		log:      log,
-		created:  time.Now(),
-		workers:  map[string]*worker{},
-		poke:     make(chan string, 4096),
+		owner:       owner,
+		config:      config,
+		store:       store,
+		waiters:     waiters,
+		links:       srv,
+		registry:    registry,
+		log:         log,
+		created:     time.Now(),
+		workers:     map[string]*worker{},
+		changedJobs: make(chan string, 4096),
 	}
-	srv.Listen(s)
+	srv.AddListener(s)
 	return s
 }
 
-// Start begins to watch the ownership of the cell.
+// Start starts the loops that follow the ownership of the cell and scan for jobs.
 func (s *Service) Start(context.Context) error {
 	s.loops.Begin()
 	s.loops.Every(sched.TickInterval, func(context.Context) { s.tick() })
-	s.loops.Every(scanInterval, s.scan)
-	s.loops.Go(s.pokeLoop)
+	s.loops.Every(scanInterval, s.scanActiveJobs)
+	s.loops.Go(s.changedJobsLoop)
 	return nil
 }
 
-// Stop starts no more attempts and waits for the writes in progress. Running
-// gangs go on under the next owner.
+// Stop stops starting attempts, waits up to drainTimeout for pending saves and
+// ends the term. Running gangs continue under the next owner.
 func (s *Service) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	s.mu.Lock()
-	s.drained = true
+	s.draining = true
 	t := s.term
 	if t != nil {
 		t.step(sched.Drain{})
 	}
 	s.mu.Unlock()
 	if t != nil {
-		t.waitSaved(ctx)
+		t.waitForSaves(ctx)
 	}
 	s.loops.End()
 	s.mu.Lock()
@@ -117,15 +118,15 @@
 	return nil
 }
 
-// tick begins and ends terms and lets time pass in the core.
+// tick begins or ends a term as ownership changes and advances the core's time.
 func (s *Service) tick() {
 	authority, wait := s.owner.Authority()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.term != nil && (s.term.broken || authority.Epoch != s.term.epoch || !authority.Owner && !authority.StoreDown) {
+	if s.term != nil && (s.term.invalidated || authority.Epoch != s.term.epoch || !authority.Owner && !authority.StoreDown) {
 		s.endTerm("ownership lost")
 	}
-	if s.term == nil && authority.Owner && !s.drained {
+	if s.term == nil && authority.Owner && !s.draining {
 		s.beginTerm(authority, wait)
 	}
 	if s.term == nil || !s.term.loaded {
@@ -135,8 +136,9 @@
 	s.term.step(authority, sched.ConfigUpdate{Config: s.config.Current()}, sched.Tick{})
 }
 
-// beginTerm is called with mu held; the rows are read without it.
-func (s *Service) beginTerm(a sched.Ownership, wait time.Duration) {
+// beginTerm is called with mu held. The job rows are read in the background,
+// without mu.
+func (s *Service) beginTerm(a sched.OwnerStatus, wait time.Duration) {
 	t := newTerm(s, a.Epoch, wait)
 	s.term = t
 	s.log.Info().Uint64("epoch", a.Epoch).Dur("start_after", wait).Msg("term began")
@@ -153,8 +155,8 @@
 	s.term = nil
 }
 
-// loadTerm reads the active jobs, then replays them and the workers' newest
-// reports into the core.
+// loadTerm reads the active jobs, then replays them and the workers' latest
+// reports into the core. It retries failed reads until the term ends.
 func (s *Service) loadTerm(ctx context.Context, t *term) {
 	for ctx.Err() == nil {
 		rows, err := s.readActive(ctx, t, ledger.CauseRecovery)
@@ -171,28 +173,29 @@
 			return
 		}
 		s.mu.Unlock()
-		s.log.Warn().Err(err).Msg("recovery reads failed")
+		s.log.Warn().Err(err).Msg("could not read the active jobs for recovery; retrying")
 		kernel.Sleep(ctx, scanInterval/4)
 	}
 }
 
-// readActive returns the rows of active jobs that are new or have changed.
+// readActive returns the rows of the active jobs that are new or have changed
+// since the previous call for this term.
 func (s *Service) readActive(ctx context.Context, t *term, cause ledger.Cause) ([]jobs.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
-	actives, err := s.store.Actives(ctx, cause)
+	active, err := s.store.ListActive(ctx, cause)
 	if err != nil {
 		return nil, err
 	}
-	ids := t.changed(actives)
+	ids := t.changedJobIDs(active)
 	if len(ids) == 0 {
 		return nil, nil
 	}
-	rows, err := s.store.Get(ctx, cause, ids...)
+	rows, err := s.store.GetRows(ctx, cause, ids...)
 	if err != nil {
 		return nil, err
 	}
-	t.seen(actives)
+	t.setActiveVersions(active)
 	var out []jobs.Row
 	for _, id := range ids {
 		if row, ok := rows[id]; ok {
@@ -202,10 +205,10 @@
 	return out, nil
 }
 
-// replay is called with mu held. The standing comes first, since it decides
-// what becomes of the attempts that are found. Jobs come before the workers'
-// reports, so that no report names a job that the core does not know.
-func (s *Service) replay(t *term, authority sched.Ownership, rows []jobs.Row) {
+// replay is called with mu held. Ownership is passed to the core first, since it
+// decides how the attempts found in the rows are handled. Jobs precede the
+// workers' reports, so that no report names a job unknown to the core.
+func (s *Service) replay(t *term, authority sched.OwnerStatus, rows []jobs.Row) {
 	t.step(authority, sched.ConfigUpdate{Config: s.config.Current()})
 	for _, row := range rows {
 		t.submit(row.Record)
@@ -234,7 +237,7 @@
 	return s.term
 }
 
-func (s *Service) scan(ctx context.Context) {
+func (s *Service) scanActiveJobs(ctx context.Context) {
 	t := s.loadedTerm()
 	if t == nil {
 		return
@@ -243,10 +246,10 @@
 	if err != nil {
 		return
 	}
-	s.take(t, rows)
+	s.submitRows(t, rows)
 }
 
-func (s *Service) take(t *term, rows []jobs.Row) {
+func (s *Service) submitRows(t *term, rows []jobs.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.term != t {
@@ -257,36 +260,37 @@
 	}
 }
 
-// Notify tells the service that a job's row has changed. It returns false
-// when this entry does not own the cell.
+// Notify tells the service that a job's row has changed. It returns false if
+// this entry does not own the cell or has not recovered its term yet.
 func (s *Service) Notify(id string) bool {
 	if s.loadedTerm() == nil {
 		return false
 	}
 	select {
-	case s.poke <- id:
-	default: // the next scan finds the job
+	case s.changedJobs <- id:
+	default: // queue full; the next scan finds the job
 	}
 	return true
 }
 
-func (s *Service) pokeLoop(ctx context.Context) {
+func (s *Service) changedJobsLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-s.poke:
-			s.readNoticed(ctx, s.noticed(id))
+		case id := <-s.changedJobs:
+			s.readChangedJobs(ctx, s.collectChangedJobs(id))
 		}
 	}
 }
 
-// noticed returns id and all others that wait behind it.
-func (s *Service) noticed(id string) []string {
+// collectChangedJobs returns id and all ids queued behind it, so that one read
+// serves all of them.
+func (s *Service) collectChangedJobs(id string) []string {
 	ids := []string{id}
 	for {
 		select {
-		case next := <-s.poke:
+		case next := <-s.changedJobs:
 			ids = append(ids, next)
 		default:
 			return ids
@@ -294,14 +298,14 @@
 	}
 }
 
-func (s *Service) readNoticed(ctx context.Context, ids []string) {
+func (s *Service) readChangedJobs(ctx context.Context, ids []string) {
 	t := s.loadedTerm()
 	if t == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
-	rows, err := s.store.Get(ctx, ledger.CauseJob, ids...)
+	rows, err := s.store.GetRows(ctx, ledger.CauseJob, ids...)
 	if err != nil {
 		return
 	}
@@ -309,11 +313,13 @@
 	for _, id := range sortedKeys(rows) {
 		list = append(list, rows[id])
 	}
-	s.take(t, list)
+	s.submitRows(t, list)
 }
 
-// Submitted takes in a job that this entry has just kept, without a read.
-func (s *Service) Submitted(record api.JobRecord) bool {
+// AddSubmitted passes a job that this entry has just stored to the core without
+// reading its row again. It returns false if this entry does not own the cell
+// or has not recovered its term yet.
+func (s *Service) AddSubmitted(record api.JobRecord) bool {
 	t := s.loadedTerm()
 	if t == nil {
 		return false
@@ -327,8 +333,9 @@
 	return true
 }
 
-// NeverFits returns the reason why no worker could ever hold the job. An
-// entry that does not own the cell does not know and returns false.
+// NeverFits reports whether no known worker, rack or zone could ever hold the
+// job, and the reason. It returns false on an entry that does not own the cell,
+// since only the owner knows.
 func (s *Service) NeverFits(job api.Job) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -338,7 +345,7 @@
 	return s.term.core.NeverFits(job)
 }
 
-// DumpState returns the core's state while this entry owns the cell.
+// DumpState returns the state of the core if this entry owns the cell.
 func (s *Service) DumpState() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,7 +360,7 @@
 	}{true, s.term.epoch, s.term.loaded, s.term.core.Dump()}
 }
 
-// isSettled reports whether an error of a save means that trying again cannot help.
-func isSettled(err error) bool {
-	return errors.Is(err, jobs.ErrEpoch) || errors.Is(err, jobs.ErrFinal) || errors.Is(err, jobs.ErrNoJob)
+// isPermanent reports whether a save failed with an error that a retry cannot fix.
+func isPermanent(err error) bool {
+	return errors.Is(err, jobs.ErrStaleEpoch) || errors.Is(err, jobs.ErrJobFinal) || errors.Is(err, jobs.ErrJobNotFound)
 }
--- a/internal/sched/claim.go
+++ b/internal/sched/claim.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// urgentGrace is the time for a checkpoint when urgent work waits.
+	// urgentGrace is the checkpoint grace of jobs preempted for urgent work.
 	urgentGrace = 1500 * time.Millisecond
-	// claimTimeout is how long a gang waits for its victims to end.
+	// claimTimeout is how long a claim waits for its victims to end.
 	claimTimeout = 30 * time.Second
-	// maxEvictionPlans bounds how many places are compared for an eviction.
-	maxEvictionPlans = 64
+	// maxPreemptionPlans limits the placements that are compared for a preemption.
+	maxPreemptionPlans = 64
 )
 
-// claim is a place for a gang and the preemptible work that has to end for it.
+// claim is a placement for a gang and the jobs that must be preempted for it.
 type claim struct {
-	res     *reservation // nil outside of guarantees
-	parts   []placement.Assignment
-	victims []*job
-	loss    time.Duration
-	rule    victimRule
+	reservation *reservation // nil outside of guarantees
+	assignments []placement.Assignment
+	victims     []*job
+	lostWork    time.Duration
+	rule        victimRule
 }
 
-// plan finds the victims that open the parts for a job with the least work
-// lost.
-func (c *Core) plan(j *job, parts []placement.Assignment, rule victimRule) (claim, bool) {
-	cl := claim{parts: parts, rule: rule}
+// planClaim selects the victims that free the assignments for a job, with the
+// least work lost.
+func (c *Core) planClaim(j *job, assignments []placement.Assignment, rule victimRule) (claim, bool) {
+	cl := claim{assignments: assignments, rule: rule}
 	var candidates []*job
-	for _, p := range parts {
+	for _, p := range assignments {
 		w := c.workers[p.Worker.Name]
-		if j.perTask.Times(p.Tasks).Fits(c.opening(w, &cl)) {
+		if j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(w, &cl)) {
 			continue
 		}
 		for _, g := range w.groups {
@@ -45,94 +45,97 @@
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.loss(c.now), b.loss(c.now)), cmp.Compare(a.id(), b.id()))
+		return cmp.Or(cmp.Compare(a.lostWork(c.now), b.lostWork(c.now)), cmp.Compare(a.id(), b.id()))
 	})
 	for _, v := range candidates {
-		if c.opens(j, &cl) {
+		if c.claimFits(j, &cl) {
 			break
 		}
-		if c.helps(j, v, &cl) {
+		if c.victimHelps(j, v, &cl) {
 			cl.victims = append(cl.victims, v)
 		}
 	}
-	if !c.opens(j, &cl) {
+	if !c.claimFits(j, &cl) {
 		return claim{}, false
 	}
-	c.spare(j, &cl)
+	c.dropNeedlessVictims(j, &cl)
 	for _, v := range cl.victims {
-		cl.loss += v.loss(c.now)
+		cl.lostWork += v.lostWork(c.now)
 	}
 	return cl, true
 }
 
-// victimRule says which work may be stopped for a claim.
+// victimRule restricts which jobs may be preempted for a claim.
 type victimRule struct {
-	// minRun spares work that has run for less.
-	minRun time.Duration
-	// below spares gangs of that many accelerators and more, if it is set.
-	below int
-	// firm takes also work outside of guarantees that is not preemptible.
-	firm bool
+	// minRunTime excludes jobs that have run for less.
+	minRunTime time.Duration
+	// acceleratorLimit, if not zero, excludes gangs with at least that many
+	// accelerators.
+	acceleratorLimit int
+	// includeNonPreemptible also allows work outside of guarantees that is not
+	// preemptible.
+	includeNonPreemptible bool
 }
 
 func (rule victimRule) allows(g *group, now time.Duration) bool {
 	j := g.job
-	if g.ending || g.detached || g.fixed {
+	if g.stopping || g.detached || g.nonRestartable {
 		return false
 	}
-	if rule.below > 0 && j.total().Accelerators >= rule.below {
+	if rule.acceleratorLimit > 0 && j.totalResources().Accelerators >= rule.acceleratorLimit {
 		return false
 	}
-	if !j.preemptible() && !(rule.firm && j.firm) {
+	if !j.preemptible() && !(rule.includeNonPreemptible && j.nonPreemptible) {
 		return false
 	}
 	switch j.phase {
 	case phaseHolding:
 		return true
 	case phaseSaving:
-		return !j.aborted
+		return !j.abortedWhileSaving
 	case phaseRunning:
-		return now-j.startedAt >= rule.minRun
+		return now-j.startedAt >= rule.minRunTime
 	}
 	return false
 }
 
-// opening is the capacity of a worker that is free, or will be once the groups
-// that are ending and the victims have ended. For a claim that may stop work
-// which is not preemptible, other reservations are left out.
-func (c *Core) opening(w *worker, cl *claim) api.Resources {
+// capacityForClaim returns the capacity of a worker that is free, or will be once
+// the stopping groups and the victims have ended. For a claim that may stop
+// non-preemptible work, it excludes other reservations.
+func (c *Core) capacityForClaim(w *worker, cl *claim) api.Resources {
 	open := w.Unused().Sub(w.Claimed)
 	unreserved := w.Capacity.Sub(w.Reserved).Sub(w.NonPreemptible)
 	for _, g := range w.groups {
 		victim := !g.detached && slices.Contains(cl.victims, g.job)
-		if !g.ending && !victim {
+		if !g.stopping && !victim {
 			continue
 		}
-		open = open.Add(g.amount)
-		if g.firm {
-			unreserved = unreserved.Add(g.amount)
+		open = open.Add(g.resources)
+		if g.nonPreemptible {
+			unreserved = unreserved.Add(g.resources)
 		}
 	}
-	if cl.rule.firm {
+	if cl.rule.includeNonPreemptible {
 		return fleet.MinResources(open, unreserved)
 	}
 	return open
 }
 
-func (c *Core) opens(j *job, cl *claim) bool {
-	for _, p := range cl.parts {
-		if !j.perTask.Times(p.Tasks).Fits(c.opening(c.workers[p.Worker.Name], cl)) {
+func (c *Core) claimFits(j *job, cl *claim) bool {
+	for _, p := range cl.assignments {
+		if !j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(c.workers[p.Worker.Name], cl)) {
 			return false
 		}
 	}
 	return true
 }
 
-// helps reports whether a victim frees capacity on a worker that still lacks it.
-func (c *Core) helps(j, victim *job, cl *claim) bool {
-	for _, p := range cl.parts {
+// victimHelps reports whether a victim frees capacity on a worker that still lacks
+// capacity for the claim.
+func (c *Core) victimHelps(j, victim *job, cl *claim) bool {
+	for _, p := range cl.assignments {
 		w := c.workers[p.Worker.Name]
-		if j.perTask.Times(p.Tasks).Fits(c.opening(w, cl)) {
+		if j.perTask.Times(p.Tasks).Fits(c.capacityForClaim(w, cl)) {
 			continue
 		}
 		for _, g := range victim.groups {
@@ -144,106 +147,107 @@
 	return false
 }
 
-// spare drops victims that are not needed, those with the largest loss first.
-func (c *Core) spare(j *job, cl *claim) {
+// dropNeedlessVictims drops the victims that the claim does not need, those with
+// the most lost work first.
+func (c *Core) dropNeedlessVictims(j *job, cl *claim) {
 	for i := len(cl.victims) - 1; i >= 0; i-- {
-		fewer := claim{parts: cl.parts, rule: cl.rule, victims: slices.Delete(slices.Clone(cl.victims), i, i+1)}
-		if c.opens(j, &fewer) {
+		fewer := claim{assignments: cl.assignments, rule: cl.rule, victims: slices.Delete(slices.Clone(cl.victims), i, i+1)}
+		if c.claimFits(j, &fewer) {
 			cl.victims = fewer.victims
 		}
 	}
 }
 
-// claim sets the place aside for the job and stops the victims. The job goes on
-// when all of the place is free.
-func (c *Core) claim(j *job, cl claim, graceTime time.Duration) {
-	c.dropWaiting(j)
-	why := ReasonPreempted
-	if cl.res != nil {
-		why = ReasonReclaimed
+// startClaim allocates the claimed capacity to the job and preempts the victims.
+// The job continues when all of the capacity is free.
+func (c *Core) startClaim(j *job, cl claim, grace time.Duration) {
+	c.dropWaitingReservation(j)
+	reason := ReasonPreempted
+	if cl.reservation != nil {
+		reason = ReasonReclaimed
 	}
-	j.reserved = cl.res
-	c.takeParts(j, cl, !c.lent(j) && cl.res == nil, groupClaimed)
+	j.reservation = cl.reservation
+	c.createGroups(j, cl, !c.mayBorrow(j) && cl.reservation == nil, groupClaimed)
 	j.phase = phaseClaiming
 	for _, g := range j.groups {
 		g.worker.claims = append(g.worker.claims, j)
 	}
 	for _, v := range cl.victims {
-		c.notice(v, "", why, j.id())
-		c.preempt(v, min(graceTime, grace(v)), why)
+		c.emitNotice(v, "", reason, j.id())
+		c.preempt(v, min(grace, checkpointGrace(v)), reason)
 	}
 	attempt := j.attempt
 	c.after(claimTimeout, func() {
 		if j.phase == phaseClaiming && j.attempt == attempt {
 			c.dropClaim(j)
-			c.backoff(j)
+			c.requeueAfterBackoff(j)
 		}
 	})
-	c.claimReady(j)
+	c.advanceClaim(j)
 }
 
-// preempt ends an attempt, whatever it has come to, for another one later.
-func (c *Core) preempt(j *job, graceTime time.Duration, why Reason) {
+// preempt ends a job's attempt in whatever phase it is. The job runs again later.
+func (c *Core) preempt(j *job, grace time.Duration, reason Reason) {
 	switch j.phase {
 	case phaseClaiming:
 		c.dropClaim(j)
 		c.enqueue(j)
 	case phaseHolding:
-		c.abandonHolds(j, string(why))
+		c.abandonHolds(j, string(reason))
 		c.enqueue(j)
 	case phaseSaving:
-		c.abortSaving(j, string(why))
+		c.abortSaving(j, string(reason))
 	case phaseRunning:
-		c.end(j, graceTime, why)
+		c.endAttempt(j, grace, reason)
 	}
 }
 
-// claimsProgress lets the claims on a worker go on after capacity became free.
-func (c *Core) claimsProgress(w *worker) {
+// advanceClaims rechecks the claims on a worker whose capacity has become free.
+func (c *Core) advanceClaims(w *worker) {
 	for _, j := range slices.Clone(w.claims) {
 		if j.phase == phaseClaiming {
-			c.claimReady(j)
+			c.advanceClaim(j)
 		}
 	}
 }
 
-func (c *Core) claimReady(j *job) {
+func (c *Core) advanceClaim(j *job) {
 	for _, g := range j.groups {
-		if !g.amount.Fits(g.worker.Unused()) {
+		if !g.resources.Fits(g.worker.Unused()) {
 			return
 		}
 	}
-	c.forgetClaim(j)
+	c.removeClaim(j)
 	for _, g := range j.groups {
-		c.update(g.worker, func(f *fleet.Worker) {
-			f.Claimed = f.Claimed.Sub(g.amount)
-			f.Used = f.Used.Add(g.amount)
+		c.updateWorker(g.worker, func(f *fleet.Worker) {
+			f.Claimed = f.Claimed.Sub(g.resources)
+			f.Used = f.Used.Add(g.resources)
 		})
 	}
-	c.hold(j)
+	c.sendHolds(j)
 }
 
-func (c *Core) forgetClaim(j *job) {
+func (c *Core) removeClaim(j *job) {
 	for _, g := range j.groups {
 		w := g.worker
 		w.claims = slices.DeleteFunc(w.claims, func(o *job) bool { return o == j })
 	}
 }
 
-// dropClaim gives the place of a job up before anything was held.
+// dropClaim gives up a job's claimed capacity before any hold was sent.
 func (c *Core) dropClaim(j *job) {
-	c.forgetClaim(j)
+	c.removeClaim(j)
 	groups := j.groups
 	j.groups = nil
-	j.reserved = nil
-	j.lost = 0
+	j.reservation = nil
+	j.unlinkedGroups = 0
 	for _, g := range groups {
 		g.detached = true
-		c.gone(g, groupGone)
+		c.releaseGroup(g, groupEnded)
 	}
 }
 
-func (c *Core) dropClaimsOn(w *worker) {
+func (c *Core) dropWorkerClaims(w *worker) {
 	for _, j := range slices.Clone(w.claims) {
 		if j.phase == phaseClaiming {
 			c.dropClaim(j)
@@ -252,16 +256,16 @@
 	}
 }
 
-func (c *Core) dropClaimsIn(s *share) {
-	for _, g := range slices.Clone(s.worker.groups) {
-		if g.share == s && g.job.phase == phaseClaiming && !g.detached {
+func (c *Core) dropReservationClaims(part *reservationPart) {
+	for _, g := range slices.Clone(part.worker.groups) {
+		if g.reservedPart == part && g.job.phase == phaseClaiming && !g.detached {
 			c.dropClaim(g.job)
 			c.enqueue(g.job)
 		}
 	}
 }
 
-// claimGrace is the time that victims of a job get for their checkpoints.
+// claimGrace returns the checkpoint grace of jobs preempted for a job.
 func (c *Core) claimGrace(j *job) time.Duration {
 	if c.config.Profiles[j.rec.Job.Profile].Urgent {
 		return urgentGrace
@@ -269,26 +273,26 @@
 	return CheckpointGrace
 }
 
-// tryEvict starts a job where preemptible work outside of reservations makes
-// room with the least loss.
-func (c *Core) tryEvict(j *job, rule victimRule, graceTime time.Duration) bool {
-	best, ok := c.cheapest(j, c.request(j, fleet.Preemptible), rule)
+// tryPreempt starts a job where the least work outside of reservations is lost by
+// preemption.
+func (c *Core) tryPreempt(j *job, rule victimRule, grace time.Duration) bool {
+	best, ok := c.cheapestClaim(j, c.placementRequest(j, fleet.Preemptible), rule)
 	if ok {
-		c.claim(j, best, graceTime)
+		c.startClaim(j, best, grace)
 	}
 	return ok
 }
 
-// cheapest compares the places for a gang by the work that would be lost there.
-func (c *Core) cheapest(j *job, q placement.Request, rule victimRule) (best claim, found bool) {
+// cheapestClaim returns the claim for a gang that loses the least work.
+func (c *Core) cheapestClaim(j *job, req placement.Request, rule victimRule) (best claim, found bool) {
 	plans := 0
-	placement.ForEachDomain(c.fleet, q, func(parts []placement.Assignment) bool {
-		cl, ok := c.plan(j, parts, rule)
-		if ok && (!found || cl.loss < best.loss) {
+	placement.ForEachDomain(c.fleet, req, func(assignments []placement.Assignment) bool {
+		cl, ok := c.planClaim(j, assignments, rule)
+		if ok && (!found || cl.lostWork < best.lostWork) {
 			best, found = cl, true
 		}
 		plans++
-		return plans < maxEvictionPlans && !(found && best.loss == 0)
+		return plans < maxPreemptionPlans && !(found && best.lostWork == 0)
 	})
 	return best, found
 }
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -13,60 +13,61 @@
 
 const queueDegree = 8
 
-// classKey names jobs that fit into the same places, so that a class is tried
-// once after a change instead of each job.
+// classKey identifies jobs that fit the same placements. After a change, the core
+// tries each class once instead of each job.
 type classKey struct {
 	profile        string
 	gang           api.Shape
 	idempotent     bool
 	checkpointable bool
-	jobID          string // set for a job that avoids workers of its own
+	jobID          string // set for a job that avoids certain workers
 }
 
-// class is the queued jobs of one key in order of submission.
+// class is the queued jobs with one key, in order of submission.
 type class struct {
 	key     classKey
 	account *account
 	jobs    *btree.BTreeG[*job]
-	// failed says that the first job found no place; since and sinceAccount
-	// are the generations of the fleet and of the account's use at that time.
-	failed       bool
-	since        uint64
-	sinceAccount uint64
-	rank         int
-	share        float64
+	// noPlacement is true if the first job could not be placed. fleetGeneration
+	// and accountGeneration are the generations of the fleet and of the account's
+	// usage at that time.
+	noPlacement       bool
+	fleetGeneration   uint64
+	accountGeneration uint64
+	rank              int
+	weightedShare     float64
 }
 
 type queue struct {
-	classes map[classKey]*class
-	ordered []*class
-	size    int
+	classes   map[classKey]*class
+	classList []*class
+	size      int
 }
 
 func newQueue() *queue { return &queue{classes: map[classKey]*class{}} }
 
-func lessJob(a, b *job) bool {
+func submittedBefore(a, b *job) bool {
 	if order := a.rec.Job.Submitted.Compare(b.rec.Job.Submitted); order != 0 {
 		return order < 0
 	}
 	return a.id() < b.id()
 }
 
-func keyOf(j *job) classKey {
+func classKeyOf(j *job) classKey {
 	key := classKey{j.rec.Job.Profile, j.gang(), j.rec.Job.Idempotent, j.rec.Job.Checkpointable, ""}
-	if len(j.avoid) > 0 {
+	if len(j.avoidedWorkers) > 0 {
 		key.jobID = j.id()
 	}
 	return key
 }
 
-func (q *queue) add(j *job) {
-	key := keyOf(j)
+func (q *queue) insert(j *job) {
+	key := classKeyOf(j)
 	cl := q.classes[key]
 	if cl == nil {
-		cl = &class{key: key, account: j.account, jobs: btree.NewG(queueDegree, lessJob)}
+		cl = &class{key: key, account: j.account, jobs: btree.NewG(queueDegree, submittedBefore)}
 		q.classes[key] = cl
-		q.ordered = append(q.ordered, cl)
+		q.classList = append(q.classList, cl)
 	}
 	cl.jobs.ReplaceOrInsert(j)
 	j.class = cl
@@ -85,8 +86,8 @@
 		return
 	}
 	delete(q.classes, cl.key)
-	i := slices.Index(q.ordered, cl)
-	q.ordered = slices.Delete(q.ordered, i, i+1)
+	i := slices.Index(q.classList, cl)
+	q.classList = slices.Delete(q.classList, i, i+1)
 }
 
 func (cl *class) head() *job {
@@ -94,17 +95,17 @@
 	return j
 }
 
-// classHeap orders classes by rank, then by the account's share, then by the
-// age of the first job.
+// classHeap orders classes by rank, then by the account's weighted share, then by
+// the submission time of the first job.
 type classHeap []*class
 
 func (h classHeap) Len() int { return len(h) }
 func (h classHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	if order := cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.share, b.share)); order != 0 {
+	if order := cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.weightedShare, b.weightedShare)); order != 0 {
 		return order < 0
 	}
-	return lessJob(a.head(), b.head())
+	return submittedBefore(a.head(), b.head())
 }
 func (h classHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *classHeap) Push(x any)   { *h = append(*h, x.(*class)) }
@@ -116,7 +117,7 @@
 	return cl
 }
 
-// Ranks of classes, from the first served on.
+// Ranks of classes, the first one served first.
 const (
 	rankUrgent = iota
 	rankGuaranteed
@@ -124,35 +125,35 @@
 	rankOther
 )
 
-// schedule starts what can start after the changes of this step.
+// schedule starts the jobs that can start after the changes of this step.
 func (c *Core) schedule() {
 	if !c.mayStart() {
 		return
 	}
-	c.planSlots()
+	c.updateGuarantees()
 	if c.queue.size == 0 {
 		return
 	}
 	var ready classHeap
-	for _, cl := range c.queue.ordered {
-		if c.worthTrying(cl) {
+	for _, cl := range c.queue.classList {
+		if c.shouldTry(cl) {
 			c.rankClass(cl)
 			ready = append(ready, cl)
 		}
 	}
 	heap.Init(&ready)
 	for len(ready) > 0 {
-		c.serve(&ready)
+		c.startNext(&ready)
 	}
 }
 
-// serve tries the first job of the first class.
-func (c *Core) serve(ready *classHeap) {
+// startNext tries the first job of the first class.
+func (c *Core) startNext(ready *classHeap) {
 	cl := (*ready)[0]
 	j := cl.head()
-	if !c.try(j) {
-		cl.failed = true
-		cl.sinceAccount = cl.account.gen
+	if !c.tryStart(j) {
+		cl.noPlacement = true
+		cl.accountGeneration = cl.account.generation
 		heap.Pop(ready)
 		return
 	}
@@ -164,33 +165,33 @@
 	heap.Fix(ready, 0)
 }
 
-func (c *Core) worthTrying(cl *class) bool {
-	return !cl.failed || c.fleet.Generation() > cl.since || cl.account.gen > cl.sinceAccount
+func (c *Core) shouldTry(cl *class) bool {
+	return !cl.noPlacement || c.fleet.Generation() > cl.fleetGeneration || cl.account.generation > cl.accountGeneration
 }
 
 func (c *Core) rankClass(cl *class) {
 	p := c.config.Profiles[cl.key.profile]
-	cl.share = cl.account.share(c.fleet.InServiceCapacity(), p.Weight)
+	cl.weightedShare = cl.account.weightedShare(c.fleet.InServiceCapacity(), p.Weight)
 	switch {
 	case p.Urgent:
 		cl.rank = rankUrgent
-	case c.slotOpen(cl.key.profile, cl.key.gang.PerTask):
+	case c.hasOpenGuarantee(cl.key.profile, cl.key.gang.PerTask):
 		cl.rank = rankGuaranteed
-	case cl.head().waiting != nil:
+	case cl.head().waitingReservation != nil:
 		cl.rank = rankReserved
 	default:
 		cl.rank = rankOther
 	}
 }
 
-// account is what one client account uses.
+// account is the usage of one client account.
 type account struct {
 	name string
 	used api.Resources
-	// surplus is the part of used outside of guarantees.
-	surplus api.Resources
-	// gen rises when the account's use falls.
-	gen uint64
+	// unguaranteed is the part of used that is outside of guarantees.
+	unguaranteed api.Resources
+	// generation increases when the account's usage decreases.
+	generation uint64
 }
 
 func (c *Core) accountOf(j *job) *account {
@@ -208,65 +209,67 @@
 	return a
 }
 
-// reviewAccounts brings the queue up to date with a new configuration.
-func (c *Core) reviewAccounts() {
+// refreshAccounts updates the accounts of jobs and classes after a configuration
+// change.
+func (c *Core) refreshAccounts() {
 	for _, j := range c.jobs {
 		j.account = c.accountOf(j)
 	}
-	for _, cl := range c.queue.ordered {
-		cl.failed = false
+	for _, cl := range c.queue.classList {
+		cl.noPlacement = false
 		cl.account = cl.head().account
 	}
 }
 
-func (a *account) add(g *group) {
-	a.used = a.used.Add(g.amount)
-	if g.share == nil {
-		a.surplus = a.surplus.Add(g.amount)
+func (a *account) addGroup(g *group) {
+	a.used = a.used.Add(g.resources)
+	if g.reservedPart == nil {
+		a.unguaranteed = a.unguaranteed.Add(g.resources)
 	}
 }
 
-func (a *account) sub(g *group) {
-	a.gen++
-	a.used = a.used.Sub(g.amount)
-	if g.share == nil {
-		a.surplus = a.surplus.Sub(g.amount)
+func (a *account) removeGroup(g *group) {
+	a.generation++
+	a.used = a.used.Sub(g.resources)
+	if g.reservedPart == nil {
+		a.unguaranteed = a.unguaranteed.Sub(g.resources)
 	}
 }
 
-// share is the account's dominant share of the fleet outside of its
+// weightedShare returns the account's dominant share of the fleet outside of its
 // guarantees, divided by the weight.
-func (a *account) share(fleet api.Resources, weight int) float64 {
-	part := func(used, all int) float64 {
-		if all == 0 {
+func (a *account) weightedShare(capacity api.Resources, weight int) float64 {
+	fraction := func(used, total int) float64 {
+		if total == 0 {
 			return 0
 		}
-		return float64(used) / float64(all)
+		return float64(used) / float64(total)
 	}
 	dominant := max(
-		part(a.surplus.Accelerators, fleet.Accelerators),
-		part(a.surplus.MilliCPU, fleet.MilliCPU),
-		part(a.surplus.MemoryMB, fleet.MemoryMB))
+		fraction(a.unguaranteed.Accelerators, capacity.Accelerators),
+		fraction(a.unguaranteed.MilliCPU, capacity.MilliCPU),
+		fraction(a.unguaranteed.MemoryMB, capacity.MemoryMB))
 	return dominant / float64(max(1, weight))
 }
 
-// missingProfileWait is how long a job waits for a configuration that has its profile.
+// missingProfileWait is how long a job waits for a configuration that contains its
+// profile.
 const missingProfileWait = 30 * time.Second
 
-func (c *Core) missingProfile(j *job) {
+func (c *Core) handleMissingProfile(j *job) {
 	if c.now-j.queuedAt < missingProfileWait {
 		return
 	}
-	c.refuseQueued(j, ReasonUnknownProfile, "profile \""+j.rec.Job.Profile+"\" does not exist")
+	c.rejectQueued(j, ReasonUnknownProfile, "profile \""+j.rec.Job.Profile+"\" does not exist")
 }
 
-// refuseQueued answers a queued job that can not go on.
-func (c *Core) refuseQueued(j *job, why Reason, detail string) {
-	c.notice(j, "", why, detail)
+// rejectQueued finishes a queued job that cannot run.
+func (c *Core) rejectQueued(j *job, reason Reason, detail string) {
+	c.emitNotice(j, "", reason, detail)
 	c.leaveQueue(j)
 	if j.everStarted {
-		c.finish(j, api.OutcomeFailed, detail)
+		c.finishJob(j, api.OutcomeFailed, detail)
 		return
 	}
-	c.finish(j, api.OutcomeNotRun, detail)
+	c.finishJob(j, api.OutcomeNotRun, detail)
 }
--- a/internal/sched/zones.go
+++ b/internal/sched/zones.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// zoneSteps is in how many steps the racks of a returning zone are opened.
-	zoneSteps = 4
-	// zoneStepInterval is the time between two steps.
-	zoneStepInterval = 5 * time.Second
-	// moveBatch is how many gangs are moved out of zones per tick.
-	moveBatch = 16
+	// zoneReopenSteps is the number of steps in which the racks of a zone reopen.
+	zoneReopenSteps = 4
+	// zoneReopenInterval is the time between two steps.
+	zoneReopenInterval = 5 * time.Second
+	// movesPerTick is the number of gangs that are moved per tick.
+	movesPerTick = 16
 )
 
-// zoneReturn is the state of a zone that comes back by steps.
-type zoneReturn struct{ step int }
+// zoneReopening is the progress of a zone that reopens in steps.
+type zoneReopening struct{ step int }
 
-func (c *Core) configured(config *api.Config) {
+func (c *Core) handleConfigUpdate(config *api.Config) {
 	if config == nil || (c.config != nil && config.Version < c.config.Version) {
 		return
 	}
@@ -30,17 +30,17 @@
 	for _, zone := range c.fleet.Zones() {
 		c.configureZone(zone, first)
 	}
-	c.reviewAccounts()
-	c.configureSlots()
+	c.refreshAccounts()
+	c.configureGuarantees()
 }
 
 func (c *Core) configureZone(zone string, first bool) {
 	out := c.config.ZoneOut(zone)
 	var changed []*worker
 	for _, r := range c.fleet.Racks(zone) {
-		for _, fw := range r.Workers {
-			if fw.ZoneOut != out {
-				changed = append(changed, c.workers[fw.Name])
+		for _, fleetWorker := range r.Workers {
+			if fleetWorker.ZoneOut != out {
+				changed = append(changed, c.workers[fleetWorker.Name])
 			}
 		}
 	}
@@ -48,56 +48,57 @@
 		return
 	}
 	if out {
-		c.takeOut(zone, changed)
+		c.takeZoneOut(zone, changed)
 		return
 	}
 	if !first {
-		c.notice(nil, "", ReasonZoneReturning, zone)
-		c.zones[zone] = &zoneReturn{}
+		c.emitNotice(nil, "", ReasonZoneReturning, zone)
+		c.reopeningZones[zone] = &zoneReopening{}
 	}
 	for _, w := range changed {
-		c.update(w, func(f *fleet.Worker) {
+		c.updateWorker(w, func(f *fleet.Worker) {
 			f.ZoneOut = false
 			f.AwaitingReopen = !first
 		})
 	}
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	if !first {
-		c.zoneStep(zone, c.zones[zone])
+		c.reopenNextRacks(zone, c.reopeningZones[zone])
 	}
 }
 
-func (c *Core) takeOut(zone string, workers []*worker) {
-	c.notice(nil, "", ReasonZoneOut, zone)
-	delete(c.zones, zone)
+func (c *Core) takeZoneOut(zone string, workers []*worker) {
+	c.emitNotice(nil, "", ReasonZoneOut, zone)
+	delete(c.reopeningZones, zone)
 	for _, w := range workers {
-		c.update(w, func(f *fleet.Worker) {
+		c.updateWorker(w, func(f *fleet.Worker) {
 			f.ZoneOut = true
 			f.AwaitingReopen = false
 		})
 	}
-	c.slotsDirty = true
+	c.guaranteesDirty = true
 	for _, w := range workers {
-		c.vacate(w)
+		c.vacateWorker(w)
 	}
 }
 
-// vacate ends everything on a worker that has not started and moves what runs.
-func (c *Core) vacate(w *worker) {
-	why := leaveReason(w)
-	c.slotsDirty = true
-	c.dropClaimsOn(w)
+// vacateWorker ends everything on a worker that has not started and moves running
+// jobs.
+func (c *Core) vacateWorker(w *worker) {
+	reason := leaveReason(w)
+	c.guaranteesDirty = true
+	c.dropWorkerClaims(w)
 	for _, g := range slices.Clone(w.groups) {
 		if g.detached {
 			continue
 		}
 		switch g.job.phase {
 		case phaseHolding:
-			c.preempt(g.job, 0, why)
+			c.preempt(g.job, 0, reason)
 		case phaseSaving:
-			c.abortSaving(g.job, string(why))
+			c.abortSaving(g.job, string(reason))
 		case phaseRunning:
-			c.moveLater(g.job)
+			c.addPendingMove(g.job)
 		}
 	}
 }
@@ -109,15 +110,16 @@
 	return ReasonWorkerLeaving
 }
 
-// moveIfOut moves a job that was taken over in a zone that is out.
-func (c *Core) moveIfOut(j *job) {
-	if j.leaves() != nil {
-		c.moveLater(j)
+// moveIfWorkerLeaves moves an adopted job that runs in a zone that is out or on a
+// worker that is leaving.
+func (c *Core) moveIfWorkerLeaves(j *job) {
+	if j.workerToLeave() != nil {
+		c.addPendingMove(j)
 	}
 }
 
-// leaves returns a worker of the job that it has to leave, or nil.
-func (j *job) leaves() *worker {
+// workerToLeave returns a worker that the job has to leave, or nil.
+func (j *job) workerToLeave() *worker {
 	for _, g := range j.groups {
 		if g.live() && (g.worker.ZoneOut || g.worker.Leaving) {
 			return g.worker
@@ -126,42 +128,43 @@
 	return nil
 }
 
-// moveLater notes a job that has to leave its workers. A job that can not
-// resume from a checkpoint runs to its end: stopping it would lose its work.
-func (c *Core) moveLater(j *job) {
-	if !j.movable() || !j.rec.Job.Checkpointable || j.moving {
+// addPendingMove records a job that has to leave its workers. A job that cannot
+// resume from a checkpoint runs to its end, because stopping it would lose its
+// work.
+func (c *Core) addPendingMove(j *job) {
+	if !j.restartable() || !j.rec.Job.Checkpointable || j.movePending {
 		return
 	}
-	j.moving = true
-	c.moving = append(c.moving, j)
+	j.movePending = true
+	c.pendingMoves = append(c.pendingMoves, j)
 }
 
-// moveFromOutZones moves the next jobs, those within guarantees first.
-func (c *Core) moveFromOutZones() {
-	if len(c.moving) == 0 || !c.authority.Owner {
+// movePendingJobs moves the next pending jobs, those within guarantees first.
+func (c *Core) movePendingJobs() {
+	if len(c.pendingMoves) == 0 || !c.ownerStatus.Owner {
 		return
 	}
-	slices.SortStableFunc(c.moving, func(a, b *job) int {
+	slices.SortStableFunc(c.pendingMoves, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(c.moveRank(a), c.moveRank(b)), cmp.Compare(a.id(), b.id()))
 	})
 	moved := 0
-	for len(c.moving) > 0 && moved < moveBatch {
-		j := c.moving[0]
-		c.moving = c.moving[1:]
-		j.moving = false
-		w := j.leaves()
+	for len(c.pendingMoves) > 0 && moved < movesPerTick {
+		j := c.pendingMoves[0]
+		c.pendingMoves = c.pendingMoves[1:]
+		j.movePending = false
+		w := j.workerToLeave()
 		if j.phase != phaseRunning || j.adopting || w == nil {
 			continue
 		}
-		c.notice(j, "", leaveReason(w), "")
-		c.end(j, grace(j), leaveReason(w))
+		c.emitNotice(j, "", leaveReason(w), "")
+		c.endAttempt(j, checkpointGrace(j), leaveReason(w))
 		moved++
 	}
 }
 
 func (c *Core) moveRank(j *job) int {
 	switch {
-	case j.reserved != nil || len(c.slotsOf[j.rec.Job.Profile]) > 0:
+	case j.reservation != nil || len(c.guaranteesOf[j.rec.Job.Profile]) > 0:
 		return rankGuaranteed
 	case c.config.Profiles[j.rec.Job.Profile].Urgent:
 		return rankUrgent
@@ -169,41 +172,41 @@
 	return rankOther
 }
 
-// zoneStep opens the next part of a returning zone's racks.
-func (c *Core) zoneStep(zone string, ret *zoneReturn) {
-	if c.zones[zone] != ret {
+// reopenNextRacks reopens the next racks of a zone.
+func (c *Core) reopenNextRacks(zone string, reopening *zoneReopening) {
+	if c.reopeningZones[zone] != reopening {
 		return
 	}
-	ret.step++
+	reopening.step++
 	racks := c.fleet.Racks(zone)
-	for i := range c.openRacks(zone) {
+	for i := range c.openRackCount(zone) {
 		for _, w := range racks[i].Workers {
 			if w.AwaitingReopen {
-				c.update(c.workers[w.Name], func(f *fleet.Worker) { f.AwaitingReopen = false })
+				c.updateWorker(c.workers[w.Name], func(f *fleet.Worker) { f.AwaitingReopen = false })
 			}
 		}
 	}
-	if ret.step >= zoneSteps {
-		delete(c.zones, zone)
+	if reopening.step >= zoneReopenSteps {
+		delete(c.reopeningZones, zone)
 		return
 	}
-	c.after(zoneStepInterval, func() { c.zoneStep(zone, ret) })
+	c.after(zoneReopenInterval, func() { c.reopenNextRacks(zone, reopening) })
 }
 
-// openRacks is how many racks of a zone are open.
-func (c *Core) openRacks(zone string) int {
+// openRackCount returns the number of racks of a zone that are open.
+func (c *Core) openRackCount(zone string) int {
 	n := len(c.fleet.Racks(zone))
-	ret := c.zones[zone]
-	if ret == nil {
+	reopening := c.reopeningZones[zone]
+	if reopening == nil {
 		return n
 	}
-	return (n*ret.step + zoneSteps - 1) / zoneSteps
+	return (n*reopening.step + zoneReopenSteps - 1) / zoneReopenSteps
 }
 
-// stepping reports whether a worker's rack waits for a later step of its zone.
-func (c *Core) stepping(w *fleet.Worker) bool {
-	if c.zones[w.Zone] == nil || w.ZoneOut {
+// awaitsReopen reports whether a worker's rack reopens in a later step of its zone.
+func (c *Core) awaitsReopen(w *fleet.Worker) bool {
+	if c.reopeningZones[w.Zone] == nil || w.ZoneOut {
 		return false
 	}
-	return slices.Index(c.fleet.Racks(w.Zone), w.Rack) >= c.openRacks(w.Zone)
+	return slices.Index(c.fleet.Racks(w.Zone), w.Rack) >= c.openRackCount(w.Zone)
 }
