--- a/internal/entry/graphs/scheduler.go
+++ b/internal/entry/graphs/scheduler.go
@@ -19,52 +19,56 @@
 )
 
 const (
-	// Lease is how long a worker runs on without a grant of the owner: long
-	// enough for a takeover and a short outage of the table.
-	Lease = 6 * time.Second
-	// clockRate is by how much a worker's clock may be slow.
-	clockRate = 0.02
-	// leaseSlack is added for the grain of the workers' clocks.
+	// LeaseDuration is how long a worker continues to run without a lease grant
+	// of the owner: long enough for a takeover and a short outage of the table.
+	LeaseDuration = 6 * time.Second
+	// maxClockDrift is the maximum relative rate by which a worker's clock may
+	// be slow.
+	maxClockDrift = 0.02
+	// leaseSlack covers the resolution of the workers' clocks.
 	leaseSlack = 300 * time.Millisecond
-	// tickInterval is the time between two looks of the core at the clock.
+	// tickInterval is the time between two Tick events of the core.
 	tickInterval = 200 * time.Millisecond
-	// loadRetry is the time between two tries to begin a term.
-	loadRetry = 150 * time.Millisecond
-	// feedWait is how long one call of the feed waits for a row.
-	feedWait = 2 * time.Second
-	// saveRetry is the time between two tries to save a job's progress.
-	saveRetry = 150 * time.Millisecond
-	// loadTimeout bounds the reading of all jobs.
+	// termRetryInterval is the delay before the next attempt to begin a term or
+	// to read the feed after a failure.
+	termRetryInterval = 150 * time.Millisecond
+	// feedPollTimeout is how long one call of the feed waits for a row.
+	feedPollTimeout = 2 * time.Second
+	// saveRetryInterval is the delay before the next attempt to save a job's
+	// progress.
+	saveRetryInterval = 150 * time.Millisecond
+	// loadTimeout bounds the fencing and the reading of all jobs when a term
+	// begins.
 	loadTimeout = 8 * time.Second
 )
 
-// Limits are the bounds that a deployment sets to what its workers do.
+// Limits are deployment-specific limits of the workers.
 type Limits struct {
-	// MaxLease is the longest lease that a worker grants; 0 for any.
+	// MaxLease is the longest lease that a worker accepts; 0 if unlimited.
 	MaxLease time.Duration
-	// StopTime is how long a worker may take to stop a run; 0 for the usual time.
+	// StopTime is how long a worker may take to stop a run; 0 for the default.
 	StopTime time.Duration
 }
 
-// lease is how long a worker runs on without a grant.
-func (l Limits) lease() time.Duration {
+// leaseDuration is how long a worker continues to run without a grant.
+func (l Limits) leaseDuration() time.Duration {
 	if l.MaxLease == 0 {
-		return Lease
+		return LeaseDuration
 	}
-	return min(Lease, l.MaxLease)
+	return min(LeaseDuration, l.MaxLease)
 }
 
-// leaseBound is how long after a worker's last report its lease has ended on
-// any clock.
+// leaseBound is the time after a worker's last report by which its lease has
+// expired, for any clock drift up to maxClockDrift.
 func (l Limits) leaseBound() time.Duration {
-	return time.Duration(float64(l.lease())*(1+2*clockRate)) + leaseSlack
+	return time.Duration(float64(l.leaseDuration())*(1+2*maxClockDrift)) + leaseSlack
 }
 
-// Ownership tells whether this process owns scheduling.
+// Ownership reports whether this process owns scheduling.
 type Ownership interface {
 	Current() owner.Authority
 	Subscribe(fn func(owner.Authority))
-	// Overlap is for how long an earlier owner may still act after this process
+	// Overlap is how long a previous owner may still act after this process
 	// has become the owner.
 	Overlap() time.Duration
 }
@@ -91,12 +95,12 @@
 	return &Scheduler{owner: o, store: s, policies: p, limits: limits, clock: clock, now: now, registry: registry, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Start starts to follow the ownership.
+// Start begins to follow changes of ownership and policy.
 func (s *Scheduler) Start(context.Context) error {
 	s.loops.Begin()
-	s.owner.Subscribe(func(owner.Authority) { s.poke() })
+	s.owner.Subscribe(func(owner.Authority) { s.wakeUp() })
 	s.policies.Subscribe(func(p *policy.Snapshot) {
-		if t := s.current(); t != nil {
+		if t := s.currentTerm(); t != nil {
 			t.step(plan.PolicyChanged{Policy: p})
 		}
 	})
@@ -104,27 +108,28 @@
 	return nil
 }
 
-// Stop ends the term. Workers run on until the next owner is there.
+// Stop ends the term. Workers continue to run until the next owner takes over or
+// their lease expires.
 func (s *Scheduler) Stop(context.Context) error {
 	s.loops.End()
 	return nil
 }
 
-func (s *Scheduler) poke() {
+func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// current returns the term in progress, nil without one.
-func (s *Scheduler) current() *term {
+// currentTerm returns the term in progress, or nil.
+func (s *Scheduler) currentTerm() *term {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term
 }
 
-func (s *Scheduler) set(t *term) {
+func (s *Scheduler) setTerm(t *term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.term = t
@@ -140,27 +145,28 @@
 			}
 			continue
 		}
-		if err := s.serve(ctx, a.Epoch); err != nil && ctx.Err() == nil {
-			s.log.Warn().Err(err).Uint64("epoch", a.Epoch).Msg("term ended")
-			kernel.Sleep(ctx, loadRetry)
+		if err := s.runTerm(ctx, a.Epoch); err != nil && ctx.Err() == nil {
+			s.log.Warn().Err(err).Uint64("epoch", a.Epoch).Msg("scheduling term ended")
+			kernel.Sleep(ctx, termRetryInterval)
 		}
 	}
 }
 
-// serve begins a term, runs it until it ends and returns why.
-func (s *Scheduler) serve(ctx context.Context, epoch uint64) error {
+// runTerm begins a term, runs it until it ends and returns the reason for its
+// end.
+func (s *Scheduler) runTerm(ctx context.Context, epoch uint64) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	t, err := s.begin(ctx, epoch, cancel)
+	t, err := s.beginTerm(ctx, epoch, cancel)
 	if err != nil {
 		return err
 	}
-	s.set(t)
+	s.setTerm(t)
 	defer func() {
-		s.set(nil)
+		s.setTerm(nil)
 		t.close()
 	}()
-	go t.follow(ctx)
+	go t.followFeed(ctx)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -170,46 +176,48 @@
 		case <-s.wake:
 		case <-ticker.C:
 		}
-		if !t.valid() {
+		if !t.ownsScheduling() {
 			return errors.New("ownership is over")
 		}
 		t.step(plan.Tick{})
 	}
 }
 
-// begin fences earlier owners off and loads all jobs.
-func (s *Scheduler) begin(ctx context.Context, epoch uint64, end context.CancelCauseFunc) (*term, error) {
+// beginTerm fences off earlier owners and loads all jobs.
+func (s *Scheduler) beginTerm(ctx context.Context, epoch uint64, cancelTerm context.CancelCauseFunc) (*term, error) {
 	start := s.clock()
 	loadCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	token, version, err := s.store.Fence(loadCtx, epoch)
+	token, version, err := s.store.AdvanceFence(loadCtx, epoch)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	jobs, err := s.store.Load(loadCtx)
+	jobs, err := s.store.LoadJobs(loadCtx)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	t := newTerm(s, epoch, token, version, end)
+	t := newTerm(s, epoch, token, version, cancelTerm)
 	t.ctx = ctx
 	if p := s.policies.LatestSnapshot(); p != nil {
 		t.step(plan.PolicyChanged{Policy: p})
 	}
-	t.load(jobs)
-	t.log.Info().Int("jobs", len(jobs)).Dur("took_ms", s.clock()-start).Msg("term began")
+	t.loadJobs(jobs)
+	t.log.Info().Int("jobs", len(jobs)).Dur("took_ms", s.clock()-start).Msg("scheduling term began")
 	return t, nil
 }
 
-// Owns reports whether this process runs a term.
+// Owns reports whether this process has a term in progress and still owns
+// scheduling.
 func (s *Scheduler) Owns() bool {
-	t := s.current()
-	return t != nil && t.valid()
+	t := s.currentTerm()
+	return t != nil && t.ownsScheduling()
 }
 
-// Status returns a job's state if this process is the owner and knows it.
-func (s *Scheduler) Status(id graph.JobID) (graph.State, bool) {
-	t := s.current()
-	if t == nil || !t.valid() {
+// JobState returns a job's state; the result is false if this process is not the
+// owner or does not know the job.
+func (s *Scheduler) JobState(id graph.JobID) (graph.State, bool) {
+	t := s.currentTerm()
+	if t == nil || !t.ownsScheduling() {
 		return "", false
 	}
 	t.mu.Lock()
@@ -218,10 +226,11 @@
 	return v.State, ok
 }
 
-// Pending returns a queue's length if this process is the owner.
-func (s *Scheduler) Pending(queue string) (int, bool) {
-	t := s.current()
-	if t == nil || !t.valid() {
+// PendingJobs returns the number of a queue's pending jobs; the result is false if
+// this process is not the owner.
+func (s *Scheduler) PendingJobs(queue string) (int, bool) {
+	t := s.currentTerm()
+	if t == nil || !t.ownsScheduling() {
 		return 0, false
 	}
 	t.mu.Lock()
@@ -229,9 +238,9 @@
 	return t.core.PendingJobs(queue), true
 }
 
-// DumpState returns the state for the dump on request.
+// DumpState returns the core's state for the state dump, nil without a term.
 func (s *Scheduler) DumpState() any {
-	t := s.current()
+	t := s.currentTerm()
 	if t == nil {
 		return nil
 	}
@@ -240,36 +249,37 @@
 	return t.core.Dump()
 }
 
-// follow takes in what callers have stored since the term began.
-func (t *term) follow(ctx context.Context) {
-	after := t.fence
-	lost := false
+// followFeed applies the rows that entries have written since the term began.
+func (t *term) followFeed(ctx context.Context) {
+	after := t.fenceVersion
+	failing := false
 	for ctx.Err() == nil {
-		rows, upTo, err := t.store.table.Feed(ctx, jobsPrefix, after, feedWait)
+		rows, upTo, err := t.store.table.Feed(ctx, jobsPrefix, after, feedPollTimeout)
 		if err == nil {
-			t.take(rows)
+			t.applyRows(rows)
 			after = upTo
-			if lost {
-				lost = false
-				t.log.Info().Msg("feed of jobs regained")
+			if failing {
+				failing = false
+				t.log.Info().Msg("job feed recovered")
 			}
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if !lost {
-			lost = true
-			t.log.Warn().Err(err).Uint64("after", after).Msg("feed of jobs lost")
+		if !failing {
+			failing = true
+			t.log.Warn().Err(err).Uint64("after", after).Msg("job feed failed; retrying")
 		}
-		after = t.catchUp(ctx, after, err)
+		after = t.recoverFeed(ctx, after, err)
 	}
 }
 
-// catchUp waits after a failure of the feed and, where its history is gone,
-// reads all jobs. It returns the version to go on from.
-func (t *term) catchUp(ctx context.Context, after uint64, cause error) uint64 {
-	kernel.Sleep(ctx, loadRetry)
+// recoverFeed waits after a failure of the feed and reloads all jobs if the
+// history after the given version is no longer available. It returns the version
+// from which to continue.
+func (t *term) recoverFeed(ctx context.Context, after uint64, cause error) uint64 {
+	kernel.Sleep(ctx, termRetryInterval)
 	if !errors.Is(cause, external.ErrHistoryGone) {
 		return after
 	}
@@ -277,19 +287,19 @@
 	if err != nil {
 		return after
 	}
-	jobs, err := t.store.Load(ctx)
+	jobs, err := t.store.LoadJobs(ctx)
 	if err != nil {
 		return after
 	}
-	t.load(jobs)
+	t.loadJobs(jobs)
 	return newest
 }
 
-func (t *term) take(rows []ledger.Row) {
-	found, err := decode(rows)
+func (t *term) applyRows(rows []ledger.Row) {
+	jobs, err := decodeJobs(rows)
 	if err != nil {
-		t.log.Error().Err(err).Msg("row of the feed cannot be read")
+		t.log.Error().Err(err).Msg("failed to decode rows of job feed")
 		return
 	}
-	t.load(found)
+	t.loadJobs(jobs)
 }
