--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client is an HTTP client of an entry's interface for callers and
+// Package client is an HTTP client of the API that an entry offers to callers and
 // operators.
 package client
 
@@ -19,20 +19,20 @@
 	"github.com/juju/errors"
 )
 
-// Errors without an answer. After ErrUnreachable nothing has been changed;
-// after ErrNoAnswer a change may or may not have taken effect.
+// Errors of calls without a complete response. After ErrUnreachable nothing has been
+// changed; after ErrNoResponse a change may or may not have taken effect.
 const (
 	ErrUnreachable = errors.ConstError("entry not reachable")
-	ErrNoAnswer    = errors.ConstError("no complete answer from the entry")
+	ErrNoResponse  = errors.ConstError("no complete answer from the entry")
 )
 
-// ProblemError is a refusal by the entry.
+// ProblemError is an error response of the entry.
 type ProblemError struct {
 	Problem api.Problem
-	// Outcome is what the entry says about the call, or empty.
+	// Outcome is the outcome that the entry reports, or empty.
 	Outcome api.Outcome
-	// Change is true for a call that asked for a change or for work.
-	Change bool
+	// Mutating is true for calls that request a change or submit work.
+	Mutating bool
 }
 
 // Error returns the problem's title and detail.
@@ -43,117 +43,119 @@
 	return fmt.Sprintf("%s: %s", e.Problem.Title, e.Problem.Detail)
 }
 
-// idleConnTimeout lets a client that is not used any more hold no connection.
+// idleConnTimeout closes the connections of a client that is no longer used.
 const idleConnTimeout = 2 * time.Second
 
-// maxAnswerBytes bounds an answer's body.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds the body of a response.
+const maxResponseBytes = 64 << 20
 
-// Client talks to one entry, or to the balancer in front of the entries.
+// Client sends calls to one entry, or to the balancer in front of the entries.
 type Client struct {
-	base    string
-	timeout time.Duration
-	http    *http.Client
+	baseURL    string
+	timeout    time.Duration
+	httpClient *http.Client
 }
 
 // New returns a client for the address, which is HOST:PORT or a base URL.
-// The timeout bounds each call, in addition to what the call waits for.
+// The timeout bounds each call; the time that a call asks the entry to wait is added.
 func New(address string, timeout time.Duration) *Client {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
 	}
 	return &Client{
-		base:    strings.TrimRight(address, "/"),
+		baseURL: strings.TrimRight(address, "/"),
 		timeout: timeout,
-		http: &http.Client{Transport: &http.Transport{
+		httpClient: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 1,
 			IdleConnTimeout:     idleConnTimeout,
 		}},
 	}
 }
 
-// call is one HTTP call.
-type call struct {
+// apiCall describes one HTTP request to the entry.
+type apiCall struct {
 	method string
 	path   string
 	query  url.Values
 	header http.Header
 	body   []byte
-	// wait is how long the entry may take in addition to the timeout.
+	// wait is added to the client's timeout.
 	wait time.Duration
 }
 
-// answer is a complete answer.
-type answer struct {
+// response is an HTTP response with its complete body.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// do carries out the call and returns its complete answer, whatever its status.
-func (c *Client) do(ctx context.Context, call call) (answer, error) {
+// send sends the call and returns the complete response, whatever its status.
+func (c *Client) send(ctx context.Context, call apiCall) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.wait)
 	defer cancel()
-	target := c.base + call.path
+	target := c.baseURL + call.path
 	if len(call.query) > 0 {
 		target += "?" + call.query.Encode()
 	}
 	req, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
-		return answer{}, errors.NewNotValid(err, "entry address")
+		return response{}, errors.NewNotValid(err, "entry address")
 	}
 	for name, values := range call.header {
 		req.Header[name] = values
 	}
 	sent := false
-	resp, err := c.http.Do(withSentTrace(req, &sent))
+	resp, err := c.httpClient.Do(withSentTrace(req, &sent))
 	if err != nil {
-		return answer{}, transportError(call.method, sent, err)
+		return response{}, transportError(call.method, sent, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return answer{}, transportError(call.method, sent, err)
+		return response{}, transportError(call.method, sent, err)
 	}
-	if len(body) > maxAnswerBytes {
-		return answer{}, errors.Annotatef(ErrNoAnswer, "answer exceeds %d bytes", maxAnswerBytes)
+	if len(body) > maxResponseBytes {
+		return response{}, errors.Annotatef(ErrNoResponse, "answer exceeds %d bytes", maxResponseBytes)
 	}
-	return answer{resp.StatusCode, resp.Header, body}, nil
+	return response{resp.StatusCode, resp.Header, body}, nil
 }
 
-// transportError tells a call that has had no effect from one that may have.
+// transportError returns ErrUnreachable if the call cannot have had an effect, and
+// ErrNoResponse if it may have.
 func transportError(method string, sent bool, err error) error {
 	if !sent || method == http.MethodGet {
 		return errors.Annotate(ErrUnreachable, err.Error())
 	}
-	return errors.Annotate(ErrNoAnswer, err.Error())
+	return errors.Annotate(ErrNoResponse, err.Error())
 }
 
-// json carries out the call and reads its answer into out, if out is not nil.
-func (c *Client) json(ctx context.Context, call call, out any) (answer, error) {
-	a, err := c.do(ctx, call)
+// sendJSON sends the call and decodes the response into out, unless out is nil. A
+// status of 400 or more is a ProblemError.
+func (c *Client) sendJSON(ctx context.Context, call apiCall, out any) (response, error) {
+	resp, err := c.send(ctx, call)
 	if err != nil {
-		return a, err
+		return resp, err
 	}
-	if a.status >= http.StatusBadRequest {
-		return a, problemError(call.method, a)
+	if resp.status >= http.StatusBadRequest {
+		return resp, problemError(call.method, resp)
 	}
-	if out == nil || len(a.body) == 0 {
-		return a, nil
+	if out == nil || len(resp.body) == 0 {
+		return resp, nil
 	}
-	if err := json.Unmarshal(a.body, out); err != nil {
-		return a, errors.Annotatef(ErrNoAnswer, "answer of %s %s not understood: %v", call.method, call.path, err)
+	if err := json.Unmarshal(resp.body, out); err != nil {
+		return resp, errors.Annotatef(ErrNoResponse, "answer of %s %s not understood: %v", call.method, call.path, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
-func problemError(method string, a answer) error {
-	e := &ProblemError{Outcome: api.Outcome(a.header.Get(httpx.HeaderOutcome)), Change: method != http.MethodGet}
-	if err := json.Unmarshal(a.body, &e.Problem); err != nil || e.Problem.Title == "" {
-		e.Problem = api.Problem{Title: http.StatusText(a.status), Detail: string(bytes.TrimSpace(a.body))}
+func problemError(method string, resp response) error {
+	e := &ProblemError{Outcome: api.Outcome(resp.header.Get(httpx.HeaderOutcome)), Mutating: method != http.MethodGet}
+	if err := json.Unmarshal(resp.body, &e.Problem); err != nil || e.Problem.Title == "" {
+		e.Problem = api.Problem{Title: http.StatusText(resp.status), Detail: string(bytes.TrimSpace(resp.body))}
 	}
-	e.Problem.Status = a.status
-	if seconds, err := strconv.Atoi(a.header.Get("Retry-After")); err == nil {
+	e.Problem.Status = resp.status
+	if seconds, err := strconv.Atoi(resp.header.Get("Retry-After")); err == nil {
 		e.Problem.RetryAfter = seconds
 	}
 	return e
--- a/internal/client/work.go
+++ b/internal/client/work.go
@@ -12,14 +12,15 @@
 	"github.com/juju/errors"
 )
 
-// JobsQuery selects jobs of a list.
+// JobsQuery selects a page of the list of jobs. After is the Next of the page before,
+// or empty for the first page; the zero Limit leaves the page size to the entry.
 type JobsQuery struct {
 	State api.JobState
 	After string
 	Limit int
 }
 
-// JobsPage is a part of a list. Next is the After of the next part, or "".
+// JobsPage is one page of the list of jobs. Next is the After of the next page, or "".
 type JobsPage struct {
 	Jobs []api.JobRecord `json:"jobs"`
 	Next string          `json:"next"`
@@ -27,8 +28,8 @@
 
 func jobPath(id string) string { return "/v1/jobs/" + url.PathEscape(id) }
 
-// SubmitJob submits a job. The same key always gives the same job, so that a
-// call without an answer can be repeated.
+// SubmitJob submits a job. The same key always gives the same job, so a call without
+// a response can be repeated.
 func (c *Client) SubmitJob(ctx context.Context, job api.JobRequest, key string) (api.JobRecord, error) {
 	var record api.JobRecord
 	body, header, err := jsonBody(job)
@@ -36,11 +37,11 @@
 		return record, err
 	}
 	header.Set(httpx.HeaderIdempotencyKey, key)
-	_, err = c.json(ctx, call{method: http.MethodPost, path: "/v1/jobs", header: header, body: body}, &record)
+	_, err = c.sendJSON(ctx, apiCall{method: http.MethodPost, path: "/v1/jobs", header: header, body: body}, &record)
 	return record, err
 }
 
-// Jobs returns a part of the list of jobs.
+// Jobs returns one page of the list of jobs.
 func (c *Client) Jobs(ctx context.Context, q JobsQuery) (JobsPage, error) {
 	query := url.Values{}
 	if q.State != "" {
@@ -53,29 +54,29 @@
 		query.Set("limit", strconv.Itoa(q.Limit))
 	}
 	var page JobsPage
-	_, err := c.json(ctx, call{method: http.MethodGet, path: "/v1/jobs", query: query}, &page)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodGet, path: "/v1/jobs", query: query}, &page)
 	return page, err
 }
 
-// Job returns a job, after waiting up to wait for its end.
+// Job returns a job. If wait is positive, the entry waits up to wait for the job to end.
 func (c *Client) Job(ctx context.Context, id string, wait time.Duration) (api.JobRecord, error) {
-	call := call{method: http.MethodGet, path: jobPath(id), wait: wait}
+	call := apiCall{method: http.MethodGet, path: jobPath(id), wait: wait}
 	if wait > 0 {
 		call.query = url.Values{"wait": {wait.String()}}
 	}
 	var record api.JobRecord
-	_, err := c.json(ctx, call, &record)
+	_, err := c.sendJSON(ctx, call, &record)
 	return record, err
 }
 
-// CancelJob asks for the end of a job.
+// CancelJob requests the cancellation of a job.
 func (c *Client) CancelJob(ctx context.Context, id string) (api.JobRecord, error) {
 	var record api.JobRecord
-	_, err := c.json(ctx, call{method: http.MethodDelete, path: jobPath(id)}, &record)
+	_, err := c.sendJSON(ctx, apiCall{method: http.MethodDelete, path: jobPath(id)}, &record)
 	return record, err
 }
 
-// Request is one call of a service.
+// Request is one request to a service.
 type Request struct {
 	Service     string
 	Profile     string
@@ -86,17 +87,18 @@
 	Body        []byte
 }
 
-// Answer is the complete answer to a Request.
-type Answer struct {
+// Response is the complete response to a Request.
+type Response struct {
 	Outcome     api.Outcome
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Request calls a service. A refusal by the entry is a ProblemError with an
-// Outcome; an answer of the service itself is an Answer, whatever its status.
-func (c *Client) Request(ctx context.Context, r Request) (Answer, error) {
+// Request sends a request to a service. A problem document of the entry is a
+// ProblemError with an Outcome; a response of the service itself is a Response,
+// whatever its status.
+func (c *Client) Request(ctx context.Context, r Request) (Response, error) {
 	header := http.Header{}
 	setHeader(header, "Content-Type", r.ContentType)
 	setHeader(header, httpx.HeaderProfile, r.Profile)
@@ -106,19 +108,19 @@
 		header.Set(httpx.HeaderTimeout, r.Timeout.String())
 	}
 	path := "/v1/services/" + url.PathEscape(r.Service) + "/requests"
-	a, err := c.do(ctx, call{method: http.MethodPost, path: path, header: header, body: r.Body, wait: r.Timeout})
+	resp, err := c.send(ctx, apiCall{method: http.MethodPost, path: path, header: header, body: r.Body, wait: r.Timeout})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	outcome := api.Outcome(a.header.Get(httpx.HeaderOutcome))
-	contentType := a.header.Get("Content-Type")
+	outcome := api.Outcome(resp.header.Get(httpx.HeaderOutcome))
+	contentType := resp.header.Get("Content-Type")
 	if contentType == httpx.ContentTypeProblem && outcome != api.OutcomeDone {
-		return Answer{}, problemError(http.MethodPost, a)
+		return Response{}, problemError(http.MethodPost, resp)
 	}
 	if outcome == "" {
-		return Answer{}, errors.Annotatef(ErrNoAnswer, "answer with status %d names no outcome", a.status)
+		return Response{}, errors.Annotatef(ErrNoResponse, "answer with status %d names no outcome", resp.status)
 	}
-	return Answer{outcome, a.status, contentType, a.body}, nil
+	return Response{outcome, resp.status, contentType, resp.body}, nil
 }
 
 func setHeader(header http.Header, name, value string) {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -10,11 +10,12 @@
 	"github.com/juju/errors"
 )
 
-// maxListedProcesses is up to how many processes the status lists all.
+// maxListedProcesses is the number of processes above which the status lists only
+// those that lag, unless --all is given.
 const maxListedProcesses = 40
 
-// statusInterval is the time between two looks at the configuration status.
-const statusInterval = 200 * time.Millisecond
+// statusPollInterval is the interval between two reads of the configuration status.
+const statusPollInterval = 200 * time.Millisecond
 
 func configCommands(e *env) []*command {
 	var wait time.Duration
@@ -31,7 +32,7 @@
 }
 
 func (e *env) configStatus(ctx context.Context, wait time.Duration, all bool) error {
-	status, err := e.awaitInForce(ctx, wait)
+	status, err := e.awaitConfigInForce(ctx, wait)
 	if err != nil {
 		return err
 	}
@@ -39,19 +40,19 @@
 		return err
 	}
 	if wait > 0 && !status.InForce {
-		return errors.Annotatef(errNotYet, "version %d is not in force everywhere after %v", status.Version, wait)
+		return errors.Annotatef(errWaitTimeout, "version %d is not in force everywhere after %v", status.Version, wait)
 	}
 	return nil
 }
 
-func (e *env) awaitInForce(ctx context.Context, wait time.Duration) (api.ConfigStatus, error) {
+func (e *env) awaitConfigInForce(ctx context.Context, wait time.Duration) (api.ConfigStatus, error) {
 	c := e.client()
 	for deadline := time.Now().Add(wait); ; {
 		status, err := c.ConfigStatus(ctx)
 		if err != nil || status.InForce || !time.Now().Before(deadline) {
 			return status, err
 		}
-		if err := sleep(ctx, statusInterval); err != nil {
+		if err := sleep(ctx, statusPollInterval); err != nil {
 			return status, err
 		}
 	}
@@ -79,7 +80,7 @@
 	return e.printTable(rows)
 }
 
-// laggingProcesses returns the processes that do not have the newest version.
+// laggingProcesses returns the processes whose configuration is not the newest version.
 func laggingProcesses(status api.ConfigStatus) []api.ProcessConfig {
 	var lagging []api.ProcessConfig
 	for _, p := range status.Processes {
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -12,14 +12,14 @@
 
 // The exit codes of coltsfootctl.
 const (
-	ExitOK          = 0
-	ExitFailed      = 1
-	ExitUsage       = 2
-	ExitNotRun      = 3
-	ExitLostRace    = 4
-	ExitUnreachable = 5
-	ExitUnknown     = 6
-	ExitNotYet      = 7
+	ExitOK              = 0
+	ExitFailed          = 1
+	ExitUsage           = 2
+	ExitNotRun          = 3
+	ExitVersionConflict = 4
+	ExitUnreachable     = 5
+	ExitOutcomeUnknown  = 6
+	ExitWaitTimeout     = 7
 )
 
 const exitCodeHelp = `Exit codes:
@@ -33,34 +33,34 @@
   7  not yet: the awaited state was not reached in time
 `
 
-// errNotYet says that an awaited state was not reached in time.
-const errNotYet = errors.ConstError("not yet")
+// errWaitTimeout is the cause if an awaited state was not reached in time.
+const errWaitTimeout = errors.ConstError("not yet")
 
-// outcomeError is a final answer other than done.
+// outcomeError reports work that ended with an outcome other than done.
 type outcomeError struct {
-	what    string
+	subject string
 	outcome api.Outcome
 	detail  string
 }
 
 func (e *outcomeError) Error() string {
-	text := fmt.Sprintf("%s: %s", e.what, e.outcome)
+	text := fmt.Sprintf("%s: %s", e.subject, e.outcome)
 	if e.detail != "" {
 		text += ": " + e.detail
 	}
 	return text
 }
 
-// checkOutcome returns nil for OutcomeDone.
-func checkOutcome(what string, outcome api.Outcome, detail string) error {
+// checkOutcome returns nil for OutcomeDone and an outcomeError otherwise.
+func checkOutcome(subject string, outcome api.Outcome, detail string) error {
 	if outcome == api.OutcomeDone {
 		return nil
 	}
-	return &outcomeError{what, outcome, detail}
+	return &outcomeError{subject, outcome, detail}
 }
 
-// report writes the error and returns its exit code.
-func (e *env) report(err error) int {
+// reportError prints the error and returns its exit code.
+func (e *env) reportError(err error) int {
 	var problem *client.ProblemError
 	var findings settings.Findings
 	switch {
@@ -76,7 +76,7 @@
 
 func (e *env) reportProblem(err error, problem *client.ProblemError) {
 	if e.json {
-		// A failing write to stdout leaves nothing else to report to.
+		// If stdout fails, the text on stderr below is all that can be reported.
 		_ = e.printJSON(problem.Problem)
 	}
 	fmt.Fprintf(e.stderr, "%s: %v", programName, err)
@@ -98,50 +98,51 @@
 	var findings settings.Findings
 	switch {
 	case errors.As(err, &problem):
-		return problemCode(problem)
+		return problemExitCode(problem)
 	case errors.As(err, &outcome):
-		return outcomeCode(outcome.outcome)
+		return outcomeExitCode(outcome.outcome)
 	case errors.As(err, &findings), errors.Is(err, errUsage):
 		return ExitUsage
 	case errors.Is(err, client.ErrUnreachable):
 		return ExitUnreachable
-	case errors.Is(err, client.ErrNoAnswer):
-		return ExitUnknown
-	case errors.Is(err, errNotYet):
-		return ExitNotYet
+	case errors.Is(err, client.ErrNoResponse):
+		return ExitOutcomeUnknown
+	case errors.Is(err, errWaitTimeout):
+		return ExitWaitTimeout
 	}
 	return ExitFailed
 }
 
-func outcomeCode(outcome api.Outcome) int {
+func outcomeExitCode(outcome api.Outcome) int {
 	switch outcome {
 	case api.OutcomeDone:
 		return ExitOK
 	case api.OutcomeNotRun:
 		return ExitNotRun
 	case api.OutcomeUnknown:
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	}
 	return ExitFailed
 }
 
-// problemCode follows the outcome where the entry names one, and otherwise
-// the status. "Not run" needs the entry's word, unless the call was a read.
-func problemCode(e *client.ProblemError) int {
+// problemExitCode maps a problem to an exit code by the outcome, if the entry reports
+// one, and otherwise by the status. Without an outcome, a retryable problem is ExitNotRun
+// only for reads: a mutating call may have taken effect.
+func problemExitCode(e *client.ProblemError) int {
 	status := e.Problem.Status
-	later := e.Problem.RetryAfter > 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
+	retryable := e.Problem.RetryAfter > 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 	switch {
 	case status == http.StatusPreconditionFailed:
-		return ExitLostRace
-	case e.Outcome == api.OutcomeNotRun && later:
+		return ExitVersionConflict
+	case e.Outcome == api.OutcomeNotRun && retryable:
 		return ExitNotRun
 	case e.Outcome == api.OutcomeNotRun:
 		return ExitFailed
 	case e.Outcome != "":
-		return outcomeCode(e.Outcome)
-	case later && e.Change:
-		return ExitUnknown
-	case later:
+		return outcomeExitCode(e.Outcome)
+	case retryable && e.Mutating:
+		return ExitOutcomeUnknown
+	case retryable:
 		return ExitNotRun
 	}
 	return ExitFailed
--- a/internal/ctl/input.go
+++ b/internal/ctl/input.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// readDocument reads a JSON file. Unknown fields are refused.
-func readDocument[T any](e *env, file string) (T, error) {
+// readJSONFile decodes a JSON file. Unknown fields are an error.
+func readJSONFile[T any](e *env, file string) (T, error) {
 	var v T
 	data, err := e.readFile(file)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return v, nil
 }
 
-// readFile reads a file; "-" is the standard input.
+// readFile reads a file, or the standard input if file is "-".
 func (e *env) readFile(file string) ([]byte, error) {
 	if file == "-" {
 		data, err := io.ReadAll(e.stdin)
@@ -37,8 +37,9 @@
 	return data, nil
 }
 
-// body returns the text or the content of the file; only one may be given.
-func (e *env) body(data, file string) ([]byte, error) {
+// inlineOrFile returns the value of --data or the content of the file named by
+// --file. Giving both is a usage error.
+func (e *env) inlineOrFile(data, file string) ([]byte, error) {
 	if data != "" && file != "" {
 		return nil, usagef("--data and --file exclude each other")
 	}
--- a/internal/entry/httpapi/requests.go
+++ b/internal/entry/httpapi/requests.go
@@ -14,23 +14,23 @@
 func (a *API) postRequest(ctx *fasthttp.RequestCtx) {
 	call, err := readCall(ctx)
 	if err != nil {
-		notRun(ctx, fasthttp.StatusBadRequest, 0, "%v", err)
+		writeNotRun(ctx, fasthttp.StatusBadRequest, 0, "%v", err)
 		return
 	}
-	profile, ok := a.profile(ctx, call.Profile.Name, call.Key != "" && !call.Idempotent)
+	profile, ok := a.lookupProfile(ctx, call.Profile.Name, call.Key != "" && !call.Idempotent)
 	if !ok {
 		return
 	}
 	call.Profile = profile
 	if call.Timeout == 0 {
-		call.Timeout = defaultTimeout
+		call.Timeout = defaultRequestTimeout
 		if profile.Timeout > 0 {
 			call.Timeout = profile.Timeout.D()
 		}
 	}
 	reply, err := a.Requests.Submit(call)
 	if err != nil {
-		notRun(ctx, fasthttp.StatusServiceUnavailable, time.Second, "%v", err)
+		writeNotRun(ctx, fasthttp.StatusServiceUnavailable, time.Second, "%v", err)
 		return
 	}
 	writeReply(ctx, reply)
@@ -47,7 +47,7 @@
 		return call, errors.NotValidf("missing header %s", httpx.HeaderProfile)
 	}
 	var err error
-	if call.Key, err = keyHeader(ctx); err != nil {
+	if call.Key, err = idempotencyKeyHeader(ctx); err != nil {
 		return call, err
 	}
 	if call.Idempotent, err = boolHeader(ctx, httpx.HeaderIdempotent, false); err != nil {
@@ -57,21 +57,21 @@
 	return call, err
 }
 
-// timeoutHeader returns 0 when the header is absent.
+// timeoutHeader returns 0 if the header is absent.
 func timeoutHeader(ctx *fasthttp.RequestCtx) (time.Duration, error) {
 	text := string(ctx.Request.Header.Peek(httpx.HeaderTimeout))
 	if text == "" {
 		return 0, nil
 	}
 	d, err := time.ParseDuration(text)
-	if err != nil || d <= 0 || d > maxTimeout {
-		return 0, errors.NotValidf("header %s %q (want a Go duration up to %v)", httpx.HeaderTimeout, text, maxTimeout)
+	if err != nil || d <= 0 || d > maxRequestTimeout {
+		return 0, errors.NotValidf("header %s %q (want a Go duration up to %v)", httpx.HeaderTimeout, text, maxRequestTimeout)
 	}
 	return d, nil
 }
 
-// writeReply writes the one answer. A minion's answer passes through with its
-// status; the entry's own answers are problem documents.
+// writeReply writes the response to a request. A response from a minion is passed
+// through with its status; the entry's own responses are problem documents.
 func writeReply(ctx *fasthttp.RequestCtx, reply requests.Reply) {
 	ctx.Response.Header.Set(httpx.HeaderOutcome, string(reply.Outcome))
 	if reply.HasBody && reply.Status > 0 {
@@ -81,7 +81,7 @@
 		return
 	}
 	p := httpx.Problemf(replyStatus(reply), "%s", replyDetail(reply))
-	p.RetryAfter = seconds(reply.RetryAfter)
+	p.RetryAfter = retryAfterSeconds(reply.RetryAfter)
 	httpx.WriteProblem(ctx, p)
 }
 
