--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -28,91 +28,91 @@
 
 const (
 	cell = "all"
-	// eventually bounds what has to happen without faults.
-	eventually = 10 * time.Second
-	queueHost  = "jobs.example"
-	queuePath  = "/q/"
-	callerKey  = "key-1"
+	// awaitTimeout bounds what has to happen without faults.
+	awaitTimeout = 10 * time.Second
+	queueHost    = "jobs.example"
+	queuePath    = "/q/"
+	callerKey    = "key-1"
 )
 
-// path is one process's way to the table, with faults of its own.
-type path struct {
+// tableConn is one process's way to the table, with faults of its own.
+type tableConn struct {
 	*standin.Table
 	refuse atomic.Bool  // every call is refused, nothing is done
-	silent atomic.Bool  // no call is answered, nothing is done
+	hang   atomic.Bool  // no call is answered, nothing is done
 	delay  atomic.Int64 // ns that each call waits first
 }
 
-func (p *path) pass(ctx context.Context) error {
+func (c *tableConn) injectFault(ctx context.Context) error {
 	switch {
-	case p.refuse.Load():
+	case c.refuse.Load():
 		return external.ErrRefused
-	case p.silent.Load():
+	case c.hang.Load():
 		<-ctx.Done()
 		return external.ErrUnavailable
 	}
-	kernel.Sleep(ctx, time.Duration(p.delay.Load()))
+	kernel.Sleep(ctx, time.Duration(c.delay.Load()))
 	if ctx.Err() != nil {
 		return external.ErrUnavailable
 	}
 	return nil
 }
 
-func (p *path) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
-	if err := p.pass(ctx); err != nil {
+func (c *tableConn) Get(ctx context.Context, keys ...string) ([]external.Row, error) {
+	if err := c.injectFault(ctx); err != nil {
 		return nil, err
 	}
-	return p.Table.Get(ctx, keys...)
+	return c.Table.Get(ctx, keys...)
 }
 
-func (p *path) Scan(ctx context.Context, prefix, after string, limit int) ([]external.Row, error) {
-	if err := p.pass(ctx); err != nil {
+func (c *tableConn) Scan(ctx context.Context, prefix, after string, limit int) ([]external.Row, error) {
+	if err := c.injectFault(ctx); err != nil {
 		return nil, err
 	}
-	return p.Table.Scan(ctx, prefix, after, limit)
+	return c.Table.Scan(ctx, prefix, after, limit)
 }
 
-func (p *path) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
-	if err := p.pass(ctx); err != nil {
+func (c *tableConn) Commit(ctx context.Context, txn external.Txn) (external.TxnResult, error) {
+	if err := c.injectFault(ctx); err != nil {
 		return external.TxnResult{}, err
 	}
-	return p.Table.Commit(ctx, txn)
+	return c.Table.Commit(ctx, txn)
 }
 
-func (p *path) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]external.Row, uint64, error) {
-	if err := p.pass(ctx); err != nil {
+func (c *tableConn) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]external.Row, uint64, error) {
+	if err := c.injectFault(ctx); err != nil {
 		return nil, 0, err
 	}
-	return p.Table.Feed(ctx, prefix, after, wait)
+	return c.Table.Feed(ctx, prefix, after, wait)
 }
 
-// operator is the source of the configuration; it fails with a path.
-type operator struct {
-	path *path
+// configSource is the source of the configuration; it fails with a path.
+type configSource struct {
+	table *tableConn
 
 	mu       sync.Mutex
 	current  *policy.Snapshot
 	revision uint64
 }
 
-func (o *operator) Read(ctx context.Context) (*policy.Snapshot, uint64, error) {
-	if err := o.path.pass(ctx); err != nil {
+func (c *configSource) Read(ctx context.Context) (*policy.Snapshot, uint64, error) {
+	if err := c.table.injectFault(ctx); err != nil {
 		return nil, 0, err
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	copied := *o.current
-	return &copied, o.revision, nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	copied := *c.current
+	return &copied, c.revision, nil
 }
 
-func (o *operator) WaitForChange(ctx context.Context, after uint64, wait time.Duration) (bool, error) {
+func (c *configSource) WaitForChange(ctx context.Context, after uint64, wait time.Duration) (bool, error) {
 	for end := time.Now().Add(wait); time.Now().Before(end); kernel.Sleep(ctx, 10*time.Millisecond) {
-		if err := o.path.pass(ctx); err != nil {
+		if err := c.table.injectFault(ctx); err != nil {
 			return false, err
 		}
-		o.mu.Lock()
-		changed := o.revision > after
-		o.mu.Unlock()
+		c.mu.Lock()
+		changed := c.revision > after
+		c.mu.Unlock()
 		if changed {
 			return true, nil
 		}
@@ -120,34 +120,34 @@
 	return false, nil
 }
 
-func (o *operator) set(s *policy.Snapshot) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.current = s
-	o.revision++
+func (c *configSource) set(s *policy.Snapshot) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.current = s
+	c.revision++
 }
 
 // entry is one entry with its services.
 type entry struct {
-	address  string
-	path     *path
-	operator *operator
-	ledger   *ledger.Client
-	owner    *owner.Service
-	front    *graphs.Front
-	schedule *graphs.Scheduler
-	services []kernel.Service
-	stopped  bool
+	address   string
+	table     *tableConn
+	config    *configSource
+	ledger    *ledger.Client
+	owner     *owner.Service
+	front     *graphs.Front
+	scheduler *graphs.Scheduler
+	services  []kernel.Service
+	stopped   bool
 }
 
 // agent is a worker with its agent.
 type agent struct {
-	id     string
-	zone   string
-	runner *standin.Runner
-	keeper *keeper.Keeper
-	stop   context.CancelFunc
-	drains atomic.Bool
+	id       string
+	zone     string
+	runner   *standin.Runner
+	keeper   *keeper.Keeper
+	stop     context.CancelFunc
+	draining atomic.Bool
 }
 
 // fleet is a small deployment.
@@ -156,13 +156,13 @@
 	table   *standin.Table
 	entries []*entry
 	agents  []*agent
-	next    int
+	lastID  int
 	times   owner.Times
 	log     zerolog.Logger
 }
 
-// usualTerm is how long a renewal of the ownership lasts.
-const usualTerm = 900 * time.Millisecond
+// defaultTerm is how long a renewal of the ownership lasts.
+const defaultTerm = 900 * time.Millisecond
 
 func snapshot(version uint64) *policy.Snapshot {
 	return &policy.Snapshot{
@@ -176,7 +176,7 @@
 // newFleet starts a deployment and waits until it serves.
 func newFleet(t *testing.T, entries, workers int) *fleet {
 	t.Helper()
-	return newFleetWithTerm(t, entries, workers, usualTerm)
+	return newFleetWithTerm(t, entries, workers, defaultTerm)
 }
 
 func newFleetWithTerm(t *testing.T, entries, workers int, term time.Duration) *fleet {
@@ -200,19 +200,19 @@
 	}
 	t.Cleanup(f.close)
 	f.await("linked workers", func() bool {
-		a := f.entries[0].front.Lookup(f.call(""))
-		return a.Outcome == graphs.OK && f.linked() == workers
+		a := f.entries[0].front.Lookup(f.callFor(""))
+		return a.Outcome == graphs.OK && f.linkedWorkers() == workers
 	})
 	return f
 }
 
-// linked returns the number of workers that the owner may use.
-func (f *fleet) linked() int {
+// linkedWorkers returns the number of workers that the owner may use.
+func (f *fleet) linkedWorkers() int {
 	e := f.ownerEntry()
 	if e == nil {
 		return 0
 	}
-	dump, ok := e.schedule.DumpState().(plan.Dump)
+	dump, ok := e.scheduler.DumpState().(plan.Dump)
 	if !ok {
 		return 0 // the term has not begun
 	}
@@ -225,19 +225,19 @@
 	return n
 }
 
-func (f *fleet) startEntry(id, address string, all []string) *entry {
+func (f *fleet) startEntry(id, address string, entryAddresses []string) *entry {
 	clock := ledger.NewMonotonicClock()
 	registry := metrics.NewRegistry()
 	log := f.log.With().Str("id", id).Logger()
-	e := &entry{address: address, path: &path{Table: f.table}}
-	e.operator = &operator{path: e.path, current: snapshot(1)}
-	e.ledger = ledger.New(e.path, ledger.Config{Log: log, Clock: clock, OpTimeout: 300 * time.Millisecond})
-	watcher := policy.NewWatcher(e.operator, policy.Limits{}, clock, registry, log)
+	e := &entry{address: address, table: &tableConn{Table: f.table}}
+	e.config = &configSource{table: e.table, current: snapshot(1)}
+	e.ledger = ledger.New(e.table, ledger.Config{Log: log, Clock: clock, OpTimeout: 300 * time.Millisecond})
+	watcher := policy.NewWatcher(e.config, policy.Limits{}, clock, registry, log)
 	e.owner = owner.New(e.ledger, cell, owner.Self{ID: id, Addr: address}, clock, owner.Config{Times: f.times, Log: log})
 	store := graphs.NewStore(e.ledger)
 	scheduler := graphs.NewScheduler(e.owner, store, watcher, graphs.Limits{}, clock, time.Now, registry, log)
-	e.schedule = scheduler
-	peers := graphs.NewPeers(address, all, e.owner, log)
+	e.scheduler = scheduler
+	peers := graphs.NewPeers(address, entryAddresses, e.owner, log)
 	e.front = graphs.NewFront(watcher, store, graphs.NewOwnerClient(scheduler, e.owner), peers, time.Now, registry, log)
 	handover := graphs.NewHandover(e.owner, e.ledger, watcher, peers, log)
 	server := graphs.NewServer(address, scheduler, e.owner, e.front, handover)
@@ -250,12 +250,12 @@
 	return e
 }
 
-func (f *fleet) startAgent(i int, entries []string) *agent {
+func (f *fleet) startAgent(i int, entryAddresses []string) *agent {
 	clock := ledger.NewMonotonicClock()
 	id := fmt.Sprintf("w%d", i)
 	log := f.log.With().Str("id", id).Logger()
-	rows := ledger.New(&path{Table: f.table}, ledger.Config{Log: log, Clock: clock})
-	finder := keeper.NewOwnerFinder(rows, cell, entries, clock, log)
+	ledgerClient := ledger.New(&tableConn{Table: f.table}, ledger.Config{Log: log, Clock: clock})
+	finder := keeper.NewOwnerFinder(ledgerClient, cell, entryAddresses, clock, log)
 	a := &agent{id: id, zone: fmt.Sprintf("z%d", i%2), runner: standin.NewRunner()}
 	a.keeper = keeper.New(a.runner, finder, clock, metrics.NewRegistry(), log)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -263,18 +263,18 @@
 	if err := a.keeper.Start(ctx); err != nil {
 		f.t.Fatal(err)
 	}
-	go a.announce(ctx)
+	go a.sendHeartbeats(ctx)
 	return a
 }
 
-// announce sends the worker's heartbeats to its agent.
-func (a *agent) announce(ctx context.Context) {
-	for n := uint64(1); ctx.Err() == nil; n++ {
+// sendHeartbeats sends the worker's heartbeats to its agent.
+func (a *agent) sendHeartbeats(ctx context.Context) {
+	for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 		a.keeper.HandleHeartbeat(plan.WorkerInfo{
 			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Born(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
 			Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8},
-			Draining: a.drains.Load(), DrainRemaining: 3 * time.Second,
-		}, n)
+			Draining: a.draining.Load(), DrainRemaining: 3 * time.Second,
+		}, sequence)
 		kernel.Sleep(ctx, 100*time.Millisecond)
 	}
 }
@@ -286,7 +286,7 @@
 	}
 	e.stopped = true
 	if kill {
-		e.path.silent.Store(true)
+		e.table.hang.Store(true)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -310,28 +310,28 @@
 
 func (f *fleet) await(what string, condition func() bool) {
 	f.t.Helper()
-	f.awaitWithin(eventually, what, condition)
+	f.awaitWithin(awaitTimeout, what, condition)
 }
 
-func (f *fleet) awaitWithin(bound time.Duration, what string, condition func() bool) {
+func (f *fleet) awaitWithin(timeout time.Duration, what string, condition func() bool) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if !kernel.PollUntil(ctx, 10*time.Millisecond, condition) {
-		f.t.Fatalf("no %s within %v", what, bound)
+		f.t.Fatalf("no %s within %v", what, timeout)
 	}
 }
 
-func (f *fleet) call(id graph.JobID) graphs.Call {
+func (f *fleet) callFor(id graph.JobID) graphs.Call {
 	return graphs.Call{Host: queueHost, Path: queuePath + string(id), Key: callerKey, Wait: 2 * time.Second}
 }
 
 func (f *fleet) newID() graph.JobID {
-	f.next++
-	return graph.JobID(fmt.Sprintf("%016x", f.next))
+	f.lastID++
+	return graph.JobID(fmt.Sprintf("%016x", f.lastID))
 }
 
-func aJob(tasks int) func() (*graph.Job, error) {
+func jobWithTasks(tasks int) func() (*graph.Job, error) {
 	return func() (*graph.Job, error) {
 		return &graph.Job{Spec: "spec", Steps: []graph.Step{{Count: tasks, Needs: graph.Resources{MilliCPU: 1000, Accelerators: 1}, Estimate: 100 * time.Millisecond}}}, nil
 	}
@@ -341,17 +341,19 @@
 func (f *fleet) submit(e *entry, tasks int) graph.JobID {
 	f.t.Helper()
 	id := f.newID()
-	if a := e.front.Submit(f.call(id), aJob(tasks)); a.Outcome != graphs.OK {
+	if a := e.front.Submit(f.callFor(id), jobWithTasks(tasks)); a.Outcome != graphs.OK {
 		f.t.Fatalf("submit: %+v", a)
 	}
 	return id
 }
 
-func (f *fleet) state(e *entry, id graph.JobID) graph.State { return e.front.Lookup(f.call(id)).State }
+func (f *fleet) jobState(e *entry, id graph.JobID) graph.State {
+	return e.front.Lookup(f.callFor(id)).State
+}
 
-func (f *fleet) awaitState(e *entry, id graph.JobID, want graph.State) {
+func (f *fleet) awaitJobState(e *entry, id graph.JobID, want graph.State) {
 	f.t.Helper()
-	f.await(fmt.Sprintf("job %s that is %s", id, want), func() bool { return f.state(e, id) == want })
+	f.await(fmt.Sprintf("job %s that is %s", id, want), func() bool { return f.jobState(e, id) == want })
 }
 
 // ownerEntry returns the entry that owns scheduling, nil if there is none.
@@ -364,8 +366,8 @@
 	return nil
 }
 
-// starts counts how often each task of a job has begun.
-func (f *fleet) starts(id graph.JobID) map[graph.TaskID]int {
+// startCounts counts how often each task of a job has begun.
+func (f *fleet) startCounts(id graph.JobID) map[graph.TaskID]int {
 	out := map[graph.TaskID]int{}
 	for _, a := range f.agents {
 		for _, t := range a.runner.Starts() {
@@ -377,7 +379,7 @@
 	return out
 }
 
-func (f *fleet) setWork(d time.Duration) {
+func (f *fleet) setTaskDuration(d time.Duration) {
 	for _, a := range f.agents {
 		a.runner.Work = func(graph.TaskID) time.Duration { return d }
 	}
--- a/test/graphs/graphs_test.go
+++ b/test/graphs/graphs_test.go
@@ -15,9 +15,9 @@
 	for _, e := range f.entries {
 		id := f.submit(e, 4)
 		for _, other := range f.entries {
-			f.awaitState(other, id, graph.Completed)
+			f.awaitJobState(other, id, graph.Completed)
 		}
-		for task, n := range f.starts(id) {
+		for task, n := range f.startCounts(id) {
 			if n != 1 {
 				t.Errorf("%v began %d times", task, n)
 			}
@@ -28,17 +28,17 @@
 func TestSameIDIsOneJob(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	id := f.submit(f.entries[0], 2)
-	f.awaitState(f.entries[0], id, graph.Completed)
+	f.awaitJobState(f.entries[0], id, graph.Completed)
 	for _, e := range f.entries {
-		if a := e.front.Submit(f.call(id), aJob(2)); a.Outcome != graphs.OK {
+		if a := e.front.Submit(f.callFor(id), jobWithTasks(2)); a.Outcome != graphs.OK {
 			t.Fatalf("second submit: %+v", a)
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
-	if n := len(f.starts(id)); n != 2 {
+	if n := len(f.startCounts(id)); n != 2 {
 		t.Fatalf("%d tasks began, want 2", n)
 	}
-	for task, n := range f.starts(id) {
+	for task, n := range f.startCounts(id) {
 		if n != 1 {
 			t.Errorf("%v began %d times", task, n)
 		}
@@ -49,45 +49,45 @@
 // again, when the owner is killed.
 func TestRunningWorkOutlivesItsOwner(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	f.setWork(4 * time.Second)
+	f.setTaskDuration(4 * time.Second)
 	id := f.submit(f.entries[0], 3)
-	f.await("three starts", func() bool { return len(f.starts(id)) == 3 })
+	f.await("three starts", func() bool { return len(f.startCounts(id)) == 3 })
 	f.stopEntry(f.ownerEntry(), true)
-	var left *entry
-	f.await("another owner", func() bool { left = f.ownerEntry(); return left != nil })
-	f.awaitState(left, id, graph.Completed)
-	for task, n := range f.starts(id) {
+	var newOwner *entry
+	f.await("another owner", func() bool { newOwner = f.ownerEntry(); return newOwner != nil })
+	f.awaitJobState(newOwner, id, graph.Completed)
+	for task, n := range f.startCounts(id) {
 		if n != 1 {
 			t.Errorf("%v began %d times", task, n)
 		}
 	}
 }
 
-// TestTakeoverBeforeTheTermIsOver shows that an owner without the table is
+// TestTakeoverBeforeTermExpires shows that an owner without the table is
 // followed long before its term is over, and that no task runs twice while both
 // serve workers.
-func TestTakeoverBeforeTheTermIsOver(t *testing.T) {
+func TestTakeoverBeforeTermExpires(t *testing.T) {
 	const term, takeOver = 6 * time.Second, 700 * time.Millisecond
 	f := newFleetWithTimes(t, 3, 4, owner.Times{Lease: term, TakeOver: takeOver})
-	f.setWork(3 * time.Second)
+	f.setTaskDuration(3 * time.Second)
 	id := f.submit(f.entries[0], 12)
-	f.await("twelve starts", func() bool { return len(f.starts(id)) == 12 })
-	first := f.ownerEntry()
-	first.path.silent.Store(true)
-	var next *entry
+	f.await("twelve starts", func() bool { return len(f.startCounts(id)) == 12 })
+	oldOwner := f.ownerEntry()
+	oldOwner.table.hang.Store(true)
+	var newOwner *entry
 	f.awaitWithin(term/2, "another owner", func() bool {
 		for _, e := range f.entries {
-			if e != first && e.owner.Current().Owner {
-				next = e
+			if e != oldOwner && e.owner.Current().Owner {
+				newOwner = e
 			}
 		}
-		return next != nil
+		return newOwner != nil
 	})
-	more := f.submit(next, 8)
-	f.awaitState(next, id, graph.Completed)
-	f.awaitState(next, more, graph.Completed)
-	for _, job := range []graph.JobID{id, more} {
-		for task, n := range f.starts(job) {
+	secondID := f.submit(newOwner, 8)
+	f.awaitJobState(newOwner, id, graph.Completed)
+	f.awaitJobState(newOwner, secondID, graph.Completed)
+	for _, job := range []graph.JobID{id, secondID} {
+		for task, n := range f.startCounts(job) {
 			if n != 1 {
 				t.Errorf("%v began %d times", task, n)
 			}
@@ -95,16 +95,16 @@
 	}
 }
 
-// TestOwnershipLostForAMoment shows that an owner whose term has lapsed in an
+// TestOwnershipResumesAfterOutage shows that an owner whose term has lapsed in an
 // outage, and which nobody has followed, goes on afterwards.
-func TestOwnershipLostForAMoment(t *testing.T) {
+func TestOwnershipResumesAfterOutage(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.setWork(300 * time.Millisecond)
+	f.setTaskDuration(300 * time.Millisecond)
 	e := f.entries[0]
 	epoch := e.owner.Current().Epoch
-	e.path.refuse.Store(true)
+	e.table.refuse.Store(true)
 	f.await("a lapsed term", func() bool { return !e.owner.Current().Owner })
-	e.path.refuse.Store(false)
+	e.table.refuse.Store(false)
 	f.await("an owner", func() bool { return e.owner.Current().Owner })
 	if now := e.owner.Current().Epoch; now != epoch {
 		t.Skipf("ownership was claimed anew: epoch %d after %d", now, epoch)
@@ -112,41 +112,41 @@
 	var id graph.JobID
 	f.await("an accepted job", func() bool {
 		id = f.newID()
-		return e.front.Submit(f.call(id), aJob(2)).Outcome == graphs.OK
+		return e.front.Submit(f.callFor(id), jobWithTasks(2)).Outcome == graphs.OK
 	})
-	f.awaitState(e, id, graph.Completed)
+	f.awaitJobState(e, id, graph.Completed)
 }
 
-// TestRestartedWorkerIsNotWaitedFor shows that work which a worker's restart has
+// TestRestartedWorkerTasksRestartBeforeLeaseExpires shows that work which a worker's restart has
 // ended begins again long before the lease of the old life would be over.
-func TestRestartedWorkerIsNotWaitedFor(t *testing.T) {
+func TestRestartedWorkerTasksRestartBeforeLeaseExpires(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.setWork(1500 * time.Millisecond)
+	f.setTaskDuration(1500 * time.Millisecond)
 	id := f.submit(f.entries[0], 16)
-	f.await("sixteen starts", func() bool { return len(f.starts(id)) == 16 })
+	f.await("sixteen starts", func() bool { return len(f.startCounts(id)) == 16 })
 	f.agents[0].runner.Restart()
 	f.awaitWithin(graphs.LeaseDuration/2, "second starts", func() bool {
-		again := 0
-		for _, n := range f.starts(id) {
-			again += n - 1
+		restarts := 0
+		for _, n := range f.startCounts(id) {
+			restarts += n - 1
 		}
-		return again == 8
+		return restarts == 8
 	})
-	f.awaitState(f.entries[0], id, graph.Completed)
+	f.awaitJobState(f.entries[0], id, graph.Completed)
 }
 
-// TestLateOrdersRunNothingTwice shows that starts which a worker carries out
+// TestDelayedStartsRunNoTaskTwice shows that starts which a worker carries out
 // long after they were sent do not let a task run twice.
-func TestLateOrdersRunNothingTwice(t *testing.T) {
+func TestDelayedStartsRunNoTaskTwice(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.setWork(200 * time.Millisecond)
+	f.setTaskDuration(200 * time.Millisecond)
 	f.agents[0].runner.SetFaults(standin.RunnerFaults{LateBy: 2500 * time.Millisecond})
 	id := f.submit(f.entries[0], 12)
 	time.Sleep(4 * time.Second)
 	f.agents[0].runner.SetFaults(standin.RunnerFaults{})
-	f.awaitState(f.entries[0], id, graph.Completed)
+	f.awaitJobState(f.entries[0], id, graph.Completed)
 	time.Sleep(3 * time.Second)
-	for task, n := range f.starts(id) {
+	for task, n := range f.startCounts(id) {
 		if n != 1 {
 			t.Errorf("%v began %d times", task, n)
 		}
@@ -157,16 +157,16 @@
 // serves its callers through another one.
 func TestEntryWithoutTableRelays(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	var cut *entry
+	var isolated *entry
 	for _, e := range f.entries {
 		if e != f.ownerEntry() {
-			cut = e
+			isolated = e
 		}
 	}
-	cut.path.refuse.Store(true)
-	f.await("an entry that is not ready", func() bool { return cut.front.Ready() != nil })
-	id := f.submit(cut, 2)
-	f.awaitState(cut, id, graph.Completed)
+	isolated.table.refuse.Store(true)
+	f.await("an entry that is not ready", func() bool { return isolated.front.Ready() != nil })
+	id := f.submit(isolated, 2)
+	f.awaitJobState(isolated, id, graph.Completed)
 }
 
 // TestRefusedJobNeverRuns shows that a refusal while no entry reaches the table
@@ -174,33 +174,33 @@
 func TestRefusedJobNeverRuns(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	for _, e := range f.entries {
-		e.path.refuse.Store(true)
+		e.table.refuse.Store(true)
 	}
 	id := f.newID()
-	a := f.entries[0].front.Submit(f.call(id), aJob(1))
+	a := f.entries[0].front.Submit(f.callFor(id), jobWithTasks(1))
 	if a.Outcome != graphs.Refused || a.RetryAfter <= 0 {
 		t.Fatalf("submit without table: %+v", a)
 	}
 	for _, e := range f.entries {
-		e.path.refuse.Store(false)
+		e.table.refuse.Store(false)
 	}
-	f.await("a served queue", func() bool { return f.entries[0].front.Lookup(f.call("")).Outcome == graphs.OK })
+	f.await("a served queue", func() bool { return f.entries[0].front.Lookup(f.callFor("")).Outcome == graphs.OK })
 	time.Sleep(time.Second)
-	if a := f.entries[0].front.Lookup(f.call(id)); a.Outcome != graphs.NoJob {
+	if a := f.entries[0].front.Lookup(f.callFor(id)); a.Outcome != graphs.NoJob {
 		t.Fatalf("refused job: %+v", a)
 	}
-	if n := len(f.starts(id)); n > 0 {
+	if n := len(f.startCounts(id)); n > 0 {
 		t.Fatalf("%d tasks of a refused job began", n)
 	}
 }
 
-// TestSilentTableLeavesDoubt shows that nobody is told of a refusal while a
+// TestUnansweredWriteIsUnknown shows that nobody is told of a refusal while a
 // write may still take effect.
-func TestSilentTableLeavesDoubt(t *testing.T) {
+func TestUnansweredWriteIsUnknown(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	e := f.entries[0]
-	e.path.silent.Store(true)
-	a := e.front.SubmitLocal(f.call(f.newID()), aJob(1))
+	e.table.hang.Store(true)
+	a := e.front.SubmitLocal(f.callFor(f.newID()), jobWithTasks(1))
 	if a.Outcome != graphs.Unknown {
 		t.Fatalf("submit to a silent table: %+v", a)
 	}
@@ -208,17 +208,17 @@
 
 func TestCancelStopsRunningTasks(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	f.setWork(time.Minute)
+	f.setTaskDuration(time.Minute)
 	id := f.submit(f.entries[0], 4)
-	f.await("four starts", func() bool { return len(f.starts(id)) == 4 })
-	if a := f.entries[1].front.Cancel(f.call(id)); a.Outcome != graphs.OK {
+	f.await("four starts", func() bool { return len(f.startCounts(id)) == 4 })
+	if a := f.entries[1].front.Cancel(f.callFor(id)); a.Outcome != graphs.OK {
 		t.Fatalf("cancel: %+v", a)
 	}
-	f.awaitState(f.entries[0], id, graph.Cancelled)
+	f.awaitJobState(f.entries[0], id, graph.Cancelled)
 	f.awaitWithin(3*time.Second, "idle workers", func() bool {
 		return f.agents[0].runner.Running()+f.agents[1].runner.Running() == 0
 	})
-	if a := f.entries[0].front.Cancel(f.call(f.newID())); a.Outcome != graphs.NoJob {
+	if a := f.entries[0].front.Cancel(f.callFor(f.newID())); a.Outcome != graphs.NoJob {
 		t.Fatalf("cancel of a job that does not exist: %+v", a)
 	}
 }
@@ -226,29 +226,29 @@
 func TestKeysAndQueues(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	e := f.entries[0]
-	call := f.call(f.newID())
+	call := f.callFor(f.newID())
 	call.Key = "stolen"
-	if a := e.front.Submit(call, aJob(1)); a.Outcome != graphs.Unauthorized {
+	if a := e.front.Submit(call, jobWithTasks(1)); a.Outcome != graphs.Unauthorized {
 		t.Errorf("unknown key: %+v", a)
 	}
-	call = f.call(f.newID())
+	call = f.callFor(f.newID())
 	call.Path = "/elsewhere/" + string(f.newID())
-	if a := e.front.Submit(call, aJob(1)); a.Outcome != graphs.NoQueue {
+	if a := e.front.Submit(call, jobWithTasks(1)); a.Outcome != graphs.NoQueue {
 		t.Errorf("unknown queue: %+v", a)
 	}
-	if a := e.front.Submit(f.call("xyz"), aJob(1)); a.Outcome != graphs.Invalid {
+	if a := e.front.Submit(f.callFor("xyz"), jobWithTasks(1)); a.Outcome != graphs.Invalid {
 		t.Errorf("malformed ID: %+v", a)
 	}
 	next := snapshot(2)
 	next.Accounts[0].Keys = nil
-	e.operator.set(next)
+	e.config.set(next)
 	f.await("a key without effect", func() bool {
-		return e.front.Lookup(f.call(f.newID())).Outcome == graphs.Unauthorized
+		return e.front.Lookup(f.callFor(f.newID())).Outcome == graphs.Unauthorized
 	})
 	// A version that is lower again must not bring the key back.
-	e.operator.set(snapshot(1))
+	e.config.set(snapshot(1))
 	time.Sleep(time.Second)
-	if a := e.front.Lookup(f.call(f.newID())); a.Outcome != graphs.Unauthorized {
+	if a := e.front.Lookup(f.callFor(f.newID())); a.Outcome != graphs.Unauthorized {
 		t.Fatalf("removed key after a lower version: %+v", a)
 	}
 }
@@ -260,28 +260,28 @@
 	for _, a := range f.agents {
 		a.runner.Fails = func(graph.TaskID, uint64) bool { return true }
 	}
-	f.setWork(700 * time.Millisecond)
+	f.setTaskDuration(700 * time.Millisecond)
 	id := f.submit(f.entries[0], 1)
-	f.await("a start", func() bool { return len(f.starts(id)) == 1 })
+	f.await("a start", func() bool { return len(f.startCounts(id)) == 1 })
 	f.stopEntry(f.ownerEntry(), true)
-	var left *entry
-	f.await("another owner", func() bool { left = f.ownerEntry(); return left != nil })
-	f.awaitState(left, id, graph.Failed)
-	for task, n := range f.starts(id) {
+	var newOwner *entry
+	f.await("another owner", func() bool { newOwner = f.ownerEntry(); return newOwner != nil })
+	f.awaitJobState(newOwner, id, graph.Failed)
+	for task, n := range f.startCounts(id) {
 		if n != 3 {
 			t.Errorf("%v began %d times, want 3 attempts", task, n)
 		}
 	}
 }
 
-// TestFeedHistoryGone shows that jobs are found although the table no longer
+// TestFeedHistoryLost shows that jobs are found although the table no longer
 // tells what has changed.
-func TestFeedHistoryGone(t *testing.T) {
+func TestFeedHistoryLost(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	for range 5 {
 		id := f.submit(f.entries[0], 1)
 		f.table.Forget()
-		f.awaitState(f.entries[0], id, graph.Completed)
+		f.awaitJobState(f.entries[0], id, graph.Completed)
 	}
 }
 
@@ -289,43 +289,43 @@
 // said that it leaves.
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.agents[0].drains.Store(true)
+	f.agents[0].draining.Store(true)
 	time.Sleep(500 * time.Millisecond)
 	id := f.submit(f.entries[0], 6)
-	f.awaitState(f.entries[0], id, graph.Completed)
+	f.awaitJobState(f.entries[0], id, graph.Completed)
 	if n := len(f.agents[0].runner.Starts()); n > 0 {
 		t.Fatalf("%d tasks began on a draining worker", n)
 	}
 }
 
-// TestRelayedVersionIsNotForgotten shows that an entry whose callers have seen a
+// TestRelayedVersionIsKept shows that an entry whose callers have seen a
 // newer configuration through another entry does not answer by its own older
 // one afterwards.
-func TestRelayedVersionIsNotForgotten(t *testing.T) {
+func TestRelayedVersionIsKept(t *testing.T) {
 	f := newFleet(t, 3, 1)
-	var cut *entry
+	var isolated *entry
 	for _, e := range f.entries {
 		if e != f.ownerEntry() {
-			cut = e
+			isolated = e
 		}
 	}
-	cut.path.refuse.Store(true)
-	f.await("an entry without its store", func() bool { return cut.front.Ready() != nil })
+	isolated.table.refuse.Store(true)
+	f.await("an entry without its store", func() bool { return isolated.front.Ready() != nil })
 	for _, e := range f.entries {
-		if e == cut {
+		if e == isolated {
 			continue
 		}
 		next := snapshot(2)
 		next.Queues = append(next.Queues, next.Queues[0])
 		next.Queues[1].Name, next.Queues[1].PathPrefix = "added", "/added/"
-		e.operator.set(next)
+		e.config.set(next)
 	}
 	call := graphs.Call{Host: queueHost, Path: "/added/", Key: callerKey, Wait: 2 * time.Second}
-	f.await("an added queue", func() bool { return cut.front.Lookup(call).Outcome == graphs.OK })
-	cut.path.refuse.Store(false)
-	f.await("an entry with its store", func() bool { return cut.front.Ready() == nil })
+	f.await("an added queue", func() bool { return isolated.front.Lookup(call).Outcome == graphs.OK })
+	isolated.table.refuse.Store(false)
+	f.await("an entry with its store", func() bool { return isolated.front.Ready() == nil })
 	for range 20 {
-		if a := cut.front.Lookup(call); a.Outcome == graphs.NoQueue {
+		if a := isolated.front.Lookup(call); a.Outcome == graphs.NoQueue {
 			t.Fatalf("queue that was there is gone: %+v", a)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -337,29 +337,29 @@
 func TestOwnerWithoutTableHandsOver(t *testing.T) {
 	const term = 6 * time.Second
 	f := newFleetWithTerm(t, 3, 2, term)
-	old := f.ownerEntry()
-	old.path.refuse.Store(true)
+	oldOwner := f.ownerEntry()
+	oldOwner.table.refuse.Store(true)
 	f.awaitWithin(term/3, "another owner", func() bool {
 		e := f.ownerEntry()
-		return e != nil && e != old
+		return e != nil && e != oldOwner
 	})
-	if old.owner.Current().Owner {
+	if oldOwner.owner.Current().Owner {
 		t.Fatal("two entries own scheduling")
 	}
-	id := f.submit(old, 2)
-	f.awaitState(old, id, graph.Completed)
+	id := f.submit(oldOwner, 2)
+	f.awaitJobState(oldOwner, id, graph.Completed)
 }
 
 // TestOwnerStaysWithoutTableEverywhere shows that the ownership is not given up
 // in an outage that all entries see.
 func TestOwnerStaysWithoutTableEverywhere(t *testing.T) {
 	f := newFleetWithTerm(t, 2, 1, 4*time.Second)
-	old := f.ownerEntry()
+	oldOwner := f.ownerEntry()
 	for _, e := range f.entries {
-		e.path.refuse.Store(true)
+		e.table.refuse.Store(true)
 	}
 	time.Sleep(2 * time.Second)
-	if f.ownerEntry() != old {
+	if f.ownerEntry() != oldOwner {
 		t.Fatal("the owner has given its term up")
 	}
 }
@@ -368,13 +368,13 @@
 // entry that would be slow to begin its term, as the table is slow for it too.
 func TestOwnerStaysWhileTableIsSlow(t *testing.T) {
 	f := newFleetWithTerm(t, 3, 1, 4*time.Second)
-	old := f.ownerEntry()
+	oldOwner := f.ownerEntry()
 	for _, e := range f.entries {
-		e.path.delay.Store(int64(200 * time.Millisecond))
+		e.table.delay.Store(int64(200 * time.Millisecond))
 	}
-	old.path.silent.Store(true)
+	oldOwner.table.hang.Store(true)
 	time.Sleep(2500 * time.Millisecond)
-	if f.ownerEntry() != old {
+	if f.ownerEntry() != oldOwner {
 		t.Fatal("the owner has given its term up")
 	}
 }
