--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -28,21 +28,24 @@
 
 const (
 	cell = "all"
-	// awaitTimeout bounds what has to happen without faults.
+	// awaitTimeout bounds each wait that has no limit of its own.
 	awaitTimeout = 10 * time.Second
 	queueHost    = "jobs.example"
 	queuePath    = "/q/"
 	callerKey    = "key-1"
 )
 
-// tableConn is one process's way to the table, with faults of its own.
+// tableConn is the connection of one process to the table. Each connection
+// injects its own faults.
 type tableConn struct {
 	*standin.Table
-	refuse atomic.Bool  // every call is refused, nothing is done
-	hang   atomic.Bool  // no call is answered, nothing is done
-	delay  atomic.Int64 // ns that each call waits first
+	refuse atomic.Bool  // calls fail with ErrRefused and have no effect
+	hang   atomic.Bool  // calls block until their context ends and have no effect
+	delay  atomic.Int64 // nanoseconds by which each call is delayed
 }
 
+// injectFault applies the current faults to one call. A non-nil error means that
+// the call must not reach the table.
 func (c *tableConn) injectFault(ctx context.Context) error {
 	switch {
 	case c.refuse.Load():
@@ -86,7 +89,8 @@
 	return c.Table.Feed(ctx, prefix, after, wait)
 }
 
-// configSource is the source of the configuration; it fails with a path.
+// configSource serves the configuration. It has the faults of its table
+// connection.
 type configSource struct {
 	table *tableConn
 
@@ -127,7 +131,7 @@
 	c.revision++
 }
 
-// entry is one entry with its services.
+// entry is an entry with its services.
 type entry struct {
 	address   string
 	table     *tableConn
@@ -140,7 +144,7 @@
 	stopped   bool
 }
 
-// agent is a worker with its agent.
+// agent is an agent with its worker.
 type agent struct {
 	id       string
 	zone     string
@@ -150,7 +154,7 @@
 	draining atomic.Bool
 }
 
-// fleet is a small deployment.
+// fleet is a deployment of entries and agents that share one table.
 type fleet struct {
 	t       *testing.T
 	table   *standin.Table
@@ -161,7 +165,7 @@
 	log     zerolog.Logger
 }
 
-// defaultTerm is how long a renewal of the ownership lasts.
+// defaultTerm is the duration of the ownership lease.
 const defaultTerm = 900 * time.Millisecond
 
 func snapshot(version uint64) *policy.Snapshot {
@@ -173,7 +177,7 @@
 	}
 }
 
-// newFleet starts a deployment and waits until it serves.
+// newFleet starts a fleet and waits until the owner serves all workers.
 func newFleet(t *testing.T, entries, workers int) *fleet {
 	t.Helper()
 	return newFleetWithTerm(t, entries, workers, defaultTerm)
@@ -206,7 +210,7 @@
 	return f
 }
 
-// linkedWorkers returns the number of workers that the owner may use.
+// linkedWorkers returns the number of workers with a link to the owner.
 func (f *fleet) linkedWorkers() int {
 	e := f.ownerEntry()
 	if e == nil {
@@ -214,7 +218,7 @@
 	}
 	dump, ok := e.scheduler.DumpState().(plan.Dump)
 	if !ok {
-		return 0 // the term has not begun
+		return 0 // the owner has not begun its term
 	}
 	n := 0
 	for _, w := range dump.Workers {
@@ -267,7 +271,7 @@
 	return a
 }
 
-// sendHeartbeats sends the worker's heartbeats to its agent.
+// sendHeartbeats sends the heartbeats of the worker to its agent until ctx ends.
 func (a *agent) sendHeartbeats(ctx context.Context) {
 	for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 		a.keeper.HandleHeartbeat(plan.WorkerInfo{
@@ -279,7 +283,8 @@
 	}
 }
 
-// stopEntry ends an entry; a killed one does not give its ownership up.
+// stopEntry stops an entry. With kill it first cuts the entry off from the
+// table, so that the entry cannot release its ownership.
 func (f *fleet) stopEntry(e *entry, kill bool) {
 	if e.stopped {
 		return
@@ -291,7 +296,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for i := len(e.services) - 1; i >= 0; i-- {
-		// A killed entry cannot release its row; that is the point.
+		// Errors are expected: a killed entry cannot release its row.
 		_ = e.services[i].Stop(ctx)
 	}
 }
@@ -318,7 +323,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if !kernel.PollUntil(ctx, 10*time.Millisecond, condition) {
-		f.t.Fatalf("no %s within %v", what, timeout)
+		f.t.Fatalf("timed out waiting for %s after %v", what, timeout)
 	}
 }
 
@@ -337,7 +342,7 @@
 	}
 }
 
-// submit hands a job in at an entry and expects it to be accepted.
+// submit submits a job to an entry and fails the test if it is not accepted.
 func (f *fleet) submit(e *entry, tasks int) graph.JobID {
 	f.t.Helper()
 	id := f.newID()
@@ -353,10 +358,10 @@
 
 func (f *fleet) awaitJobState(e *entry, id graph.JobID, want graph.State) {
 	f.t.Helper()
-	f.await(fmt.Sprintf("job %s that is %s", id, want), func() bool { return f.jobState(e, id) == want })
+	f.await(fmt.Sprintf("job %s to become %s", id, want), func() bool { return f.jobState(e, id) == want })
 }
 
-// ownerEntry returns the entry that owns scheduling, nil if there is none.
+// ownerEntry returns the entry that owns scheduling, or nil.
 func (f *fleet) ownerEntry() *entry {
 	for _, e := range f.entries {
 		if !e.stopped && e.owner.Current().Owner {
@@ -366,7 +371,7 @@
 	return nil
 }
 
-// startCounts counts how often each task of a job has begun.
+// startCounts returns how many times each task of a job has started.
 func (f *fleet) startCounts(id graph.JobID) map[graph.TaskID]int {
 	out := map[graph.TaskID]int{}
 	for _, a := range f.agents {
--- a/test/graphs/graphs_test.go
+++ b/test/graphs/graphs_test.go
@@ -19,7 +19,7 @@
 		}
 		for task, n := range f.startCounts(id) {
 			if n != 1 {
-				t.Errorf("%v began %d times", task, n)
+				t.Errorf("%v started %d times", task, n)
 			}
 		}
 	}
@@ -36,17 +36,17 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	if n := len(f.startCounts(id)); n != 2 {
-		t.Fatalf("%d tasks began, want 2", n)
+		t.Fatalf("%d tasks started, want 2", n)
 	}
 	for task, n := range f.startCounts(id) {
 		if n != 1 {
-			t.Errorf("%v began %d times", task, n)
+			t.Errorf("%v started %d times", task, n)
 		}
 	}
 }
 
-// TestRunningWorkOutlivesItsOwner shows that a task goes on, and is not started
-// again, when the owner is killed.
+// TestRunningWorkOutlivesItsOwner checks that running tasks continue, and are not
+// started again, when the owner is killed.
 func TestRunningWorkOutlivesItsOwner(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.setTaskDuration(4 * time.Second)
@@ -58,14 +58,14 @@
 	f.awaitJobState(newOwner, id, graph.Completed)
 	for task, n := range f.startCounts(id) {
 		if n != 1 {
-			t.Errorf("%v began %d times", task, n)
+			t.Errorf("%v started %d times", task, n)
 		}
 	}
 }
 
-// TestTakeoverBeforeTermExpires shows that an owner without the table is
-// followed long before its term is over, and that no task runs twice while both
-// serve workers.
+// TestTakeoverBeforeTermExpires checks that another entry takes over from an owner
+// without access to the table long before the owner's term expires, and that no
+// task runs twice while both entries serve workers.
 func TestTakeoverBeforeTermExpires(t *testing.T) {
 	const term, takeOver = 6 * time.Second, 700 * time.Millisecond
 	f := newFleetWithTimes(t, 3, 4, owner.Times{Lease: term, TakeOver: takeOver})
@@ -89,25 +89,25 @@
 	for _, job := range []graph.JobID{id, secondID} {
 		for task, n := range f.startCounts(job) {
 			if n != 1 {
-				t.Errorf("%v began %d times", task, n)
+				t.Errorf("%v started %d times", task, n)
 			}
 		}
 	}
 }
 
-// TestOwnershipResumesAfterOutage shows that an owner whose term has lapsed in an
-// outage, and which nobody has followed, goes on afterwards.
+// TestOwnershipResumesAfterOutage checks that an owner whose term expired during an
+// outage resumes scheduling if no other entry has taken over.
 func TestOwnershipResumesAfterOutage(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.setTaskDuration(300 * time.Millisecond)
 	e := f.entries[0]
 	epoch := e.owner.Current().Epoch
 	e.table.refuse.Store(true)
-	f.await("a lapsed term", func() bool { return !e.owner.Current().Owner })
+	f.await("the term to expire", func() bool { return !e.owner.Current().Owner })
 	e.table.refuse.Store(false)
 	f.await("an owner", func() bool { return e.owner.Current().Owner })
 	if now := e.owner.Current().Epoch; now != epoch {
-		t.Skipf("ownership was claimed anew: epoch %d after %d", now, epoch)
+		t.Skipf("ownership was claimed again: epoch %d after %d", now, epoch)
 	}
 	var id graph.JobID
 	f.await("an accepted job", func() bool {
@@ -117,8 +117,9 @@
 	f.awaitJobState(e, id, graph.Completed)
 }
 
-// TestRestartedWorkerTasksRestartBeforeLeaseExpires shows that work which a worker's restart has
-// ended begins again long before the lease of the old life would be over.
+// TestRestartedWorkerTasksRestartBeforeLeaseExpires checks that tasks ended by the
+// restart of their worker start again long before the lease of the worker's
+// previous incarnation expires.
 func TestRestartedWorkerTasksRestartBeforeLeaseExpires(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.setTaskDuration(1500 * time.Millisecond)
@@ -135,8 +136,8 @@
 	f.awaitJobState(f.entries[0], id, graph.Completed)
 }
 
-// TestDelayedStartsRunNoTaskTwice shows that starts which a worker carries out
-// long after they were sent do not let a task run twice.
+// TestDelayedStartsRunNoTaskTwice checks that no task runs twice when a worker
+// executes start orders long after they were sent.
 func TestDelayedStartsRunNoTaskTwice(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.setTaskDuration(200 * time.Millisecond)
@@ -148,13 +149,13 @@
 	time.Sleep(3 * time.Second)
 	for task, n := range f.startCounts(id) {
 		if n != 1 {
-			t.Errorf("%v began %d times", task, n)
+			t.Errorf("%v started %d times", task, n)
 		}
 	}
 }
 
-// TestEntryWithoutTableRelays shows that an entry which the table turns away
-// serves its callers through another one.
+// TestEntryWithoutTableRelays checks that an entry whose table calls are refused
+// serves its callers through another entry.
 func TestEntryWithoutTableRelays(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	var isolated *entry
@@ -164,13 +165,13 @@
 		}
 	}
 	isolated.table.refuse.Store(true)
-	f.await("an entry that is not ready", func() bool { return isolated.front.Ready() != nil })
+	f.await("the isolated entry to be not ready", func() bool { return isolated.front.Ready() != nil })
 	id := f.submit(isolated, 2)
 	f.awaitJobState(isolated, id, graph.Completed)
 }
 
-// TestRefusedJobNeverRuns shows that a refusal while no entry reaches the table
-// is true: the job is not there afterwards.
+// TestRefusedJobNeverRuns checks that a job refused while no entry reaches the
+// table neither exists nor runs after the outage.
 func TestRefusedJobNeverRuns(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	for _, e := range f.entries {
@@ -184,25 +185,25 @@
 	for _, e := range f.entries {
 		e.table.refuse.Store(false)
 	}
-	f.await("a served queue", func() bool { return f.entries[0].front.Lookup(f.callFor("")).Outcome == graphs.OK })
+	f.await("the queue to be served", func() bool { return f.entries[0].front.Lookup(f.callFor("")).Outcome == graphs.OK })
 	time.Sleep(time.Second)
 	if a := f.entries[0].front.Lookup(f.callFor(id)); a.Outcome != graphs.NoJob {
 		t.Fatalf("refused job: %+v", a)
 	}
 	if n := len(f.startCounts(id)); n > 0 {
-		t.Fatalf("%d tasks of a refused job began", n)
+		t.Fatalf("%d tasks of a refused job started", n)
 	}
 }
 
-// TestUnansweredWriteIsUnknown shows that nobody is told of a refusal while a
-// write may still take effect.
+// TestUnansweredWriteIsUnknown checks that a submission is not answered as refused
+// while its write to the table may still take effect.
 func TestUnansweredWriteIsUnknown(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	e := f.entries[0]
 	e.table.hang.Store(true)
 	a := e.front.SubmitLocal(f.callFor(f.newID()), jobWithTasks(1))
 	if a.Outcome != graphs.Unknown {
-		t.Fatalf("submit to a silent table: %+v", a)
+		t.Fatalf("submit to a table that does not answer: %+v", a)
 	}
 }
 
@@ -242,10 +243,10 @@
 	next := snapshot(2)
 	next.Accounts[0].Keys = nil
 	e.config.set(next)
-	f.await("a key without effect", func() bool {
+	f.await("the removed key to be rejected", func() bool {
 		return e.front.Lookup(f.callFor(f.newID())).Outcome == graphs.Unauthorized
 	})
-	// A version that is lower again must not bring the key back.
+	// A configuration with a lower version must not restore the key.
 	e.config.set(snapshot(1))
 	time.Sleep(time.Second)
 	if a := e.front.Lookup(f.callFor(f.newID())); a.Outcome != graphs.Unauthorized {
@@ -253,8 +254,8 @@
 	}
 }
 
-// TestFailingTaskFailsItsJob shows that attempts are counted, across a change of
-// the owner too, and then the job is answered failed.
+// TestFailingTaskFailsItsJob checks that attempts are counted across a change of
+// the owner and that the job fails after the last one.
 func TestFailingTaskFailsItsJob(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	for _, a := range f.agents {
@@ -269,13 +270,13 @@
 	f.awaitJobState(newOwner, id, graph.Failed)
 	for task, n := range f.startCounts(id) {
 		if n != 3 {
-			t.Errorf("%v began %d times, want 3 attempts", task, n)
+			t.Errorf("%v started %d times, want 3 attempts", task, n)
 		}
 	}
 }
 
-// TestFeedHistoryLost shows that jobs are found although the table no longer
-// tells what has changed.
+// TestFeedHistoryLost checks that the owner finds submitted jobs although the table
+// has discarded the history of its change feed.
 func TestFeedHistoryLost(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	for range 5 {
@@ -285,8 +286,8 @@
 	}
 }
 
-// TestDrainingWorkerGetsNothing shows that nothing starts on a worker that has
-// said that it leaves.
+// TestDrainingWorkerGetsNothing checks that no task starts on a worker that reports
+// that it is draining.
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.agents[0].draining.Store(true)
@@ -294,13 +295,13 @@
 	id := f.submit(f.entries[0], 6)
 	f.awaitJobState(f.entries[0], id, graph.Completed)
 	if n := len(f.agents[0].runner.Starts()); n > 0 {
-		t.Fatalf("%d tasks began on a draining worker", n)
+		t.Fatalf("%d tasks started on a draining worker", n)
 	}
 }
 
-// TestRelayedVersionIsKept shows that an entry whose callers have seen a
-// newer configuration through another entry does not answer by its own older
-// one afterwards.
+// TestRelayedVersionIsKept checks that an entry which has relayed calls under a newer
+// configuration of another entry does not fall back to its own older configuration
+// once it reaches the table again.
 func TestRelayedVersionIsKept(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	var isolated *entry
@@ -310,7 +311,7 @@
 		}
 	}
 	isolated.table.refuse.Store(true)
-	f.await("an entry without its store", func() bool { return isolated.front.Ready() != nil })
+	f.await("the isolated entry to be not ready", func() bool { return isolated.front.Ready() != nil })
 	for _, e := range f.entries {
 		if e == isolated {
 			continue
@@ -321,19 +322,19 @@
 		e.config.set(next)
 	}
 	call := graphs.Call{Host: queueHost, Path: "/added/", Key: callerKey, Wait: 2 * time.Second}
-	f.await("an added queue", func() bool { return isolated.front.Lookup(call).Outcome == graphs.OK })
+	f.await("the added queue", func() bool { return isolated.front.Lookup(call).Outcome == graphs.OK })
 	isolated.table.refuse.Store(false)
-	f.await("an entry with its store", func() bool { return isolated.front.Ready() == nil })
+	f.await("the isolated entry to be ready again", func() bool { return isolated.front.Ready() == nil })
 	for range 20 {
 		if a := isolated.front.Lookup(call); a.Outcome == graphs.NoQueue {
-			t.Fatalf("queue that was there is gone: %+v", a)
+			t.Fatalf("added queue is no longer served: %+v", a)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// TestOwnerWithoutTableHandsOver shows that an owner which alone is turned away
-// by the table is followed long before its term would have ended.
+// TestOwnerWithoutTableHandsOver checks that an owner hands over long before its
+// term expires if it is the only entry whose table calls are refused.
 func TestOwnerWithoutTableHandsOver(t *testing.T) {
 	const term = 6 * time.Second
 	f := newFleetWithTerm(t, 3, 2, term)
@@ -350,8 +351,8 @@
 	f.awaitJobState(oldOwner, id, graph.Completed)
 }
 
-// TestOwnerStaysWithoutTableEverywhere shows that the ownership is not given up
-// in an outage that all entries see.
+// TestOwnerStaysWithoutTableEverywhere checks that the owner keeps its ownership
+// during an outage that affects all entries.
 func TestOwnerStaysWithoutTableEverywhere(t *testing.T) {
 	f := newFleetWithTerm(t, 2, 1, 4*time.Second)
 	oldOwner := f.ownerEntry()
@@ -360,12 +361,13 @@
 	}
 	time.Sleep(2 * time.Second)
 	if f.ownerEntry() != oldOwner {
-		t.Fatal("the owner has given its term up")
+		t.Fatal("the owner has given up its term")
 	}
 }
 
-// TestOwnerStaysWhileTableIsSlow shows that the ownership is not given to an
-// entry that would be slow to begin its term, as the table is slow for it too.
+// TestOwnerStaysWhileTableIsSlow checks that the owner does not hand over while the
+// table is slow for the other entries too, as the next owner would be slow to
+// begin its term.
 func TestOwnerStaysWhileTableIsSlow(t *testing.T) {
 	f := newFleetWithTerm(t, 3, 1, 4*time.Second)
 	oldOwner := f.ownerEntry()
@@ -375,6 +377,6 @@
 	oldOwner.table.hang.Store(true)
 	time.Sleep(2500 * time.Millisecond)
 	if f.ownerEntry() != oldOwner {
-		t.Fatal("the owner has given its term up")
+		t.Fatal("the owner has given up its term")
 	}
 }
