--- a/test/bench/bench_test.go
+++ b/test/bench/bench_test.go
@@ -18,35 +18,35 @@
 
 const callTimeout = 10 * time.Second
 
-// once lets a benchmark with its own clock run only in the first round.
-func once(b *testing.B) bool {
+// firstRun lets a benchmark with its own clock run only in the first round.
+func firstRun(b *testing.B) bool {
 	b.StopTimer()
 	return b.N == 1
 }
 
 // latencies is a histogram of durations in microseconds.
 type latencies struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
 func newLatencies() *latencies {
-	return &latencies{h: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
+	return &latencies{histogram: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
-func (l *latencies) add(d time.Duration) {
+func (l *latencies) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// Values above the range are recorded nowhere; no call takes a minute.
-	_ = l.h.RecordValue(max(1, d.Microseconds()))
+	_ = l.histogram.RecordValue(max(1, d.Microseconds()))
 }
 
 func (l *latencies) report(b *testing.B, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b.ReportMetric(float64(l.h.ValueAtQuantile(50))/1000, name+"-p50-ms")
-	b.ReportMetric(float64(l.h.ValueAtQuantile(99))/1000, name+"-p99-ms")
-	b.ReportMetric(float64(l.h.Max())/1000, name+"-max-ms")
+	b.ReportMetric(float64(l.histogram.ValueAtQuantile(50))/1000, name+"-p50-ms")
+	b.ReportMetric(float64(l.histogram.ValueAtQuantile(99))/1000, name+"-p99-ms")
+	b.ReportMetric(float64(l.histogram.Max())/1000, name+"-max-ms")
 }
 
 // shape returns a gang of tasks with one accelerator each.
@@ -69,8 +69,8 @@
 	}
 }
 
-// awaitState polls a job until it has the state.
-func awaitState(b *testing.B, c *client.Client, id string, state api.JobState, limit time.Duration) {
+// awaitJobState polls a job until it has the state.
+func awaitJobState(b *testing.B, c *client.Client, id string, state api.JobState, limit time.Duration) {
 	b.Helper()
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -83,8 +83,8 @@
 	b.Fatalf("job %s is not %s after %v", id, state, limit)
 }
 
-// workers starts workers with 8 accelerators each, three per rack, over three zones.
-func workers(h *harness.Harness, n int) {
+// startWorkers starts startWorkers with 8 accelerators each, three per rack, over three zones.
+func startWorkers(h *harness.Harness, n int) {
 	for i := range n {
 		zone := fmt.Sprintf("z%d", i%3+1)
 		h.StartWorker(fmt.Sprintf("w%d", i), zone, fmt.Sprintf("%s-r%d", zone, i/9), 8)
--- a/test/bench/control_test.go
+++ b/test/bench/control_test.go
@@ -17,21 +17,21 @@
 	zoneChanges   = 40
 	takeovers     = 5
 	urgentJobs    = 40
-	idleTime      = 10 * time.Second
+	idleDuration  = 10 * time.Second
 	inForceTarget = 3 * time.Second
 )
 
 // BenchmarkInForce measures the time from the acceptance of a change until
 // three entries and sixty agents report it in force.
 func BenchmarkInForce(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	h := harness.New(b)
 	for i := range 3 {
 		h.StartEntry(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1))
 	}
-	workers(h, fleetWorkers)
+	startWorkers(h, fleetWorkers)
 	h.WaitReady()
 	h.SetProfile(profile(harness.Profile, "county"))
 	l := newLatencies()
@@ -41,7 +41,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		l.add(h.WaitInForce(zone.Version, 2*inForceTarget))
+		l.record(h.WaitInForce(zone.Version, 2*inForceTarget))
 	}
 	l.report(b, "in-force")
 }
@@ -49,27 +49,27 @@
 // BenchmarkTakeover measures the time from the kill of the owner until the
 // next one has started a gang.
 func BenchmarkTakeover(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	h := harness.New(b)
 	h.StartEntry("e0", "z1")
 	h.StartEntry("e1", "z2")
-	workers(h, 9)
+	startWorkers(h, 9)
 	h.WaitReady()
 	h.SetProfile(profile("batch", "clinic"))
 	l := newLatencies()
 	for n := range takeovers {
-		warm, err := h.Client().SubmitJob(context.Background(), job("batch", shape(4, api.AdjacentRack), time.Millisecond), "")
+		warmUp, err := h.Client().SubmitJob(context.Background(), job("batch", shape(4, api.AdjacentRack), time.Millisecond), "")
 		if err != nil {
 			b.Fatal(err)
 		}
-		awaitState(b, h.Client(), warm.Job.ID, api.JobFinal, 20*time.Second)
+		awaitJobState(b, h.Client(), warmUp.Job.ID, api.JobFinal, 20*time.Second)
 		h.Owner().Kill()
 		began := time.Now()
 		submitted := submitUntilAccepted(b, h, n)
-		awaitState(b, h.Client(), submitted, api.JobRunning, 60*time.Second)
-		l.add(time.Since(began))
+		awaitJobState(b, h.Client(), submitted, api.JobRunning, 60*time.Second)
+		l.record(time.Since(began))
 		h.StartEntry(fmt.Sprintf("e%d", n+2), "z1")
 		h.WaitReady()
 	}
@@ -93,13 +93,13 @@
 // BenchmarkUrgentStart measures the time from the submission of an urgent gang
 // until it runs, while preemptible work fills all accelerators.
 func BenchmarkUrgentStart(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	h := harness.New(b)
 	h.StartEntry("e1", "z1")
 	h.StartEntry("e2", "z2")
-	workers(h, 9)
+	startWorkers(h, 9)
 	h.WaitReady()
 	h.SetProfile(api.Profile{Name: "fill", ClientAccount: "other", Preemptible: true})
 	h.SetProfile(api.Profile{
@@ -120,9 +120,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		awaitState(b, c, r.Job.ID, api.JobRunning, 30*time.Second)
-		l.add(time.Since(began))
-		awaitState(b, c, r.Job.ID, api.JobFinal, 30*time.Second)
+		awaitJobState(b, c, r.Job.ID, api.JobRunning, 30*time.Second)
+		l.record(time.Since(began))
+		awaitJobState(b, c, r.Job.ID, api.JobFinal, 30*time.Second)
 	}
 	l.report(b, "urgent-start")
 }
@@ -130,7 +130,7 @@
 // BenchmarkNodeCost measures what the control costs a node: a worker's agent
 // with three entries, at rest and with tasks running.
 func BenchmarkNodeCost(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	h := harness.New(b)
@@ -138,7 +138,7 @@
 	for i := range 3 {
 		entries = append(entries, h.StartEntry(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1)))
 	}
-	workers(h, fleetWorkers)
+	startWorkers(h, fleetWorkers)
 	h.WaitReady()
 	h.SetProfile(profile("batch", "clinic"))
 	measureNodes(b, h, entries, "rest")
@@ -153,14 +153,14 @@
 }
 
 func measureNodes(b *testing.B, h *harness.Harness, entries []*harness.Entry, name string) {
-	before := usages(b, h)
-	bytes := relayed(entries)
-	time.Sleep(idleTime)
-	after := usages(b, h)
-	perNode := float64(relayed(entries)-bytes) / fleetWorkers / idleTime.Seconds()
+	before := processUsages(b, h)
+	bytes := relayedBytes(entries)
+	time.Sleep(idleDuration)
+	after := processUsages(b, h)
+	perNode := float64(relayedBytes(entries)-bytes) / fleetWorkers / idleDuration.Seconds()
 	var agentCPU, entryCPU, agentRSS, entryRSS float64
 	for p, u := range after {
-		cpu := (u.CPU - before[p].CPU).Seconds() / idleTime.Seconds() * 100
+		cpu := (u.CPU - before[p].CPU).Seconds() / idleDuration.Seconds() * 100
 		if harness.IsEntry(p) {
 			entryCPU = max(entryCPU, cpu)
 			entryRSS = max(entryRSS, float64(u.RSSBytes)/1e6)
@@ -176,7 +176,7 @@
 	b.ReportMetric(entryRSS, name+"-entry-MB")
 }
 
-func usages(b *testing.B, h *harness.Harness) map[*harness.Process]process.Usage {
+func processUsages(b *testing.B, h *harness.Harness) map[*harness.Process]process.Usage {
 	b.Helper()
 	out := map[*harness.Process]process.Usage{}
 	for _, p := range h.Running() {
@@ -189,7 +189,7 @@
 	return out
 }
 
-func relayed(entries []*harness.Entry) int64 {
+func relayedBytes(entries []*harness.Entry) int64 {
 	var sum int64
 	for _, e := range entries {
 		sum += e.Relay.Bytes()
--- a/test/bench/outage_test.go
+++ b/test/bench/outage_test.go
@@ -14,19 +14,19 @@
 
 // The phases of the outage run: steady, down, slow with lost answers, back.
 const (
-	steadyPhase = 5 * time.Second
-	downPhase   = 60 * time.Second
-	slowPhase   = 5 * time.Second
-	backPhase   = 10 * time.Second
-	loadCallers = 8
-	jobInterval = 500 * time.Millisecond
+	steadyPhase    = 5 * time.Second
+	downPhase      = 60 * time.Second
+	slowPhase      = 5 * time.Second
+	recoveredPhase = 10 * time.Second
+	loadCallers    = 8
+	jobInterval    = 500 * time.Millisecond
 )
 
 // BenchmarkStoreOutage compares the work completed while the table is down for
 // a minute, then slow and losing answers, with a run of the same length
 // without a fault.
 func BenchmarkStoreOutage(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	for _, outage := range []bool{false, true} {
@@ -35,7 +35,7 @@
 			name = "outage"
 		}
 		b.Run(name, func(b *testing.B) {
-			if once(b) {
+			if firstRun(b) {
 				measureOutage(b, outage)
 			}
 		})
@@ -49,10 +49,10 @@
 	for _, zone := range []string{"z1", "z2"} {
 		h.StartMinion("m-"+zone, zone, 8)
 	}
-	workers(h, 6)
+	startWorkers(h, 6)
 	h.WaitReady()
 	h.SetProfile(profile(harness.Profile, "county"))
-	long, err := h.Submit(context.Background(), "long", job(harness.Profile, shape(8, api.AdjacentWorker), downPhase+slowPhase+backPhase), h.Client())
+	long, err := h.Submit(context.Background(), "long", job(harness.Profile, shape(8, api.AdjacentWorker), downPhase+slowPhase+recoveredPhase), h.Client())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,16 +61,16 @@
 	var jobs jobLoad
 	var done sync.WaitGroup
 	done.Go(func() { jobs.run(ctx, h) })
-	phases(h, outage)
+	runPhases(h, outage)
 	cancel()
 	done.Wait()
 	requests := load.Stop()
 	h.CheckTrue(requests)
-	jobs.check(b, h, append(jobs.accepted, long.Job.ID))
+	jobs.checkCompleted(b, h, append(jobs.accepted, long.Job.ID))
 	reportOutage(b, requests, &jobs)
 }
 
-func phases(h *harness.Harness, outage bool) {
+func runPhases(h *harness.Harness, outage bool) {
 	set := func(f standin.FaultSettings) {
 		if outage {
 			h.Table.Set(f)
@@ -82,7 +82,7 @@
 	set(standin.FaultSettings{DelayMS: 200, LoseShare: 0.1})
 	time.Sleep(slowPhase)
 	set(standin.FaultSettings{})
-	time.Sleep(backPhase)
+	time.Sleep(recoveredPhase)
 }
 
 // jobLoad submits a small gang at a steady pace.
@@ -103,7 +103,7 @@
 	}
 }
 
-func (l *jobLoad) check(b *testing.B, h *harness.Harness, ids []string) {
+func (l *jobLoad) checkCompleted(b *testing.B, h *harness.Harness, ids []string) {
 	for _, id := range ids {
 		record := h.AwaitJob(id, time.Minute)
 		h.CheckJob(record)
--- a/test/bench/requests_test.go
+++ b/test/bench/requests_test.go
@@ -17,10 +17,10 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-const loadTime = 5 * time.Second
+const loadDuration = 5 * time.Second
 
-// requestSystem starts two entries and three minions.
-func requestSystem(b *testing.B, slots int) (*harness.Harness, []*harness.Entry, []*harness.Minion) {
+// startRequestSystem starts two entries and three minions.
+func startRequestSystem(b *testing.B, slots int) (*harness.Harness, []*harness.Entry, []*harness.Minion) {
 	h := harness.New(b)
 	entries := []*harness.Entry{h.StartEntry("e1", "z1"), h.StartEntry("e2", "z2")}
 	var minions []*harness.Minion
@@ -32,64 +32,64 @@
 	return h, entries, minions
 }
 
-// closedLoop runs callers that each call again as soon as they are answered.
+// runClosedLoop runs callers that each call again as soon as they are answered.
 // It returns the number of answers.
-func closedLoop(callers int, d time.Duration, l *latencies, call func(caller int, n int64) error) (int64, int64) {
-	var serial, failed atomic.Int64
+func runClosedLoop(callers int, d time.Duration, l *latencies, call func(caller int, n int64) error) (int64, int64) {
+	var calls, failed atomic.Int64
 	var done sync.WaitGroup
 	end := time.Now().Add(d)
 	for c := range callers {
 		done.Go(func() {
 			for time.Now().Before(end) {
 				began := time.Now()
-				if err := call(c, serial.Add(1)); err != nil {
+				if err := call(c, calls.Add(1)); err != nil {
 					failed.Add(1)
 				}
-				l.add(time.Since(began))
+				l.record(time.Since(began))
 			}
 		})
 	}
 	done.Wait()
-	return serial.Load(), failed.Load()
+	return calls.Load(), failed.Load()
 }
 
 // BenchmarkRequestPath compares calls through an entry and an agent with calls
 // of the minion itself, in the same run.
 func BenchmarkRequestPath(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
-	h, entries, minions := requestSystem(b, 64)
+	h, entries, minions := startRequestSystem(b, 64)
 	body, _ := json.Marshal(standin.MinionCall{Size: 1000})
 	for _, callers := range []int{1, 32} {
-		direct := newLatencies()
-		n, failed := closedLoop(callers, loadTime, direct, func(c int, n int64) error {
+		directLatencies := newLatencies()
+		n, failed := runClosedLoop(callers, loadDuration, directLatencies, func(c int, n int64) error {
 			return callMinion(minions[c%len(minions)], n, body)
 		})
 		name := fmt.Sprintf("direct-c%d", callers)
-		reportLoad(b, direct, name, n, failed)
+		reportLoad(b, directLatencies, name, n, failed)
 		for _, idempotent := range []bool{true, false} {
-			path := newLatencies()
+			entryLatencies := newLatencies()
 			clients := []*client.Client{h.ClientOf(entries[0]), h.ClientOf(entries[1])}
-			n, failed = closedLoop(callers, loadTime, path, func(c int, n int64) error {
+			n, failed = runClosedLoop(callers, loadDuration, entryLatencies, func(c int, n int64) error {
 				return callEntry(clients[c%2], fmt.Sprintf("path-%d-%t-%d", callers, idempotent, n), idempotent, body)
 			})
 			name := fmt.Sprintf("path-c%d", callers)
 			if !idempotent {
 				name = fmt.Sprintf("claimed-c%d", callers)
 			}
-			reportLoad(b, path, name, n, failed)
+			reportLoad(b, entryLatencies, name, n, failed)
 		}
 	}
 }
 
 func reportLoad(b *testing.B, l *latencies, name string, n, failed int64) {
 	l.report(b, name)
-	b.ReportMetric(float64(n)/loadTime.Seconds(), name+"-per-s")
+	b.ReportMetric(float64(n)/loadDuration.Seconds(), name+"-per-s")
 	b.ReportMetric(float64(failed), name+"-failed")
 }
 
-var direct = http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+var directClient = http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
 func callMinion(m *harness.Minion, n int64, body []byte) error {
 	req, err := http.NewRequest(http.MethodPost, m.URL()+"/call", bytes.NewReader(body))
@@ -97,7 +97,7 @@
 		return err
 	}
 	req.Header.Set(external.HeaderRequestID, fmt.Sprintf("direct-%d", n))
-	resp, err := direct.Do(req)
+	resp, err := directClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -123,44 +123,44 @@
 // BenchmarkBurst measures what a saturating burst of one account does to the
 // paced requests of another.
 func BenchmarkBurst(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
-	h, entries, _ := requestSystem(b, 4)
+	h, entries, _ := startRequestSystem(b, 4)
 	h.SetProfile(profile("flood", "other"))
 	clients := []*client.Client{h.ClientOf(entries[0]), h.ClientOf(entries[1])}
-	alone := newLatencies()
-	paced(clients, alone)
-	alone.report(b, "alone")
+	baseline := newLatencies()
+	runPacedLoad(clients, baseline)
+	baseline.report(b, "alone")
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
 	var done, refused atomic.Int64
 	for c := range 200 {
-		flood.Go(func() { floodCaller(clients[c%2], stop, &done, &refused) })
+		flood.Go(func() { runBurstCaller(clients[c%2], stop, &done, &refused) })
 	}
 	time.Sleep(time.Second)
-	under := newLatencies()
-	failed := paced(clients, under)
+	underBurst := newLatencies()
+	failed := runPacedLoad(clients, underBurst)
 	close(stop)
 	flood.Wait()
-	under.report(b, "under-burst")
+	underBurst.report(b, "under-burst")
 	b.ReportMetric(float64(failed), "under-burst-failed")
 	b.ReportMetric(float64(done.Load()), "burst-done")
 	b.ReportMetric(float64(refused.Load()), "burst-refused")
 }
 
-// paced sends a request of 20 ms each 25 ms and returns how many failed.
-func paced(clients []*client.Client, l *latencies) int64 {
+// runPacedLoad sends a request of 20 ms each 25 ms and returns how many failed.
+func runPacedLoad(clients []*client.Client, l *latencies) int64 {
 	body, _ := json.Marshal(standin.MinionCall{SleepMS: 20})
 	var failed atomic.Int64
 	var done sync.WaitGroup
-	for n := range int(loadTime / (25 * time.Millisecond)) {
+	for n := range int(loadDuration / (25 * time.Millisecond)) {
 		done.Go(func() {
 			began := time.Now()
 			if err := callEntry(clients[n%2], "", true, body); err != nil {
 				failed.Add(1)
 			}
-			l.add(time.Since(began))
+			l.record(time.Since(began))
 		})
 		time.Sleep(25 * time.Millisecond)
 	}
@@ -168,7 +168,7 @@
 	return failed.Load()
 }
 
-func floodCaller(c *client.Client, stop <-chan struct{}, done, refused *atomic.Int64) {
+func runBurstCaller(c *client.Client, stop <-chan struct{}, done, refused *atomic.Int64) {
 	body, _ := json.Marshal(standin.MinionCall{SleepMS: 20})
 	for {
 		select {
--- a/test/bench/slope_test.go
+++ b/test/bench/slope_test.go
@@ -11,7 +11,7 @@
 // BenchmarkEntrySlope measures an entry's processor time and memory at rest
 // with a growing number of linked agents.
 func BenchmarkEntrySlope(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	h := harness.New(b)
@@ -27,13 +27,13 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		time.Sleep(idleTime)
+		time.Sleep(idleDuration)
 		after, err := entry.Usage()
 		if err != nil {
 			b.Fatal(err)
 		}
 		name := fmt.Sprintf("agents%d", agents)
-		b.ReportMetric((after.CPU-before.CPU).Seconds()/idleTime.Seconds()*100, name+"-entry-core%")
+		b.ReportMetric((after.CPU-before.CPU).Seconds()/idleDuration.Seconds()*100, name+"-entry-core%")
 		b.ReportMetric(float64(after.RSSBytes)/1e6, name+"-entry-MB")
 	}
 }
