--- a/test/bench/bench_test.go
+++ b/test/bench/bench_test.go
@@ -18,13 +18,14 @@
 
 const callTimeout = 10 * time.Second
 
-// firstRun lets a benchmark with its own clock run only in the first round.
+// firstRun stops the benchmark timer and reports whether this is the first round.
+// The benchmarks take their own times and run only in that round.
 func firstRun(b *testing.B) bool {
 	b.StopTimer()
 	return b.N == 1
 }
 
-// latencies is a histogram of durations in microseconds.
+// latencies is a histogram of durations in microseconds, safe for concurrent use.
 type latencies struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -37,10 +38,11 @@
 func (l *latencies) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Values above the range are recorded nowhere; no call takes a minute.
+	// Durations above the range of a minute are dropped; no call takes that long.
 	_ = l.histogram.RecordValue(max(1, d.Microseconds()))
 }
 
+// report reports the median, the 99th percentile and the maximum in milliseconds.
 func (l *latencies) report(b *testing.B, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +51,7 @@
 	b.ReportMetric(float64(l.histogram.Max())/1000, name+"-max-ms")
 }
 
-// shape returns a gang of tasks with one accelerator each.
+// shape returns the shape of a gang whose tasks need one accelerator each.
 func shape(tasks int, adjacency api.Adjacency) api.Shape {
 	return api.Shape{
 		Tasks:     tasks,
@@ -69,7 +71,7 @@
 	}
 }
 
-// awaitJobState polls a job until it has the state.
+// awaitJobState polls a job until it reaches the state or is final.
 func awaitJobState(b *testing.B, c *client.Client, id string, state api.JobState, limit time.Duration) {
 	b.Helper()
 	deadline := time.Now().Add(limit)
--- a/test/bench/control_test.go
+++ b/test/bench/control_test.go
@@ -21,8 +21,8 @@
 	inForceTarget = 3 * time.Second
 )
 
-// BenchmarkInForce measures the time from the acceptance of a change until
-// three entries and sixty agents report it in force.
+// BenchmarkInForce measures the time from the acceptance of a configuration change
+// until three entries and sixty agents report that it is in force.
 func BenchmarkInForce(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -46,8 +46,8 @@
 	l.report(b, "in-force")
 }
 
-// BenchmarkTakeover measures the time from the kill of the owner until the
-// next one has started a gang.
+// BenchmarkTakeover measures the time from the kill of the owner until the next
+// owner has started a gang.
 func BenchmarkTakeover(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -76,6 +76,8 @@
 	l.report(b, "takeover")
 }
 
+// submitUntilAccepted retries a submission under one idempotency key until an entry
+// accepts it and returns the job's ID.
 func submitUntilAccepted(b *testing.B, h *harness.Harness, n int) string {
 	b.Helper()
 	deadline := time.Now().Add(20 * time.Second)
@@ -91,7 +93,7 @@
 }
 
 // BenchmarkUrgentStart measures the time from the submission of an urgent gang
-// until it runs, while preemptible work fills all accelerators.
+// until it runs while preemptible jobs occupy all accelerators.
 func BenchmarkUrgentStart(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -127,8 +129,8 @@
 	l.report(b, "urgent-start")
 }
 
-// BenchmarkNodeCost measures what the control costs a node: a worker's agent
-// with three entries, at rest and with tasks running.
+// BenchmarkNodeCost measures the CPU, memory and network use of a worker's agent
+// and of three entries, without work and with tasks running.
 func BenchmarkNodeCost(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -152,6 +154,8 @@
 	measureNodes(b, h, entries, "tasks")
 }
 
+// measureNodes measures the processes for idleDuration and reports the mean CPU and
+// traffic of an agent, the CPU of the busiest entry and the maximum memory of both.
 func measureNodes(b *testing.B, h *harness.Harness, entries []*harness.Entry, name string) {
 	before := processUsages(b, h)
 	bytes := relayedBytes(entries)
@@ -176,6 +180,7 @@
 	b.ReportMetric(entryRSS, name+"-entry-MB")
 }
 
+// processUsages returns the resource usage of each running process.
 func processUsages(b *testing.B, h *harness.Harness) map[*harness.Process]process.Usage {
 	b.Helper()
 	out := map[*harness.Process]process.Usage{}
@@ -189,6 +194,7 @@
 	return out
 }
 
+// relayedBytes returns the number of bytes that passed the relays of the entries.
 func relayedBytes(entries []*harness.Entry) int64 {
 	var sum int64
 	for _, e := range entries {
--- a/test/bench/outage_test.go
+++ b/test/bench/outage_test.go
@@ -12,7 +12,8 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// The phases of the outage run: steady, down, slow with lost answers, back.
+// The phases of the outage run: table available, down, slow with lost answers,
+// available again.
 const (
 	steadyPhase    = 5 * time.Second
 	downPhase      = 60 * time.Second
@@ -22,9 +23,9 @@
 	jobInterval    = 500 * time.Millisecond
 )
 
-// BenchmarkStoreOutage compares the work completed while the table is down for
-// a minute, then slow and losing answers, with a run of the same length
-// without a fault.
+// BenchmarkStoreOutage compares the work completed in two runs of the same length:
+// one without faults and one in which the table is down for a minute and then slow
+// with lost answers.
 func BenchmarkStoreOutage(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -70,6 +71,8 @@
 	reportOutage(b, requests, &jobs)
 }
 
+// runPhases waits through the phases and, with outage, injects their faults into
+// the table.
 func runPhases(h *harness.Harness, outage bool) {
 	set := func(f standin.FaultSettings) {
 		if outage {
@@ -85,7 +88,7 @@
 	time.Sleep(recoveredPhase)
 }
 
-// jobLoad submits a small gang at a steady pace.
+// jobLoad submits a small gang every jobInterval.
 type jobLoad struct {
 	accepted []string
 	refused  int
@@ -103,6 +106,7 @@
 	}
 }
 
+// checkCompleted checks that each job ends with the outcome done.
 func (l *jobLoad) checkCompleted(b *testing.B, h *harness.Harness, ids []string) {
 	for _, id := range ids {
 		record := h.AwaitJob(id, time.Minute)
@@ -113,6 +117,7 @@
 	}
 }
 
+// reportOutage reports the requests by kind and outcome, and the jobs.
 func reportOutage(b *testing.B, requests []*harness.Request, jobs *jobLoad) {
 	counts := map[string]int{}
 	for _, r := range requests {
--- a/test/bench/requests_test.go
+++ b/test/bench/requests_test.go
@@ -19,7 +19,7 @@
 
 const loadDuration = 5 * time.Second
 
-// startRequestSystem starts two entries and three minions.
+// startRequestSystem starts two entries and three minions with the given slots.
 func startRequestSystem(b *testing.B, slots int) (*harness.Harness, []*harness.Entry, []*harness.Minion) {
 	h := harness.New(b)
 	entries := []*harness.Entry{h.StartEntry("e1", "z1"), h.StartEntry("e2", "z2")}
@@ -32,8 +32,8 @@
 	return h, entries, minions
 }
 
-// runClosedLoop runs callers that each call again as soon as they are answered.
-// It returns the number of answers.
+// runClosedLoop runs callers for the duration d, each of which calls again as soon
+// as its last call has ended. It returns the number of calls and of failed calls.
 func runClosedLoop(callers int, d time.Duration, l *latencies, call func(caller int, n int64) error) (int64, int64) {
 	var calls, failed atomic.Int64
 	var done sync.WaitGroup
@@ -53,8 +53,8 @@
 	return calls.Load(), failed.Load()
 }
 
-// BenchmarkRequestPath compares calls through an entry and an agent with calls
-// of the minion itself, in the same run.
+// BenchmarkRequestPath compares calls through an entry and an agent with direct
+// calls to the minion in the same run.
 func BenchmarkRequestPath(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -106,8 +106,8 @@
 	return json.NewDecoder(resp.Body).Decode(&answer)
 }
 
-// callEntry leaves out the key of an idempotent call; one that is not
-// idempotent is claimed in the table.
+// callEntry calls the service through an entry. It sends the key only with a call
+// that is not idempotent, which the entry then claims in the table.
 func callEntry(c *client.Client, key string, idempotent bool, body []byte) error {
 	r := client.Request{
 		Service: harness.Service, Profile: harness.Profile, Idempotent: idempotent,
@@ -120,8 +120,8 @@
 	return err
 }
 
-// BenchmarkBurst measures what a saturating burst of one account does to the
-// paced requests of another.
+// BenchmarkBurst measures the effect of a saturating burst of one client account on
+// the latency of the paced requests of another.
 func BenchmarkBurst(b *testing.B) {
 	if !firstRun(b) {
 		return
@@ -149,7 +149,8 @@
 	b.ReportMetric(float64(refused.Load()), "burst-refused")
 }
 
-// runPacedLoad sends a request of 20 ms each 25 ms and returns how many failed.
+// runPacedLoad sends a request of 20 ms every 25 ms for loadDuration and returns the
+// number of failed requests.
 func runPacedLoad(clients []*client.Client, l *latencies) int64 {
 	body, _ := json.Marshal(standin.MinionCall{SleepMS: 20})
 	var failed atomic.Int64
@@ -168,6 +169,7 @@
 	return failed.Load()
 }
 
+// runBurstCaller sends requests in a closed loop until stop is closed.
 func runBurstCaller(c *client.Client, stop <-chan struct{}, done, refused *atomic.Int64) {
 	body, _ := json.Marshal(standin.MinionCall{SleepMS: 20})
 	for {
--- a/test/bench/slope_test.go
+++ b/test/bench/slope_test.go
@@ -8,8 +8,8 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// BenchmarkEntrySlope measures an entry's processor time and memory at rest
-// with a growing number of linked agents.
+// BenchmarkEntrySlope measures the CPU and memory use of an entry without work as
+// the number of linked agents grows.
 func BenchmarkEntrySlope(b *testing.B) {
 	if !firstRun(b) {
 		return
--- a/test/graphs/graphs_test.go
+++ b/test/graphs/graphs_test.go
@@ -365,9 +365,9 @@
 	}
 }
 
-// TestOwnerStaysWhileTableIsSlow checks that the owner does not hand over while the
-// table is slow for the other entries too, as the next owner would be slow to
-// begin its term.
+// TestOwnerStaysWhileTableIsSlow checks that an owner without access to the table
+// does not hand over while the table is slow for the other entries: the next owner
+// would be slow to begin its term.
 func TestOwnerStaysWhileTableIsSlow(t *testing.T) {
 	f := newFleetWithTerm(t, 3, 1, 4*time.Second)
 	oldOwner := f.ownerEntry()
