--- a/test/bench/bench_test.go
+++ b/test/bench/bench_test.go
@@ -85,7 +85,8 @@
 	b.Fatalf("job %s is not %s after %v", id, state, limit)
 }
 
-// startWorkers starts startWorkers with 8 accelerators each, three per rack, over three zones.
+// startWorkers starts n workers with 8 accelerators each, spread over three zones
+// with three workers per rack.
 func startWorkers(h *harness.Harness, n int) {
 	for i := range n {
 		zone := fmt.Sprintf("z%d", i%3+1)
--- a/test/bench/outage_test.go
+++ b/test/bench/outage_test.go
@@ -88,7 +88,7 @@
 	time.Sleep(recoveredPhase)
 }
 
-// jobLoad submits a small gang every jobInterval.
+// jobLoad submits small gangs one after the other, with a pause of jobInterval.
 type jobLoad struct {
 	accepted []string
 	refused  int
