--- a/test/demo/load.go
+++ b/test/demo/load.go
@@ -54,19 +54,19 @@
 			l.done.Add(1)
 			go func() {
 				defer l.done.Done()
-				l.one(n)
+				l.sendRequest(n)
 			}()
 		}
 	}
 }
 
-func (l *load) one(n int) {
+func (l *load) sendRequest(n int) {
 	s := sample{}
 	client := http.Client{Timeout: loadTimeout}
 	body := fmt.Sprintf(`{"sleep_ms":20,"survey":%d}`, n)
 	req, err := http.NewRequest(http.MethodPost, l.url+"/v1/services/assessment/requests", bytes.NewBufferString(body))
 	if err != nil {
-		l.add(sample{err: err})
+		l.record(sample{err: err})
 		return
 	}
 	req.Header.Set("Coltsfoot-Profile", "survey")
@@ -74,7 +74,7 @@
 	req.Header.Set("Idempotency-Key", fmt.Sprintf("demo-%d", n))
 	resp, err := client.Do(req)
 	if err != nil {
-		l.add(sample{at: time.Now(), err: err})
+		l.record(sample{at: time.Now(), err: err})
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -89,23 +89,23 @@
 		s.err = fmt.Errorf("request %d got the answer of another request: %q", n, data)
 	}
 	s.minion = answer.Minion
-	l.add(s)
+	l.record(s)
 }
 
-func (l *load) add(s sample) {
+func (l *load) record(s sample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.samples = append(l.samples, s)
 }
 
-// end stops the load and waits for the last answers.
-func (l *load) end() {
+// stopAndWait stops the load and waits for the last answers.
+func (l *load) stopAndWait() {
 	close(l.stop)
 	l.done.Wait()
 }
 
-// since counts the answers by minion in a period.
-func (l *load) since(from, to time.Time) map[string]int {
+// doneByMinion counts the answers by minion in a period.
+func (l *load) doneByMinion(from, to time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]int{}
@@ -132,8 +132,8 @@
 	return counts, failures
 }
 
-// counted writes counts as "a 3, b 4".
-func counted(m map[string]int) string {
+// formatCounts writes counts as "a 3, b 4".
+func formatCounts(m map[string]int) string {
 	var parts []string
 	for k, v := range m {
 		parts = append(parts, fmt.Sprintf("%s %d", k, v))
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -18,9 +18,9 @@
 const (
 	demoTimeout = 55 * time.Second
 	// inForceLimit is the bound for a configuration change to be in force everywhere.
-	inForceLimit = 3 * time.Second
-	steadyTime   = 2 * time.Second
-	pollInterval = 50 * time.Millisecond
+	inForceLimit    = 3 * time.Second
+	observationTime = 2 * time.Second
+	pollInterval    = 50 * time.Millisecond
 	// inProgressTime is enough for requests that ran when the zone went out.
 	inProgressTime = 500 * time.Millisecond
 	gangTime       = 6 * time.Second
@@ -43,22 +43,22 @@
 	fmt.Println("coltsfootlug demo")
 	fmt.Println("logs and settings:", f.dir)
 	defer func() {
-		bad := f.stop()
-		if err == nil && len(bad) > 0 {
-			err = errors.Errorf("processes did not stop gracefully:\n%s", strings.Join(bad, "\n"))
+		failed := f.stop()
+		if err == nil && len(failed) > 0 {
+			err = errors.Errorf("processes did not stop gracefully:\n%s", strings.Join(failed, "\n"))
 		}
 		if err == nil {
 			fmt.Printf("\nStopped %d processes gracefully, all with exit status 0.\n", len(f.processes))
 		}
 	}()
-	t, err := build(f)
+	t, err := startTopology(f)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("\nStarted %d processes: stand-ins, 2 entries, %d agents in zones %s.\n",
 		len(f.processes), len(f.processes)-3, strings.Join(zones, ", "))
 	d := &demo{ctx: ctx, topology: t}
-	for _, step := range []func() error{d.profiles, d.request, d.gang, d.zoneRound} {
+	for _, step := range []func() error{d.setProfiles, d.sendRequest, d.runGangJob, d.cycleZone} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -72,11 +72,11 @@
 }
 
 func (d *demo) ctl(args ...string) (string, error) {
-	return d.topology.fleet.ctl(d.ctx, d.topology.http, args...)
+	return d.topology.fleet.ctl(d.ctx, d.topology.balancerURL, args...)
 }
 
-// until repeats a check until it holds or the limit has passed.
-func (d *demo) until(what string, limit time.Duration, check func() (bool, error)) (time.Duration, error) {
+// waitUntil repeats a check waitUntil it holds or the limit has passed.
+func (d *demo) waitUntil(what string, limit time.Duration, check func() (bool, error)) (time.Duration, error) {
 	began := time.Now()
 	for {
 		ok, err := check()
@@ -92,7 +92,7 @@
 
 func section(format string, args ...any) { fmt.Printf("\n== "+format+"\n", args...) }
 
-func (d *demo) profiles() error {
+func (d *demo) setProfiles() error {
 	section("Profiles")
 	docs := map[string]string{
 		"survey":         `{"name":"survey","client_account":"county","weight":2}`,
@@ -117,7 +117,7 @@
 
 // awaitInForce waits until every process has the newest configuration.
 func (d *demo) awaitInForce() error {
-	took, err := d.until("configuration in force", inForceLimit, func() (bool, error) {
+	took, err := d.waitUntil("configuration in force", inForceLimit, func() (bool, error) {
 		out, err := d.ctl("--json", "config", "status")
 		if err != nil {
 			return false, err
@@ -134,7 +134,7 @@
 	return err
 }
 
-func (d *demo) request() error {
+func (d *demo) sendRequest() error {
 	section("Request")
 	path := d.topology.fleet.dir + "/request.json"
 	if err := os.WriteFile(path, []byte(`{"tree":"samaan-17","finding":"consent"}`), 0o600); err != nil {
@@ -156,9 +156,9 @@
 	return nil
 }
 
-func (d *demo) gang() error {
+func (d *demo) runGangJob() error {
 	section("Gang job")
-	record, err := d.submit("night-1", time.Second)
+	record, err := d.submitGang("night-1", time.Second)
 	if err != nil {
 		return err
 	}
@@ -182,8 +182,8 @@
 	Results json.RawMessage `json:"results"`
 }
 
-// submit sends a gang of two tasks that fill a worker each.
-func (d *demo) submit(key string, run time.Duration) (jobRecord, error) {
+// submitGang sends a gang of two tasks that fill a worker each.
+func (d *demo) submitGang(key string, run time.Duration) (jobRecord, error) {
 	out, err := d.ctl("--json", "jobs", "submit", "--key", key, "--profile", "reconstruction",
 		"--tasks", "2", "--accelerators", "8", "--milli-cpu", "8000", "--memory-mb", "16000",
 		"--adjacency", "rack", "--idempotent", "--checkpointable", "--declared-run", run.String(),
@@ -203,8 +203,8 @@
 	return out.String()
 }
 
-// where names the gang's workers.
-func (r jobRecord) where() string {
+// placementText names the gang's workers.
+func (r jobRecord) placementText() string {
 	var parts []string
 	for _, p := range r.Placements {
 		parts = append(parts, fmt.Sprintf("%s in %s", p.Worker, p.Zone))
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("job %s: %s in attempt %d on %s, results %s\n", id, r.Outcome, r.Attempt, r.where(), r.results())
+	fmt.Printf("job %s: %s in attempt %d on %s, results %s\n", id, r.Outcome, r.Attempt, r.placementText(), r.results())
 	if r.Outcome != "done" {
 		return errors.Errorf("job %s: %s %s", id, r.Outcome, r.Detail)
 	}
@@ -236,7 +236,7 @@
 
 func (d *demo) awaitRunning(id string) (jobRecord, error) {
 	var r jobRecord
-	_, err := d.until("job "+id+" running", 10*time.Second, func() (bool, error) {
+	_, err := d.waitUntil("job "+id+" running", 10*time.Second, func() (bool, error) {
 		out, err := d.ctl("--json", "jobs", "get", id)
 		if err != nil {
 			return false, err
@@ -247,10 +247,10 @@
 	return r, err
 }
 
-// zoneRound takes the zone of a running gang out and back in while requests go on.
-func (d *demo) zoneRound() error {
+// cycleZone takes the zone of a running gang out and back in while requests go on.
+func (d *demo) cycleZone() error {
 	section("Availability zone out and back in, under load")
-	record, err := d.submit("night-2", gangTime)
+	record, err := d.submitGang("night-2", gangTime)
 	if err != nil {
 		return err
 	}
@@ -259,25 +259,25 @@
 		return err
 	}
 	zone := running.Placements[0].Zone
-	fmt.Printf("job %s runs on %s\n", record.Job.ID, running.where())
-	l := startLoad(d.topology.http)
+	fmt.Printf("job %s runs on %s\n", record.Job.ID, running.placementText())
+	l := startLoad(d.topology.balancerURL)
 	began := time.Now()
-	time.Sleep(steadyTime)
-	fmt.Println("requests done before:", counted(l.since(began, time.Now())))
-	if err := d.takeOut(zone, l); err != nil {
+	time.Sleep(observationTime)
+	fmt.Println("requests done before:", formatCounts(l.doneByMinion(began, time.Now())))
+	if err := d.takeZoneOut(zone, l); err != nil {
 		return err
 	}
 	if err := d.awaitDone(record.Job.ID); err != nil {
 		return err
 	}
-	if err := d.bringBack(zone, l); err != nil {
+	if err := d.bringZoneBack(zone, l); err != nil {
 		return err
 	}
-	l.end()
+	l.stopAndWait()
 	counts, failures := l.outcomes()
-	fmt.Println("all requests of the load:", counted(counts))
+	fmt.Println("all requests of the load:", formatCounts(counts))
 	if len(failures) > 0 || len(counts) != 1 || counts["done"] == 0 {
-		return errors.Errorf("load: %s; failures %v", counted(counts), failures)
+		return errors.Errorf("load: %s; failures %v", formatCounts(counts), failures)
 	}
 	return nil
 }
@@ -290,33 +290,33 @@
 	return d.awaitInForce()
 }
 
-func (d *demo) takeOut(zone string, l *load) error {
+func (d *demo) takeZoneOut(zone string, l *load) error {
 	if err := d.setZone(zone, "out"); err != nil {
 		return err
 	}
 	time.Sleep(inProgressTime)
 	began := time.Now()
-	time.Sleep(steadyTime)
-	done := l.since(began, time.Now())
-	fmt.Println("requests done while it was out:", counted(done))
+	time.Sleep(observationTime)
+	done := l.doneByMinion(began, time.Now())
+	fmt.Println("requests done while it was out:", formatCounts(done))
 	if n := done["minion-"+zone]; n > 0 {
 		return errors.Errorf("zone %s is out, and its minion answered %d requests", zone, n)
 	}
 	return nil
 }
 
-func (d *demo) bringBack(zone string, l *load) error {
+func (d *demo) bringZoneBack(zone string, l *load) error {
 	if err := d.setZone(zone, "in"); err != nil {
 		return err
 	}
 	began := time.Now()
-	_, err := d.until("zone "+zone+" takes requests again", 10*time.Second, func() (bool, error) {
-		return l.since(began, time.Now())["minion-"+zone] > 0, nil
+	_, err := d.waitUntil("zone "+zone+" takes requests again", 10*time.Second, func() (bool, error) {
+		return l.doneByMinion(began, time.Now())["minion-"+zone] > 0, nil
 	})
 	if err != nil {
 		return err
 	}
-	time.Sleep(steadyTime)
-	fmt.Println("requests done after its return:", counted(l.since(began, time.Now())))
+	time.Sleep(observationTime)
+	fmt.Println("requests done after its return:", formatCounts(l.doneByMinion(began, time.Now())))
 	return nil
 }
--- a/test/demo/processes.go
+++ b/test/demo/processes.go
@@ -70,14 +70,14 @@
 // stop ends all processes gracefully, last started first. It returns the
 // names of those that did not exit with status 0.
 func (f *fleet) stop() []string {
-	var bad []string
+	var failed []string
 	for i := len(f.processes) - 1; i >= 0; i-- {
 		p := f.processes[i]
 		if err := p.Term(); err != nil {
-			bad = append(bad, fmt.Sprintf("%v\n%s", err, p.Tail()))
+			failed = append(failed, fmt.Sprintf("%v\n%s", err, p.Tail()))
 		}
 	}
-	return bad
+	return failed
 }
 
 // ctl runs coltsfootctl and returns what it printed.
--- a/test/demo/topology.go
+++ b/test/demo/topology.go
@@ -17,10 +17,10 @@
 
 // topology is the running system: where to reach its parts.
 type topology struct {
-	fleet   *fleet
-	http    string   // the balancer in front of the entries' HTTP interface
-	entries []string // the entries' own HTTP addresses
-	minions []string
+	fleet       *fleet
+	balancerURL string   // the balancer in front of the entries' HTTP interface
+	entries     []string // the entries' own HTTP addresses
+	minions     []string
 }
 
 type endpoint struct {
@@ -31,26 +31,26 @@
 	httpAddr string
 }
 
-// build starts the stand-ins, two entries and an agent beside each endpoint.
-func build(f *fleet) (*topology, error) {
+// startTopology starts the stand-ins, two entries and an agent beside each endpoint.
+func startTopology(f *fleet) (*topology, error) {
 	endpoints, err := planEndpoints()
 	if err != nil {
 		return nil, err
 	}
-	p, err := process.FreeAddresses(loopback, 8)
+	addresses, err := process.FreeAddresses(loopback, 8)
 	if err != nil {
 		return nil, err
 	}
-	table, objects, rpcBalancer, httpBalancer := p[0], p[1], p[2], p[3]
-	entryHTTP, entryRPC := p[4:6], p[6:8]
+	table, objects, rpcBalancer, httpBalancer := addresses[0], addresses[1], addresses[2], addresses[3]
+	entryHTTP, entryRPC := addresses[4:6], addresses[6:8]
 	args := []string{
 		"-table", table, "-objects", objects,
 		"-balancer", fmt.Sprintf("%s,target=%s,target=%s", rpcBalancer, entryRPC[0], entryRPC[1]),
 		"-balancer", fmt.Sprintf("%s,target=%s,target=%s", httpBalancer, entryHTTP[0], entryHTTP[1]),
 	}
-	t := &topology{fleet: f, http: "http://" + httpBalancer}
+	t := &topology{fleet: f, balancerURL: "http://" + httpBalancer}
 	for _, e := range endpoints {
-		args = append(args, "-"+e.kind, e.standinSpec())
+		args = append(args, "-"+e.kind, e.standinFlag())
 		if e.kind == "minion" {
 			t.minions = append(t.minions, e.address)
 		}
@@ -80,18 +80,18 @@
 			out = append(out, endpoint{kind: "worker", id: fmt.Sprintf("worker-%s-%d", zone, i+1), zone: zone})
 		}
 	}
-	p, err := process.FreeAddresses(loopback, 2*len(out))
+	addresses, err := process.FreeAddresses(loopback, 2*len(out))
 	if err != nil {
 		return nil, err
 	}
 	for i := range out {
-		out[i].address = p[2*i]
-		out[i].httpAddr = p[2*i+1]
+		out[i].address = addresses[2*i]
+		out[i].httpAddr = addresses[2*i+1]
 	}
 	return out, nil
 }
 
-func (e endpoint) standinSpec() string {
+func (e endpoint) standinFlag() string {
 	if e.kind == "minion" {
 		return fmt.Sprintf("%s,id=%s,slots=%d", e.address, e.id, minionSlots)
 	}
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -16,15 +16,15 @@
 const root = "../.."
 
 var (
-	logMessage = regexp.MustCompile(`\.Msg\("([^"]+)"\)`)
-	reason     = regexp.MustCompile(`\bReason[A-Za-z]+ +(?:route\.)?(?:Reason )?= "([a-z-]+)"`)
-	metricName = regexp.MustCompile(`(?:GetOrRegister(?:Counter|Gauge|GaugeFloat64|Timer|Meter|Histogram)|\.count)\("([a-z_0-9.]+)"`)
+	logMessagePattern = regexp.MustCompile(`\.Msg\("([^"]+)"\)`)
+	reasonPattern     = regexp.MustCompile(`\bReason[A-Za-z]+ +(?:route\.)?(?:Reason )?= "([a-z-]+)"`)
+	metricPattern     = regexp.MustCompile(`(?:GetOrRegister(?:Counter|Gauge|GaugeFloat64|Timer|Meter|Histogram)|\.count)\("([a-z_0-9.]+)"`)
 )
 
 // TestOperationsNamesLogLinesAndMetrics looks up each log message, metric and
 // reason of the processes in docs/OPERATIONS.md.
 func TestOperationsNamesLogLinesAndMetrics(t *testing.T) {
-	page := operations(t)
+	page := readOperationsPage(t)
 	for _, dir := range []string{"internal", "cmd"} {
 		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -34,18 +34,18 @@
 			if err != nil {
 				return err
 			}
-			for _, m := range logMessage.FindAllStringSubmatch(string(source), -1) {
+			for _, m := range logMessagePattern.FindAllStringSubmatch(string(source), -1) {
 				if !strings.Contains(page, "`"+m[1]+"`") {
 					t.Errorf("%s: log message %q is not explained", path, m[1])
 				}
 			}
-			for _, m := range reason.FindAllStringSubmatch(string(source), -1) {
+			for _, m := range reasonPattern.FindAllStringSubmatch(string(source), -1) {
 				if !strings.Contains(page, "`"+m[1]+"`") {
 					t.Errorf("%s: reason %q is not explained", path, m[1])
 				}
 			}
-			for _, m := range metricName.FindAllStringSubmatch(string(source), -1) {
-				if !namesMetric(page, m[1]) {
+			for _, m := range metricPattern.FindAllStringSubmatch(string(source), -1) {
+				if !explainsMetric(page, m[1]) {
 					t.Errorf("%s: metric %q is not explained", path, m[1])
 				}
 			}
@@ -57,9 +57,9 @@
 	}
 }
 
-// namesMetric looks for `group.name`, or for `.name` on a line of the group.
+// explainsMetric looks for `group.name`, or for `.name` on a line of the group.
 // A name that ends with a dot is completed at run time.
-func namesMetric(page, name string) bool {
+func explainsMetric(page, name string) bool {
 	if strings.Contains(page, "`"+name) {
 		return true
 	}
@@ -74,7 +74,7 @@
 
 // TestOperationsNamesSettings looks up each key of the settings.
 func TestOperationsNamesSettings(t *testing.T) {
-	page := operations(t)
+	page := readOperationsPage(t)
 	for _, s := range []reflect.Type{reflect.TypeFor[settings.Entry](), reflect.TypeFor[settings.Agent](), reflect.TypeFor[settings.Standin]()} {
 		for _, key := range settingKeys(s) {
 			if !regexp.MustCompile("[`.\\[, ]" + key + "[`,\\]. ]").MatchString(page) {
@@ -102,7 +102,7 @@
 	return keys
 }
 
-func operations(t *testing.T) string {
+func readOperationsPage(t *testing.T) string {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
 	if err != nil {
