--- a/test/demo/load.go
+++ b/test/demo/load.go
@@ -25,7 +25,7 @@
 	err     error
 }
 
-// load sends requests at a steady pace until it is stopped.
+// load sends a request every loadInterval until it is stopped.
 type load struct {
 	url  string
 	stop chan struct{}
@@ -60,6 +60,8 @@
 	}
 }
 
+// sendRequest sends request n and records its outcome. The answer must echo the body
+// of the request.
 func (l *load) sendRequest(n int) {
 	s := sample{}
 	client := http.Client{Timeout: loadTimeout}
@@ -98,13 +100,13 @@
 	l.samples = append(l.samples, s)
 }
 
-// stopAndWait stops the load and waits for the last answers.
+// stopAndWait stops the load and waits until all requests have ended.
 func (l *load) stopAndWait() {
 	close(l.stop)
 	l.done.Wait()
 }
 
-// doneByMinion counts the answers by minion in a period.
+// doneByMinion returns how many requests each minion completed between from and to.
 func (l *load) doneByMinion(from, to time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +119,8 @@
 	return out
 }
 
-// outcomes counts all answers; failures lists what went wrong.
+// outcomes returns the number of requests by outcome, and the errors of those that
+// failed without one or got a wrong answer.
 func (l *load) outcomes() (counts map[string]int, failures []error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,7 +135,7 @@
 	return counts, failures
 }
 
-// formatCounts writes counts as "a 3, b 4".
+// formatCounts formats counts as "a 3, b 4", sorted by name.
 func formatCounts(m map[string]int) string {
 	var parts []string
 	for k, v := range m {
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo starts a whole small system on loopback, drives it with
-// coltsfootctl and prints what happened. It exits with 0 when each step had
-// the expected result.
+// Command demo starts a complete small system on loopback, drives it with
+// coltsfootctl and prints the results. It exits with status 0 if each step had the
+// expected result.
 package main
 
 import (
@@ -17,11 +17,11 @@
 
 const (
 	demoTimeout = 55 * time.Second
-	// inForceLimit is the bound for a configuration change to be in force everywhere.
+	// inForceLimit bounds the time until a configuration change is in force in every process.
 	inForceLimit    = 3 * time.Second
 	observationTime = 2 * time.Second
 	pollInterval    = 50 * time.Millisecond
-	// inProgressTime is enough for requests that ran when the zone went out.
+	// inProgressTime lets requests end that were running when the zone was taken out.
 	inProgressTime = 500 * time.Millisecond
 	gangTime       = 6 * time.Second
 )
@@ -75,7 +75,8 @@
 	return d.topology.fleet.ctl(d.ctx, d.topology.balancerURL, args...)
 }
 
-// waitUntil repeats a check waitUntil it holds or the limit has passed.
+// waitUntil repeats a check until it succeeds or the limit has passed. It returns the
+// time that this took.
 func (d *demo) waitUntil(what string, limit time.Duration, check func() (bool, error)) (time.Duration, error) {
 	began := time.Now()
 	for {
@@ -115,7 +116,7 @@
 	return err
 }
 
-// awaitInForce waits until every process has the newest configuration.
+// awaitInForce waits until the newest configuration is in force in every process.
 func (d *demo) awaitInForce() error {
 	took, err := d.waitUntil("configuration in force", inForceLimit, func() (bool, error) {
 		out, err := d.ctl("--json", "config", "status")
@@ -182,7 +183,8 @@
 	Results json.RawMessage `json:"results"`
 }
 
-// submitGang sends a gang of two tasks that fill a worker each.
+// submitGang submits a gang of two tasks, each of which takes all accelerators of a
+// worker.
 func (d *demo) submitGang(key string, run time.Duration) (jobRecord, error) {
 	out, err := d.ctl("--json", "jobs", "submit", "--key", key, "--profile", "reconstruction",
 		"--tasks", "2", "--accelerators", "8", "--milli-cpu", "8000", "--memory-mb", "16000",
@@ -203,7 +205,7 @@
 	return out.String()
 }
 
-// placementText names the gang's workers.
+// placementText lists the workers of the gang with their zones.
 func (r jobRecord) placementText() string {
 	var parts []string
 	for _, p := range r.Placements {
@@ -247,7 +249,7 @@
 	return r, err
 }
 
-// cycleZone takes the zone of a running gang out and back in while requests go on.
+// cycleZone takes the zone of a running gang out and back in under a load of requests.
 func (d *demo) cycleZone() error {
 	section("Availability zone out and back in, under load")
 	record, err := d.submitGang("night-2", gangTime)
--- a/test/demo/processes.go
+++ b/test/demo/processes.go
@@ -34,8 +34,8 @@
 	return &fleet{dir: dir, bin: bin}, nil
 }
 
-// start writes a settings file and runs a binary with it. The pages of the
-// process are at httpAddress.
+// start writes a settings file and starts a binary with it. The process serves its
+// health, metrics and state pages at httpAddress.
 func (f *fleet) start(name, httpAddress, binary, settings string) error {
 	path := filepath.Join(f.dir, name+".toml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
@@ -44,7 +44,7 @@
 	return f.run(name, httpAddress, binary, "-settings", path)
 }
 
-// run runs a binary; one without pages counts as ready at once.
+// run starts a binary. With an empty httpAddress the process counts as ready at once.
 func (f *fleet) run(name, httpAddress, binary string, args ...string) error {
 	p, err := process.Start(f.dir, name, httpAddress, filepath.Join(f.bin, binary), args...)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// waitReady returns when all processes are ready.
+// waitReady waits until all processes are ready.
 func (f *fleet) waitReady() error {
 	for _, p := range f.processes {
 		if p.HTTP == "" {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// stop ends all processes gracefully, last started first. It returns the
-// names of those that did not exit with status 0.
+// stop stops all processes gracefully, the last started first. For each process that
+// did not exit with status 0 it returns the error and the end of the log.
 func (f *fleet) stop() []string {
 	var failed []string
 	for i := len(f.processes) - 1; i >= 0; i-- {
@@ -80,7 +80,7 @@
 	return failed
 }
 
-// ctl runs coltsfootctl and returns what it printed.
+// ctl runs coltsfootctl against an entry and returns its standard output.
 func (f *fleet) ctl(ctx context.Context, entry string, args ...string) (string, error) {
 	var out, errOut bytes.Buffer
 	cmd := exec.CommandContext(ctx, filepath.Join(f.bin, "coltsfootctl"), append([]string{"--entry", entry}, args...)...)
--- a/test/demo/topology.go
+++ b/test/demo/topology.go
@@ -6,7 +6,7 @@
 	"github.com/coltsfootlug/coltsfootlug/test/process"
 )
 
-// The size of the demo.
+// zones are the availability zones. Each has one minion and workersPerZone workers.
 var zones = []string{"z1", "z2", "z3"}
 
 const (
@@ -15,7 +15,7 @@
 	workerAccelerators = 8
 )
 
-// topology is the running system: where to reach its parts.
+// topology is the running system with the addresses of its parts.
 type topology struct {
 	fleet       *fleet
 	balancerURL string   // the balancer in front of the entries' HTTP interface
@@ -23,15 +23,17 @@
 	minions     []string
 }
 
+// endpoint is a minion or a worker together with its agent.
 type endpoint struct {
 	kind     string
 	id       string
 	zone     string
 	address  string
-	httpAddr string
+	httpAddr string // of the agent's pages
 }
 
-// startTopology starts the stand-ins, two entries and an agent beside each endpoint.
+// startTopology starts the stand-ins, two entries and an agent for each endpoint, and
+// waits until they are ready.
 func startTopology(f *fleet) (*topology, error) {
 	endpoints, err := planEndpoints()
 	if err != nil {
@@ -72,6 +74,7 @@
 	return t, f.waitReady()
 }
 
+// planEndpoints returns the endpoints of all zones with free addresses.
 func planEndpoints() ([]endpoint, error) {
 	var out []endpoint
 	for _, zone := range zones {
@@ -91,6 +94,7 @@
 	return out, nil
 }
 
+// standinFlag returns the value of the stand-in's flag for the endpoint.
 func (e endpoint) standinFlag() string {
 	if e.kind == "minion" {
 		return fmt.Sprintf("%s,id=%s,slots=%d", e.address, e.id, minionSlots)
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -21,8 +21,8 @@
 	metricPattern     = regexp.MustCompile(`(?:GetOrRegister(?:Counter|Gauge|GaugeFloat64|Timer|Meter|Histogram)|\.count)\("([a-z_0-9.]+)"`)
 )
 
-// TestOperationsNamesLogLinesAndMetrics looks up each log message, metric and
-// reason of the processes in docs/OPERATIONS.md.
+// TestOperationsNamesLogLinesAndMetrics checks that docs/OPERATIONS.md explains each
+// log message, metric and reason in the source of the processes.
 func TestOperationsNamesLogLinesAndMetrics(t *testing.T) {
 	page := readOperationsPage(t)
 	for _, dir := range []string{"internal", "cmd"} {
@@ -57,8 +57,9 @@
 	}
 }
 
-// explainsMetric looks for `group.name`, or for `.name` on a line of the group.
-// A name that ends with a dot is completed at run time.
+// explainsMetric reports whether the page has `group.name`, or `.name` on a line with
+// `group.`. A name that ends with a dot is completed at run time, so a prefix is
+// enough.
 func explainsMetric(page, name string) bool {
 	if strings.Contains(page, "`"+name) {
 		return true
@@ -72,7 +73,8 @@
 	return false
 }
 
-// TestOperationsNamesSettings looks up each key of the settings.
+// TestOperationsNamesSettings checks that docs/OPERATIONS.md explains each key of the
+// settings.
 func TestOperationsNamesSettings(t *testing.T) {
 	page := readOperationsPage(t)
 	for _, s := range []reflect.Type{reflect.TypeFor[settings.Entry](), reflect.TypeFor[settings.Agent](), reflect.TypeFor[settings.Standin]()} {
@@ -84,7 +86,8 @@
 	}
 }
 
-// settingKeys returns the names of all keys of a struct, without their paths.
+// settingKeys returns the TOML keys of a struct and of its nested structs, without
+// their paths.
 func settingKeys(s reflect.Type) []string {
 	var keys []string
 	for i := range s.NumField() {
