--- a/test/bench/outage_test.go
+++ b/test/bench/outage_test.go
@@ -12,21 +12,22 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// The phases of the outage run: steady, down, slow with lost answers, back.
+// The phases of the outage run: table available, down, slow with lost answers,
+// available again.
 const (
-	steadyPhase = 5 * time.Second
-	downPhase   = 60 * time.Second
-	slowPhase   = 5 * time.Second
-	backPhase   = 10 * time.Second
-	loadCallers = 8
-	jobInterval = 500 * time.Millisecond
+	steadyPhase    = 5 * time.Second
+	downPhase      = 60 * time.Second
+	slowPhase      = 5 * time.Second
+	recoveredPhase = 10 * time.Second
+	loadCallers    = 8
+	jobInterval    = 500 * time.Millisecond
 )
 
-// BenchmarkStoreOutage compares the work completed while the table is down for
-// a minute, then slow and losing answers, with a run of the same length
-// without a fault.
+// BenchmarkStoreOutage compares the work completed in two runs of the same length:
+// one without faults and one in which the table is down for a minute and then slow
+// with lost answers.
 func BenchmarkStoreOutage(b *testing.B) {
-	if !once(b) {
+	if !firstRun(b) {
 		return
 	}
 	for _, outage := range []bool{false, true} {
@@ -35,7 +36,7 @@
 			name = "outage"
 		}
 		b.Run(name, func(b *testing.B) {
-			if once(b) {
+			if firstRun(b) {
 				measureOutage(b, outage)
 			}
 		})
@@ -49,10 +50,10 @@
 	for _, zone := range []string{"z1", "z2"} {
 		h.StartMinion("m-"+zone, zone, 8)
 	}
-	workers(h, 6)
+	startWorkers(h, 6)
 	h.WaitReady()
 	h.SetProfile(profile(harness.Profile, "county"))
-	long, err := h.Submit(context.Background(), "long", job(harness.Profile, shape(8, api.AdjacentWorker), downPhase+slowPhase+backPhase), h.Client())
+	long, err := h.Submit(context.Background(), "long", job(harness.Profile, shape(8, api.AdjacentWorker), downPhase+slowPhase+recoveredPhase), h.Client())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,16 +62,18 @@
 	var jobs jobLoad
 	var done sync.WaitGroup
 	done.Go(func() { jobs.run(ctx, h) })
-	phases(h, outage)
+	runPhases(h, outage)
 	cancel()
 	done.Wait()
 	requests := load.Stop()
 	h.CheckTrue(requests)
-	jobs.check(b, h, append(jobs.accepted, long.Job.ID))
+	jobs.checkCompleted(b, h, append(jobs.accepted, long.Job.ID))
 	reportOutage(b, requests, &jobs)
 }
 
-func phases(h *harness.Harness, outage bool) {
+// runPhases waits through the phases and, with outage, injects their faults into
+// the table.
+func runPhases(h *harness.Harness, outage bool) {
 	set := func(f standin.FaultSettings) {
 		if outage {
 			h.Table.Set(f)
@@ -82,10 +85,10 @@
 	set(standin.FaultSettings{DelayMS: 200, LoseShare: 0.1})
 	time.Sleep(slowPhase)
 	set(standin.FaultSettings{})
-	time.Sleep(backPhase)
+	time.Sleep(recoveredPhase)
 }
 
-// jobLoad submits a small gang at a steady pace.
+// jobLoad submits small gangs one after the other, with a pause of jobInterval.
 type jobLoad struct {
 	accepted []string
 	refused  int
@@ -103,7 +106,8 @@
 	}
 }
 
-func (l *jobLoad) check(b *testing.B, h *harness.Harness, ids []string) {
+// checkCompleted checks that each job ends with the outcome done.
+func (l *jobLoad) checkCompleted(b *testing.B, h *harness.Harness, ids []string) {
 	for _, id := range ids {
 		record := h.AwaitJob(id, time.Minute)
 		h.CheckJob(record)
@@ -113,6 +117,7 @@
 	}
 }
 
+// reportOutage reports the requests by kind and outcome, and the jobs.
 func reportOutage(b *testing.B, requests []*harness.Request, jobs *jobLoad) {
 	counts := map[string]int{}
 	for _, r := range requests {
