--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -23,7 +23,7 @@
 	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
 	k := New(runner, NewFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
-	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Born()}
+	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Incarnation()}
 	k.Heartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
@@ -34,7 +34,7 @@
 		}
 	}
 	ref := rpc.TaskRefOf(graph.TaskID{Job: "j"}, 7)
-	runner.SetFaults(standin.RunnerFaults{Silent: true})
+	runner.SetFaults(standin.RunnerFaults{DropCalls: true})
 	orders(1, func(o *rpc.WorkerOrders) { o.Starts = []*rpc.StartTask{{Ref: ref}} })
 	kernel.Sleep(ctx, orderTimeout/2)
 	orders(2, func(o *rpc.WorkerOrders) { o.Stops = []*rpc.TaskRef{ref} })
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -69,8 +69,8 @@
 	r.delay = d
 }
 
-// Refuse closes new connections at once, or lets them through again.
-func (r *Relay) Refuse(refuse bool) {
+// RefuseConnections closes new connections at once, or lets them through again.
+func (r *Relay) RefuseConnections(refuse bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refuse = refuse
@@ -79,9 +79,9 @@
 // Bytes returns the number of bytes forwarded so far, both ways together.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
-// Silence stops forwarding on all open connections without closing them. New
+// Stall stops forwarding on all open connections without closing them. New
 // connections work.
-func (r *Relay) Silence() int {
+func (r *Relay) Stall() int {
 	links := r.open()
 	for _, l := range links {
 		l.once.Do(func() { close(l.silent) })
--- a/internal/standin/relay_test.go
+++ b/internal/standin/relay_test.go
@@ -84,7 +84,7 @@
 	if err := answers(old, callTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if n := relay.Silence(); n != 1 {
+	if n := relay.Stall(); n != 1 {
 		t.Fatalf("silenced %d connections", n)
 	}
 	err = answers(dial(), callTimeout)
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -13,10 +13,10 @@
 // Runner is a worker in memory that runs tasks under one lease, as
 // external.Runner describes.
 type Runner struct {
-	// Work tells how long a task takes; the default is 100 ms.
-	Work func(task graph.TaskID) time.Duration
-	// Fails tells whether a run ends as failed.
-	Fails func(task graph.TaskID, run uint64) bool
+	// RunDuration tells how long a task takes; the default is 100 ms.
+	RunDuration func(task graph.TaskID) time.Duration
+	// ShouldFail tells whether a run ends as failed.
+	ShouldFail func(task graph.TaskID, run uint64) bool
 
 	mu      sync.Mutex
 	born    int64
@@ -35,12 +35,12 @@
 
 // RunnerFaults are the ways in which a runner can misbehave.
 type RunnerFaults struct {
-	// Silent calls get no answer and have no effect.
-	Silent bool
-	// LateBy lets starts and stops get no answer and take effect after that time.
-	LateBy time.Duration
-	// Refuse answers starts as an unhealthy worker does.
-	Refuse bool
+	// DropCalls calls get no answer and have no effect.
+	DropCalls bool
+	// ApplyDelay lets starts and stops get no answer and take effect after that time.
+	ApplyDelay time.Duration
+	// Unhealthy answers starts as an unhealthy worker does.
+	Unhealthy bool
 }
 
 type running struct {
@@ -82,15 +82,15 @@
 	r.faults = f
 }
 
-// Born is the number of the worker's life.
-func (r *Runner) Born() int64 {
+// Incarnation is the number of the worker's life.
+func (r *Runner) Incarnation() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.born
 }
 
-// Starts returns the tasks that have begun, in order.
-func (r *Runner) Starts() []graph.TaskID {
+// StartedTasks returns the tasks that have begun, in order.
+func (r *Runner) StartedTasks() []graph.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]graph.TaskID(nil), r.starts...)
@@ -112,11 +112,11 @@
 	faults := r.faults
 	r.mu.Unlock()
 	switch {
-	case faults.Silent:
+	case faults.DropCalls:
 		<-ctx.Done()
 		return 0, external.ErrUnavailable
-	case faults.LateBy > 0:
-		time.AfterFunc(faults.LateBy, func() {
+	case faults.ApplyDelay > 0:
+		time.AfterFunc(faults.ApplyDelay, func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			_ = apply() // nobody hears the answer
@@ -160,7 +160,7 @@
 		switch run := r.runs[o.Task]; {
 		case r.fenced(o.Epoch):
 			return external.ErrRunEpoch
-		case r.faults.Refuse:
+		case r.faults.Unhealthy:
 			return external.ErrRunBusy
 		case run != nil && run.run == o.Run:
 			return nil
@@ -177,8 +177,8 @@
 
 func (r *Runner) begin(o external.StartRun) {
 	work := 100 * time.Millisecond
-	if r.Work != nil {
-		work = r.Work(o.Task)
+	if r.RunDuration != nil {
+		work = r.RunDuration(o.Task)
 	}
 	run := &running{run: o.Run, began: time.Now(), work: work}
 	r.starts = append(r.starts, o.Task)
@@ -191,7 +191,7 @@
 			return
 		}
 		how := graph.EndDone
-		if r.Fails != nil && r.Fails(o.Task, o.Run) {
+		if r.ShouldFail != nil && r.ShouldFail(o.Task, o.Run) {
 			how = graph.EndFailed
 		}
 		r.end(o.Task, how)
@@ -227,7 +227,7 @@
 // Hold extends the lease, lists the runs and waits for an end.
 func (r *Runner) Hold(ctx context.Context, instance string, o external.HoldRuns) (external.RunList, error) {
 	r.mu.Lock()
-	silent := r.faults.Silent
+	silent := r.faults.DropCalls
 	r.mu.Unlock()
 	if silent {
 		<-ctx.Done()
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -228,8 +228,8 @@
 	return t.version, nil
 }
 
-// Forget drops the history, as the service may at any time.
-func (t *Table) Forget() {
+// DropHistory drops the history, as the service may at any time.
+func (t *Table) DropHistory() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.history, t.oldest = nil, t.version
--- a/test/bench/outage_test.go
+++ b/test/bench/outage_test.go
@@ -65,7 +65,7 @@
 	cancel()
 	done.Wait()
 	requests := load.Stop()
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	jobs.check(b, h, append(jobs.accepted, long.Job.ID))
 	reportOutage(b, requests, &jobs)
 }
@@ -106,7 +106,7 @@
 func (l *jobLoad) check(b *testing.B, h *harness.Harness, ids []string) {
 	for _, id := range ids {
 		record := h.AwaitJob(id, time.Minute)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			b.Errorf("job %s ended %q: %s", id, record.Outcome, record.Detail)
 		}
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -271,7 +271,7 @@
 func (a *agent) announce(ctx context.Context) {
 	for n := uint64(1); ctx.Err() == nil; n++ {
 		a.keeper.Heartbeat(plan.WorkerInfo{
-			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Born(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
+			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Incarnation(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
 			Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8},
 			Draining: a.drains.Load(), DrainRemaining: 3 * time.Second,
 		}, n)
@@ -368,7 +368,7 @@
 func (f *fleet) starts(id graph.JobID) map[graph.TaskID]int {
 	out := map[graph.TaskID]int{}
 	for _, a := range f.agents {
-		for _, t := range a.runner.Starts() {
+		for _, t := range a.runner.StartedTasks() {
 			if t.Job == id {
 				out[t]++
 			}
@@ -379,6 +379,6 @@
 
 func (f *fleet) setWork(d time.Duration) {
 	for _, a := range f.agents {
-		a.runner.Work = func(graph.TaskID) time.Duration { return d }
+		a.runner.RunDuration = func(graph.TaskID) time.Duration { return d }
 	}
 }
--- a/test/graphs/graphs_test.go
+++ b/test/graphs/graphs_test.go
@@ -140,7 +140,7 @@
 func TestLateOrdersRunNothingTwice(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.setWork(200 * time.Millisecond)
-	f.agents[0].runner.SetFaults(standin.RunnerFaults{LateBy: 2500 * time.Millisecond})
+	f.agents[0].runner.SetFaults(standin.RunnerFaults{ApplyDelay: 2500 * time.Millisecond})
 	id := f.submit(f.entries[0], 12)
 	time.Sleep(4 * time.Second)
 	f.agents[0].runner.SetFaults(standin.RunnerFaults{})
@@ -258,7 +258,7 @@
 func TestFailingTaskFailsItsJob(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	for _, a := range f.agents {
-		a.runner.Fails = func(graph.TaskID, uint64) bool { return true }
+		a.runner.ShouldFail = func(graph.TaskID, uint64) bool { return true }
 	}
 	f.setWork(700 * time.Millisecond)
 	id := f.submit(f.entries[0], 1)
@@ -280,7 +280,7 @@
 	f := newFleet(t, 1, 1)
 	for range 5 {
 		id := f.submit(f.entries[0], 1)
-		f.table.Forget()
+		f.table.DropHistory()
 		f.awaitState(f.entries[0], id, graph.Completed)
 	}
 }
@@ -293,7 +293,7 @@
 	time.Sleep(500 * time.Millisecond)
 	id := f.submit(f.entries[0], 6)
 	f.awaitState(f.entries[0], id, graph.Completed)
-	if n := len(f.agents[0].runner.Starts()); n > 0 {
+	if n := len(f.agents[0].runner.StartedTasks()); n > 0 {
 		t.Fatalf("%d tasks began on a draining worker", n)
 	}
 }
--- a/test/procs/builds_test.go
+++ b/test/procs/builds_test.go
@@ -89,7 +89,7 @@
 	}
 	for _, id := range []string{running, promised, waiting} {
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("%s ended %q: %s", record.Job.IdempotencyKey, record.Outcome, record.Detail)
 		}
@@ -99,7 +99,7 @@
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	h.CheckAllDone(requests)
 	after, err := h.Client().Profiles(t.Context())
 	if err != nil || !reflect.DeepEqual(profiles, after) {
--- a/test/procs/gangs_test.go
+++ b/test/procs/gangs_test.go
@@ -44,7 +44,7 @@
 		h.WaitReady()
 	}
 	record := h.AwaitJob(id, jobLimit)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone || record.Attempt != before.Attempt {
 		t.Errorf("job ended %q in attempt %d, it ran in attempt %d: %s", record.Outcome, record.Attempt, before.Attempt, record.Detail)
 	}
@@ -66,7 +66,7 @@
 	})
 	frozen.Agent.Thaw()
 	record := h.AwaitJob(id, jobLimit)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone {
 		t.Errorf("job ended %q: %s", record.Outcome, record.Detail)
 	}
@@ -96,7 +96,7 @@
 		h.Eventually("the guaranteed gang runs", urgentLimit, func() bool { return h.RunningTasks(id) == 2 })
 		t.Logf("claim %d runs after %v", n, time.Since(began).Round(time.Millisecond))
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("claim %d ended %q: %s", n, record.Outcome, record.Detail)
 		}
@@ -122,7 +122,7 @@
 	out := time.Now()
 	for _, id := range ids {
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("job %s ended %q: %s", id, record.Outcome, record.Detail)
 		}
@@ -154,13 +154,13 @@
 		}
 	}
 	record := h.AwaitJob(id, 10*time.Second)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone {
 		t.Errorf("job behind the wave ended %q: %s", record.Outcome, record.Detail)
 	}
 	for _, job := range wave {
 		record := h.AwaitJob(job, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeCancelled {
 			t.Errorf("cancelled job %s ended %q: %s", job, record.Outcome, record.Detail)
 		}
@@ -180,7 +180,7 @@
 	}
 	for _, id := range ids {
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("job %s ended %q: %s", id, record.Outcome, record.Detail)
 		}
--- a/test/procs/harness/jobs.go
+++ b/test/procs/harness/jobs.go
@@ -61,9 +61,9 @@
 	return record
 }
 
-// CheckJob fails the test unless the job has one answer that is true of what
+// CheckJobOutcome fails the test unless the job has one answer that is true of what
 // its workers have run, and each attempt ran whole and alone.
-func (h *Harness) CheckJob(record api.JobRecord) {
+func (h *Harness) CheckJobOutcome(record api.JobRecord) {
 	h.t.Helper()
 	for _, e := range h.liveEntries() {
 		again, err := h.ClientOf(e).Job(context.Background(), record.Job.ID, 0)
@@ -186,8 +186,8 @@
 	return json.Unmarshal(dump, &state) == nil && state.Owner.Authority.Owner
 }
 
-// Other returns an entry that runs and is not the given one.
-func (h *Harness) Other(than *Entry) *Entry {
+// OtherEntry returns an entry that runs and is not the given one.
+func (h *Harness) OtherEntry(than *Entry) *Entry {
 	h.t.Helper()
 	for _, e := range h.liveEntries() {
 		if e != than {
@@ -213,8 +213,8 @@
 	return owner
 }
 
-// AgentGroups returns how many groups are in a phase, over all workers' agents.
-func (h *Harness) AgentGroups(phase string) int {
+// CountAgentGroups returns how many groups are in a phase, over all workers' agents.
+func (h *Harness) CountAgentGroups(phase string) int {
 	h.mu.Lock()
 	workers := append([]*Worker(nil), h.workers...)
 	h.mu.Unlock()
--- a/test/procs/harness/load.go
+++ b/test/procs/harness/load.go
@@ -178,9 +178,9 @@
 	return fmt.Sprintf("%d requests: %s; %d called again", len(requests), strings.Join(parts, ", "), retried)
 }
 
-// CheckTrue fails the test for each request whose answer is not true of what
+// CheckOutcomes fails the test for each request whose answer is not true of what
 // was executed, or that has no answer.
-func (h *Harness) CheckTrue(requests []*Request) {
+func (h *Harness) CheckOutcomes(requests []*Request) {
 	h.t.Helper()
 	executions := h.Executions()
 	for _, r := range requests {
--- a/test/procs/harness/topology.go
+++ b/test/procs/harness/topology.go
@@ -22,7 +22,7 @@
 
 // CutTable cuts the entry, and no other, from the table, or lets it through again.
 func (e *Entry) CutTable(cut bool) {
-	e.TableRelay.Refuse(cut)
+	e.TableRelay.RefuseConnections(cut)
 	if cut {
 		e.TableRelay.Cut()
 	}
--- a/test/procs/keys_test.go
+++ b/test/procs/keys_test.go
@@ -34,7 +34,7 @@
 		await(t, "a further call", start(t, last, h, entries[1]))
 		return last.Outcome == api.OutcomeDone && last.Answer.RequestID == first.Answer.RequestID
 	})
-	h.CheckTrue([]*harness.Request{first})
+	h.CheckOutcomes([]*harness.Request{first})
 }
 
 // An entry whose queue is full refuses a key that another entry has executed:
--- a/test/procs/owner_test.go
+++ b/test/procs/owner_test.go
@@ -73,8 +73,8 @@
 
 var startSteps = []startStep{
 	{"accepted", standin.FaultSettings{}, func(*harness.Harness, string) bool { return true }},
-	{"held", standin.FaultSettings{}, func(h *harness.Harness, _ string) bool { return h.AgentGroups("held") > 0 }},
-	{"all-held", standin.FaultSettings{}, func(h *harness.Harness, _ string) bool { return h.AgentGroups("held") == 2 }},
+	{"held", standin.FaultSettings{}, func(h *harness.Harness, _ string) bool { return h.CountAgentGroups("held") > 0 }},
+	{"all-held", standin.FaultSettings{}, func(h *harness.Harness, _ string) bool { return h.CountAgentGroups("held") == 2 }},
 	{"durable", standin.FaultSettings{AnswerDelayMS: 250}, func(h *harness.Harness, id string) bool {
 		return rowContains(h, id, `"state":"running"`)
 	}},
@@ -103,7 +103,7 @@
 	h.StartEntry("e3", "z1")
 	record := h.AwaitJob(id, jobLimit)
 	t.Logf("%q at attempt %d, %v after the kill", record.Outcome, record.Attempt, time.Since(killed).Round(10*time.Millisecond))
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone && (idempotent || step.name == "running") {
 		t.Errorf("job ended %q: %s", record.Outcome, record.Detail)
 	}
@@ -119,13 +119,13 @@
 			h := gangSystem(t)
 			id := killOwnerAt(t, h, startStepNamed(t, "durable"), false)
 			if pause > 0 {
-				h.Other(nil).Kill()
+				h.OtherEntry(nil).Kill()
 				time.Sleep(pause)
 			}
 			h.StartEntry("e3", "z1")
 			record := h.AwaitJob(id, jobLimit)
 			t.Logf("%q at attempt %d", record.Outcome, record.Attempt)
-			h.CheckJob(record)
+			h.CheckJobOutcome(record)
 			if record.Outcome == api.OutcomeUnknown && len(h.Tasks()) == 0 {
 				t.Errorf("job that no worker has run ended %q: %s", record.Outcome, record.Detail)
 			}
@@ -151,7 +151,7 @@
 	owner := h.Owner()
 	owner.Relay.SetDelay(60 * time.Millisecond)
 	h.Table.Set(step.table)
-	id := submit(t, h, step.name, harness.Gang(2, accelerators, 2*time.Second, idempotent), h.Other(owner))
+	id := submit(t, h, step.name, harness.Gang(2, accelerators, 2*time.Second, idempotent), h.OtherEntry(owner))
 	h.Eventually("step "+step.name, 10*time.Second, func() bool { return step.reached(h, id) })
 	owner.Kill()
 	h.Table.Set(standin.FaultSettings{})
@@ -164,12 +164,12 @@
 	t.Parallel()
 	h := gangSystem(t)
 	owner := h.Owner()
-	other := h.Other(owner)
+	other := h.OtherEntry(owner)
 	running := submit(t, h, "running", harness.Gang(2, accelerators, 12*time.Second, false), other)
 	h.Eventually("the first gang runs", 10*time.Second, func() bool { return len(h.Tasks()) == 2 })
 	owner.Relay.SetDelay(40 * time.Millisecond)
 	starting := submit(t, h, "starting", harness.Gang(2, accelerators, time.Second, true), other)
-	h.Eventually("the second gang is held", 10*time.Second, func() bool { return h.AgentGroups("held") > 0 })
+	h.Eventually("the second gang is held", 10*time.Second, func() bool { return h.CountAgentGroups("held") > 0 })
 	owner.Freeze()
 	frozen := time.Now()
 	next := h.NewOwner(owner)
@@ -180,7 +180,7 @@
 	for _, id := range []string{starting, queued, running} {
 		record := h.AwaitJob(id, jobLimit)
 		t.Logf("%s: %q at attempt %d", record.Job.IdempotencyKey, record.Outcome, record.Attempt)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("%s ended %q: %s", record.Job.IdempotencyKey, record.Outcome, record.Detail)
 		}
@@ -201,7 +201,7 @@
 	running := submit(t, h, "running", harness.Gang(2, accelerators, 6*time.Second, false), entry)
 	h.Eventually("the gang runs", 10*time.Second, func() bool { return len(h.Tasks()) == 2 })
 	waiting := submit(t, h, "waiting", harness.Gang(2, accelerators, 200*time.Millisecond, true), entry)
-	h.Other(entry).Kill()
+	h.OtherEntry(entry).Kill()
 	entry.Kill()
 	killed := time.Now()
 	h.StartEntry("n1", "z1")
@@ -211,7 +211,7 @@
 	for _, id := range []string{running, waiting} {
 		record := h.AwaitJob(id, jobLimit)
 		t.Logf("%s: %q at attempt %d", record.Job.IdempotencyKey, record.Outcome, record.Attempt)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("%s ended %q: %s", record.Job.IdempotencyKey, record.Outcome, record.Detail)
 		}
@@ -245,7 +245,7 @@
 	for _, id := range []string{id, later} {
 		record := h.AwaitJob(id, jobLimit)
 		t.Logf("%s: %q at attempt %d", record.Job.IdempotencyKey, record.Outcome, record.Attempt)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if id == later && record.Outcome != api.OutcomeDone {
 			t.Errorf("idempotent job ended %q: %s", record.Outcome, record.Detail)
 		}
@@ -264,7 +264,7 @@
 	h.StartWorkerAgent(w)
 	record := h.AwaitJob(id, jobLimit)
 	t.Logf("%q at attempt %d", record.Outcome, record.Attempt)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone {
 		t.Errorf("job ended %q: %s", record.Outcome, record.Detail)
 	}
--- a/test/procs/requests_test.go
+++ b/test/procs/requests_test.go
@@ -74,7 +74,7 @@
 	entries[0].Kill()
 	await(t, "the request", done)
 	t.Logf("%q after %d calls and %v: %v", r.Outcome, r.Calls, r.Took, r.Err)
-	h.CheckTrue([]*harness.Request{r})
+	h.CheckOutcomes([]*harness.Request{r})
 	h.CheckAllDone([]*harness.Request{r})
 }
 
@@ -103,7 +103,7 @@
 	}
 	all := append(queued, running)
 	t.Log(harness.Summary(all))
-	h.CheckTrue(all)
+	h.CheckOutcomes(all)
 	for _, r := range all {
 		if r.Idempotent && r.Outcome != api.OutcomeDone {
 			t.Errorf("idempotent %s ended %q: %v", r.Tag, r.Outcome, r.Err)
@@ -119,12 +119,12 @@
 	r := &harness.Request{Tag: "silent", Body: standin.MinionCall{SleepMS: 1000, Size: 100}}
 	done := start(t, r, h, entries[0])
 	executing(h, minions, r.Tag)
-	if n := entries[0].Relay.Silence(); n == 0 {
+	if n := entries[0].Relay.Stall(); n == 0 {
 		t.Fatal("no connection to silence")
 	}
 	await(t, "the request", done)
 	t.Logf("%q after %v: %v", r.Outcome, r.Took, r.Err)
-	h.CheckTrue([]*harness.Request{r})
+	h.CheckOutcomes([]*harness.Request{r})
 	h.CheckAllDone([]*harness.Request{r})
 }
 
@@ -155,7 +155,7 @@
 	h.Eventually("load goes on", 5*time.Second, func() bool { return load.Count() > count+50 })
 	requests := append(load.Stop(), long.Stop()...)
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	h.CheckAllDone(requests)
 }
 
@@ -172,7 +172,7 @@
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	for _, r := range requests {
 		if r.Idempotent && r.Outcome != api.OutcomeDone {
 			t.Errorf("idempotent %s ended %q after %v: %v", r.Tag, r.Outcome, r.Took, r.Err)
--- a/test/procs/store_test.go
+++ b/test/procs/store_test.go
@@ -111,7 +111,7 @@
 		t.Errorf("submission: %v", err)
 	}
 	jobs.checkNotRun(t, h)
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	for _, r := range requests {
 		if r.Idempotent && r.Outcome != api.OutcomeDone {
 			t.Errorf("idempotent %s ended %q: %v", r.Tag, r.Outcome, r.Err)
@@ -119,7 +119,7 @@
 	}
 	for _, id := range append(jobs.accepted, long) {
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("job %s ended %q at attempt %d: %s", id, record.Outcome, record.Attempt, record.Detail)
 		}
--- a/test/procs/zones_test.go
+++ b/test/procs/zones_test.go
@@ -67,7 +67,7 @@
 	h.Eventually("work in z3 again", 10*time.Second, func() bool { return executed(minions[2]) > before })
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 }
 
 // The zone is out when the table fails and every entry and agent is killed:
@@ -107,7 +107,7 @@
 	load := h.StartLoad(4, standin.MinionCall{SleepMS: 5})
 	h.Eventually("work goes on", 20*time.Second, func() bool { return executed(minions[0]) > before[0] })
 	checkNoStarts(t, minions[2], 2*time.Second)
-	h.CheckTrue(load.Stop())
+	h.CheckOutcomes(load.Stop())
 	if executed(minions[2]) != before[2] {
 		t.Errorf("%s started calls although its zone is out", minions[2].ID)
 	}
@@ -131,7 +131,7 @@
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 }
 
 // A minion's agent is told to stop under load: it gets nothing new after the
@@ -151,6 +151,6 @@
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	h.CheckAllDone(requests)
 }
