--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -19,8 +19,8 @@
 func (b *Balancer) faults() *Faults { return &b.Faults }
 
 func (b *Balancer) routes(r *router.Router) {
-	r.GET(PathTargets, get(func() any { return Targets{b.Relay.Targets()} }))
-	r.POST(PathTargets, post(func(in Targets) (Targets, error) {
+	r.GET(PathTargets, getHandler(func() any { return Targets{b.Relay.Targets()} }))
+	r.POST(PathTargets, postHandler(func(in Targets) (Targets, error) {
 		b.Relay.SetTargets(in.Targets...)
 		return in, nil
 	}))
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -56,8 +56,8 @@
 	return f.settings
 }
 
-// loses tells whether the next answer is lost.
-func (f *Faults) loses() bool {
+// losesNextAnswer tells whether the next answer is lost.
+func (f *Faults) losesNextAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.settings.LoseNext > 0 {
@@ -71,19 +71,19 @@
 	return func(ctx *fasthttp.RequestCtx) {
 		sleepMS(f.get().DelayMS)
 		if f.get().Down {
-			drop(ctx, nil)
+			dropConnection(ctx, nil)
 			return
 		}
 		next(ctx)
 		sleepMS(f.get().AnswerDelayMS)
-		if f.loses() {
-			drop(ctx, nil)
+		if f.losesNextAnswer() {
+			dropConnection(ctx, nil)
 		}
 	}
 }
 
-// drop closes the connection after writing no more than the given bytes.
-func drop(ctx *fasthttp.RequestCtx, last []byte) {
+// dropConnection closes the connection after writing no more than the given bytes.
+func dropConnection(ctx *fasthttp.RequestCtx, last []byte) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) { _, _ = c.Write(last) })
 }
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -85,27 +85,27 @@
 	var control MinionCall
 	// A body that is not a MinionCall asks for nothing special.
 	_ = json.Unmarshal(ctx.PostBody(), &control)
-	m.enter(id, control.Tag)
-	defer m.leave()
+	m.acquireSlot(id, control.Tag)
+	defer m.releaseSlot()
 	sleepMS(control.SleepMS)
 	if control.Fail != "" {
 		ctx.Error(control.Fail, fasthttp.StatusInternalServerError)
 		return
 	}
-	body, err := json.Marshal(m.answer(ctx, id, control.Size))
+	body, err := json.Marshal(m.buildAnswer(ctx, id, control.Size))
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
 	if control.Cut {
-		drop(ctx, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2]))
+		dropConnection(ctx, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2]))
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
 }
 
-func (m *Minion) answer(ctx *fasthttp.RequestCtx, id string, size int) MinionAnswer {
+func (m *Minion) buildAnswer(ctx *fasthttp.RequestCtx, id string, size int) MinionAnswer {
 	return MinionAnswer{
 		Minion:    m.id,
 		RequestID: id,
@@ -116,8 +116,8 @@
 	}
 }
 
-// enter waits for a slot and counts the execution.
-func (m *Minion) enter(id, tag string) {
+// acquireSlot waits for a slot and counts the execution.
+func (m *Minion) acquireSlot(id, tag string) {
 	select {
 	case m.slots <- struct{}{}:
 	default:
@@ -136,7 +136,7 @@
 	m.stats.MaxInUse = max(m.stats.MaxInUse, m.stats.InUse)
 }
 
-func (m *Minion) leave() {
+func (m *Minion) releaseSlot() {
 	m.mu.Lock()
 	m.stats.InUse--
 	m.mu.Unlock()
@@ -148,6 +148,6 @@
 func (m *Minion) observe() any { return m.Stats() }
 
 func (m *Minion) routes(r *router.Router) {
-	r.GET(external.PathHealth, healthy)
+	r.GET(external.PathHealth, handleHealth)
 	r.POST(external.PathMinionCall, m.call)
 }
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -56,7 +56,7 @@
 
 func (o *Objects) routes(r *router.Router) {
 	path := external.PathObjects + "{key:*}"
-	r.GET(external.PathHealth, healthy)
+	r.GET(external.PathHealth, handleHealth)
 	r.PUT(path, func(ctx *fasthttp.RequestCtx) {
 		_ = o.Put(ctx, objectKey(ctx), ctx.PostBody())
 	})
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -19,19 +19,19 @@
 
 	mu      sync.Mutex
 	targets []string
-	next    int
-	links   map[*link]struct{}
+	nextTarget    int
+	pairs   map[*connPair]struct{}
 	delay   time.Duration
 	refuse  bool
 
 	bytes atomic.Int64
 }
 
-// link is one forwarded connection.
-type link struct {
-	near, far net.Conn
-	silent    chan struct{}
-	once      sync.Once
+// connPair is one forwarded connection.
+type connPair struct {
+	client, target net.Conn
+	stalled    chan struct{}
+	stallOnce      sync.Once
 }
 
 // NewRelay listens on address and forwards to targets.
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	r := &Relay{listener: listener, targets: targets, links: map[*link]struct{}{}}
+	r := &Relay{listener: listener, targets: targets, pairs: map[*connPair]struct{}{}}
 	go r.accept()
 	return r, nil
 }
@@ -82,16 +82,16 @@
 // Stall stops forwarding on all open connections without closing them. New
 // connections work.
 func (r *Relay) Stall() int {
-	links := r.open()
+	links := r.openPairs()
 	for _, l := range links {
-		l.once.Do(func() { close(l.silent) })
+		l.stallOnce.Do(func() { close(l.stalled) })
 	}
 	return len(links)
 }
 
 // Cut closes all open connections. New connections work.
 func (r *Relay) Cut() int {
-	links := r.open()
+	links := r.openPairs()
 	for _, l := range links {
 		l.close()
 	}
@@ -104,11 +104,11 @@
 	r.Cut()
 }
 
-func (r *Relay) open() []*link {
+func (r *Relay) openPairs() []*connPair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	links := make([]*link, 0, len(r.links))
-	for l := range r.links {
+	links := make([]*connPair, 0, len(r.pairs))
+	for l := range r.pairs {
 		links = append(links, l)
 	}
 	return links
@@ -130,9 +130,9 @@
 		_ = near.Close()
 		return
 	}
-	l := &link{near: near, far: far, silent: make(chan struct{})}
+	l := &connPair{client: near, target: far, stalled: make(chan struct{})}
 	r.mu.Lock()
-	r.links[l] = struct{}{}
+	r.pairs[l] = struct{}{}
 	r.mu.Unlock()
 	var both sync.WaitGroup
 	both.Go(func() { r.forward(l, far, near) })
@@ -140,15 +140,15 @@
 	both.Wait()
 	l.close()
 	r.mu.Lock()
-	delete(r.links, l)
+	delete(r.pairs, l)
 	r.mu.Unlock()
 }
 
 // dial connects to the next target that accepts.
 func (r *Relay) dial() net.Conn {
 	r.mu.Lock()
-	targets, first, refuse := r.targets, r.next, r.refuse
-	r.next++
+	targets, first, refuse := r.targets, r.nextTarget, r.refuse
+	r.nextTarget++
 	r.mu.Unlock()
 	if refuse {
 		return nil
@@ -164,12 +164,12 @@
 
 // forward copies from one side to the other until the sender ends. On a
 // silent link it keeps both sides open and copies nothing.
-func (r *Relay) forward(l *link, to, from net.Conn) {
+func (r *Relay) forward(l *connPair, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		select {
-		case <-l.silent:
+		case <-l.stalled:
 			// The other end must not see the sender's end either.
 			_, _ = io.Copy(io.Discard, from)
 			l.waitClosed(to)
@@ -178,7 +178,7 @@
 		}
 		if n > 0 {
 			r.bytes.Add(int64(n))
-			r.pause()
+			r.applyDelay()
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				l.close()
 				return
@@ -191,7 +191,7 @@
 	}
 }
 
-func (r *Relay) pause() {
+func (r *Relay) applyDelay() {
 	r.mu.Lock()
 	delay := r.delay
 	r.mu.Unlock()
@@ -200,14 +200,14 @@
 	}
 }
 
-func (l *link) close() {
-	_ = l.near.Close()
-	_ = l.far.Close()
+func (l *connPair) close() {
+	_ = l.client.Close()
+	_ = l.target.Close()
 }
 
 // waitClosed polls until the connection is closed on this side, which the
 // goroutine of the other direction or Cut does.
-func (l *link) waitClosed(c net.Conn) {
+func (l *connPair) waitClosed(c net.Conn) {
 	for {
 		if err := c.SetDeadline(time.Time{}); err != nil {
 			return
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -19,17 +19,17 @@
 	ShouldFail func(task graph.TaskID, run uint64) bool
 
 	mu      sync.Mutex
-	born    int64
-	start   time.Time
+	incarnation    int64
+	startTime   time.Time
 	epoch   uint64
-	lease   time.Time
-	seen    uint64
-	number  uint64
-	runs    map[graph.TaskID]*running
-	ended   []graph.RunEnd
-	highest map[graph.TaskID]uint64 // highest run that was stopped or has ended
-	changed chan struct{}
-	starts  []graph.TaskID
+	leaseEnd   time.Time
+	acknowledged    uint64
+	lastEndNumber  uint64
+	runs    map[graph.TaskID]*activeRun
+	unacknowledged   []graph.RunEnd
+	highestStopped map[graph.TaskID]uint64 // highest run that was stopped or has ended
+	endAdded chan struct{}
+	startedTasks  []graph.TaskID
 	faults  RunnerFaults
 }
 
@@ -43,12 +43,12 @@
 	Unhealthy bool
 }
 
-type running struct {
+type activeRun struct {
 	run   uint64
 	timer *time.Timer
-	saved string
-	began time.Time
-	work  time.Duration
+	checkpoint string
+	startedAt time.Time
+	duration  time.Duration
 }
 
 var _ external.Runner = (*Runner)(nil)
@@ -67,12 +67,12 @@
 	for _, run := range r.runs {
 		run.timer.Stop()
 	}
-	r.born++
-	r.start = time.Now()
-	r.epoch, r.seen, r.number = 0, 0, 0
-	r.lease = time.Time{}
-	r.runs, r.ended, r.highest = map[graph.TaskID]*running{}, nil, map[graph.TaskID]uint64{}
-	r.changed = make(chan struct{})
+	r.incarnation++
+	r.startTime = time.Now()
+	r.epoch, r.acknowledged, r.lastEndNumber = 0, 0, 0
+	r.leaseEnd = time.Time{}
+	r.runs, r.unacknowledged, r.highestStopped = map[graph.TaskID]*activeRun{}, nil, map[graph.TaskID]uint64{}
+	r.endAdded = make(chan struct{})
 }
 
 // SetFaults sets the faults of the calls that follow.
@@ -86,28 +86,28 @@
 func (r *Runner) Incarnation() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.born
+	return r.incarnation
 }
 
 // StartedTasks returns the tasks that have begun, in order.
 func (r *Runner) StartedTasks() []graph.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]graph.TaskID(nil), r.starts...)
+	return append([]graph.TaskID(nil), r.startedTasks...)
 }
 
 // Running returns the number of tasks that run.
 func (r *Runner) Running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lapse()
+	r.enforceLease()
 	return len(r.runs)
 }
 
-func (r *Runner) clock() time.Duration { return time.Since(r.start) }
+func (r *Runner) uptime() time.Duration { return time.Since(r.startTime) }
 
-// call applies an order with the faults that are set.
-func (r *Runner) call(ctx context.Context, instance string, apply func() error) (time.Duration, error) {
+// applyWithFaults applies an order with the faults that are set.
+func (r *Runner) applyWithFaults(ctx context.Context, instance string, apply func() error) (time.Duration, error) {
 	r.mu.Lock()
 	faults := r.faults
 	r.mu.Unlock()
@@ -126,10 +126,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock(), apply()
+	return r.uptime(), apply()
 }
 
-func (r *Runner) fenced(epoch uint64) bool {
+func (r *Runner) staleEpoch(epoch uint64) bool {
 	if epoch < r.epoch {
 		return true
 	}
@@ -137,56 +137,56 @@
 	return false
 }
 
-func (r *Runner) extend(deadline time.Duration) {
-	if t := r.start.Add(deadline); deadline > 0 && t.After(r.lease) {
-		r.lease = t
+func (r *Runner) extendLease(deadline time.Duration) {
+	if t := r.startTime.Add(deadline); deadline > 0 && t.After(r.leaseEnd) {
+		r.leaseEnd = t
 	}
 }
 
-// lapse kills everything once the lease has run out.
-func (r *Runner) lapse() {
-	if r.lease.IsZero() || time.Now().Before(r.lease) {
+// enforceLease kills everything once the lease has run out.
+func (r *Runner) enforceLease() {
+	if r.leaseEnd.IsZero() || time.Now().Before(r.leaseEnd) {
 		return
 	}
 	for task := range r.runs {
-		r.end(task, graph.EndLeaseExpired)
+		r.endRun(task, graph.EndLeaseExpired)
 	}
 }
 
 // Start orders a run.
 func (r *Runner) Start(ctx context.Context, instance string, o external.StartRun) (time.Duration, error) {
-	return r.call(ctx, instance, func() error {
-		r.lapse()
+	return r.applyWithFaults(ctx, instance, func() error {
+		r.enforceLease()
 		switch run := r.runs[o.Task]; {
-		case r.fenced(o.Epoch):
+		case r.staleEpoch(o.Epoch):
 			return external.ErrRunEpoch
 		case r.faults.Unhealthy:
 			return external.ErrRunBusy
 		case run != nil && run.run == o.Run:
 			return nil
-		case run != nil || r.highest[o.Task] >= o.Run:
+		case run != nil || r.highestStopped[o.Task] >= o.Run:
 			return external.ErrRunOld
-		case r.clock() > o.Deadline:
+		case r.uptime() > o.Deadline:
 			return external.ErrRunLate
 		}
-		r.extend(o.Deadline)
-		r.begin(o)
+		r.extendLease(o.Deadline)
+		r.startRun(o)
 		return nil
 	})
 }
 
-func (r *Runner) begin(o external.StartRun) {
+func (r *Runner) startRun(o external.StartRun) {
 	work := 100 * time.Millisecond
 	if r.RunDuration != nil {
 		work = r.RunDuration(o.Task)
 	}
-	run := &running{run: o.Run, began: time.Now(), work: work}
-	r.starts = append(r.starts, o.Task)
+	run := &activeRun{run: o.Run, startedAt: time.Now(), duration: work}
+	r.startedTasks = append(r.startedTasks, o.Task)
 	r.runs[o.Task] = run
 	run.timer = time.AfterFunc(work, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.lapse()
+		r.enforceLease()
 		if r.runs[o.Task] != run {
 			return
 		}
@@ -194,31 +194,31 @@
 		if r.ShouldFail != nil && r.ShouldFail(o.Task, o.Run) {
 			how = graph.EndFailed
 		}
-		r.end(o.Task, how)
+		r.endRun(o.Task, how)
 	})
 }
 
-func (r *Runner) end(task graph.TaskID, how graph.EndKind) {
+func (r *Runner) endRun(task graph.TaskID, how graph.EndKind) {
 	run := r.runs[task]
 	run.timer.Stop()
 	delete(r.runs, task)
-	r.highest[task] = max(r.highest[task], run.run)
-	r.number++
-	r.ended = append(r.ended, graph.RunEnd{Number: r.number, Task: task, Run: run.run, Kind: how, Checkpoint: run.saved})
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.highestStopped[task] = max(r.highestStopped[task], run.run)
+	r.lastEndNumber++
+	r.unacknowledged = append(r.unacknowledged, graph.RunEnd{Number: r.lastEndNumber, Task: task, Run: run.run, Kind: how, Checkpoint: run.checkpoint})
+	close(r.endAdded)
+	r.endAdded = make(chan struct{})
 }
 
 // Stop orders the end of a run.
 func (r *Runner) Stop(ctx context.Context, instance string, o external.StopRun) (time.Duration, error) {
-	return r.call(ctx, instance, func() error {
-		r.lapse()
-		if r.fenced(o.Epoch) {
+	return r.applyWithFaults(ctx, instance, func() error {
+		r.enforceLease()
+		if r.staleEpoch(o.Epoch) {
 			return external.ErrRunEpoch
 		}
-		r.highest[o.Task] = max(r.highest[o.Task], o.Run)
+		r.highestStopped[o.Task] = max(r.highestStopped[o.Task], o.Run)
 		if run := r.runs[o.Task]; run != nil && run.run == o.Run {
-			r.end(o.Task, graph.EndStopped)
+			r.endRun(o.Task, graph.EndStopped)
 		}
 		return nil
 	})
@@ -234,24 +234,24 @@
 		return external.RunList{}, external.ErrUnavailable
 	}
 	r.mu.Lock()
-	r.lapse()
-	if r.fenced(o.Epoch) {
+	r.enforceLease()
+	if r.staleEpoch(o.Epoch) {
 		r.mu.Unlock()
 		return external.RunList{}, external.ErrRunEpoch
 	}
-	r.extend(o.Deadline)
-	r.seen = max(r.seen, o.Seen)
-	r.forget()
-	if len(r.ended) == 0 && o.Wait > 0 {
-		r.await(ctx, o.Wait)
+	r.extendLease(o.Deadline)
+	r.acknowledged = max(r.acknowledged, o.Seen)
+	r.dropAcknowledged()
+	if len(r.unacknowledged) == 0 && o.Wait > 0 {
+		r.waitForEnd(ctx, o.Wait)
 	}
 	defer r.mu.Unlock()
-	return r.list(), nil
+	return r.runList(), nil
 }
 
-// await waits for an end; the lock is held before and after.
-func (r *Runner) await(ctx context.Context, wait time.Duration) {
-	changed := r.changed
+// waitForEnd waits for an end; the lock is held before and after.
+func (r *Runner) waitForEnd(ctx context.Context, wait time.Duration) {
+	changed := r.endAdded
 	r.mu.Unlock()
 	select {
 	case <-changed:
@@ -261,17 +261,17 @@
 	r.mu.Lock()
 }
 
-func (r *Runner) forget() {
-	for len(r.ended) > 0 && r.ended[0].Number <= r.seen {
-		r.ended = r.ended[1:]
+func (r *Runner) dropAcknowledged() {
+	for len(r.unacknowledged) > 0 && r.unacknowledged[0].Number <= r.acknowledged {
+		r.unacknowledged = r.unacknowledged[1:]
 	}
 }
 
-func (r *Runner) list() external.RunList {
-	out := external.RunList{Clock: r.clock(), Born: r.born, Ended: append([]graph.RunEnd(nil), r.ended...)}
+func (r *Runner) runList() external.RunList {
+	out := external.RunList{Clock: r.uptime(), Born: r.incarnation, Ended: append([]graph.RunEnd(nil), r.unacknowledged...)}
 	for task, run := range r.runs {
-		percent := int(100 * time.Since(run.began) / run.work)
-		out.Running = append(out.Running, graph.RunState{Task: task, Run: run.run, Checkpoint: run.saved, Percent: min(percent, 99)})
+		percent := int(100 * time.Since(run.startedAt) / run.duration)
+		out.Running = append(out.Running, graph.RunState{Task: task, Run: run.run, Checkpoint: run.checkpoint, Percent: min(percent, 99)})
 	}
 	return out
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -75,10 +75,10 @@
 	s.routes(service)
 	f := s.faults()
 	all := router.New()
-	all.POST(PathFaults, post(func(next FaultSettings) (FaultSettings, error) { return f.set(next), nil }))
-	all.GET(PathFaults, get(func() any { return f.get() }))
+	all.POST(PathFaults, postHandler(func(next FaultSettings) (FaultSettings, error) { return f.set(next), nil }))
+	all.GET(PathFaults, getHandler(func() any { return f.get() }))
 	if o, ok := s.(observer); ok {
-		all.GET(PathObserve, get(o.observe))
+		all.GET(PathObserve, getHandler(o.observe))
 	}
 	all.NotFound = f.wrap(service.Handler)
 	all.HandleMethodNotAllowed = false
@@ -88,8 +88,8 @@
 // observer is a service that reports what it has done, for tests.
 type observer interface{ observe() any }
 
-// post adapts a function to a handler of JSON bodies.
-func post[In, Out any](fn func(In) (Out, error)) fasthttp.RequestHandler {
+// postHandler adapts a function to a handler of JSON bodies.
+func postHandler[In, Out any](fn func(In) (Out, error)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		var in In
 		if body := ctx.PostBody(); len(body) > 0 {
@@ -110,11 +110,11 @@
 	}
 }
 
-func get(fn func() any) fasthttp.RequestHandler {
+func getHandler(fn func() any) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, fn()) }
 }
 
-func healthy(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok\n") }
+func handleHealth(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok\n") }
 
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
 	body, err := json.Marshal(v)
--- a/internal/standin/specs.go
+++ b/internal/standin/specs.go
@@ -44,14 +44,14 @@
 
 // Register adds the flags of all kinds of stand-ins.
 func (s *Specs) Register(flags *flag.FlagSet) {
-	s.flag(flags, "table", "`address` of a table")
-	s.flag(flags, "objects", "`address` of the object store")
-	s.flag(flags, "worker", "`address`,id=ID,accelerators=8,milli_cpu=64000,memory_mb=250000")
-	s.flag(flags, "minion", "`address`,id=ID,slots=8")
-	s.flag(flags, "balancer", "`address`,control=ADDRESS,target=ADDRESS,target=ADDRESS")
+	s.registerKind(flags, "table", "`address` of a table")
+	s.registerKind(flags, "objects", "`address` of the object store")
+	s.registerKind(flags, "worker", "`address`,id=ID,accelerators=8,milli_cpu=64000,memory_mb=250000")
+	s.registerKind(flags, "minion", "`address`,id=ID,slots=8")
+	s.registerKind(flags, "balancer", "`address`,control=ADDRESS,target=ADDRESS,target=ADDRESS")
 }
 
-func (s *Specs) flag(flags *flag.FlagSet, kind, usage string) {
+func (s *Specs) registerKind(flags *flag.FlagSet, kind, usage string) {
 	flags.Func(kind, usage, func(value string) error { return s.Add(kind, value) })
 }
 
@@ -134,14 +134,14 @@
 
 func (g *Group) add(one spec, objects *Objects) error {
 	if one.kind == "objects" {
-		g.note(one, objects)
+		g.addState(one, objects)
 		return g.serve(one.address, objects)
 	}
 	service, err := builders[one.kind](one, objects)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	g.note(one, service)
+	g.addState(one, service)
 	balancer, ok := service.(*Balancer)
 	if !ok {
 		return g.serve(one.address, service)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func (g *Group) note(one spec, service Service) {
+func (g *Group) addState(one spec, service Service) {
 	g.states = append(g.states, State{Address: one.address, Kind: one.kind, service: service})
 }
 
@@ -169,20 +169,20 @@
 func buildWorker(s spec, objects external.Objects) (Service, error) {
 	var capacity api.Resources
 	var err error
-	if capacity.Accelerators, err = s.number("accelerators", defaultAccelerators); err != nil {
+	if capacity.Accelerators, err = s.positiveInt("accelerators", defaultAccelerators); err != nil {
 		return nil, err
 	}
-	if capacity.MilliCPU, err = s.number("milli_cpu", defaultMilliCPU); err != nil {
+	if capacity.MilliCPU, err = s.positiveInt("milli_cpu", defaultMilliCPU); err != nil {
 		return nil, err
 	}
-	if capacity.MemoryMB, err = s.number("memory_mb", defaultMemoryMB); err != nil {
+	if capacity.MemoryMB, err = s.positiveInt("memory_mb", defaultMemoryMB); err != nil {
 		return nil, err
 	}
 	return NewWorker(s.values.Get("id"), capacity, objects), nil
 }
 
 func buildMinion(s spec, _ external.Objects) (Service, error) {
-	slots, err := s.number("slots", defaultSlots)
+	slots, err := s.positiveInt("slots", defaultSlots)
 	if err != nil {
 		return nil, err
 	}
@@ -197,10 +197,10 @@
 	return &Balancer{Relay: relay}, nil
 }
 
-func (s spec) number(key string, absent int) (int, error) {
+func (s spec) positiveInt(key string, defaultValue int) (int, error) {
 	text := s.values.Get(key)
 	if text == "" {
-		return absent, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n <= 0 {
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -23,14 +23,14 @@
 type Table struct {
 	Faults
 
-	// shared counts the versions of all rows together, as a feed needs.
-	shared bool
+	// sharedVersions counts the versions of all rows together, as a feed needs.
+	sharedVersions bool
 
 	mu      sync.Mutex
 	rows    *btree.BTreeG[external.Row]
 	version uint64         // of the last write
 	history []external.Row // without values, in order of versions
-	oldest  uint64         // changes up to this version have left the history
+	droppedUpTo  uint64         // changes up to this version have left the history
 	changed chan struct{}  // closed by the next write
 	stats   TableStats
 }
@@ -61,7 +61,7 @@
 // so that it can tell what has changed.
 func NewFeedTable() *Table {
 	t := NewTable()
-	t.shared = true
+	t.sharedVersions = true
 	return t
 }
 
@@ -71,7 +71,7 @@
 	defer t.mu.Unlock()
 	t.stats.Gets++
 	t.stats.RowsRead += uint64(len(keys))
-	return t.read(keys), nil
+	return t.rowsOf(keys), nil
 }
 
 // Scan returns up to limit rows with the prefix and keys above after.
@@ -101,9 +101,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.Commits++
-	if !t.holds(txn.Conds) {
+	if !t.conditionsHold(txn.Conds) {
 		t.stats.Conflicts++
-		return external.TxnResult{Rows: t.current(txn.Conds)}, nil
+		return external.TxnResult{Rows: t.conditionRows(txn.Conds)}, nil
 	}
 	result := external.TxnResult{Committed: true, Rows: []external.Row{}}
 	for _, put := range txn.Puts {
@@ -111,9 +111,9 @@
 	}
 	for _, key := range txn.Deletes {
 		t.rows.Delete(external.Row{Key: key})
-		t.note(key)
+		t.recordChange(key)
 	}
-	t.wake()
+	t.notifyWaiters()
 	t.stats.RowsWritten += uint64(len(txn.Puts) + len(txn.Deletes))
 	return result, nil
 }
@@ -127,7 +127,7 @@
 	return stats
 }
 
-func (t *Table) holds(conds []external.Cond) bool {
+func (t *Table) conditionsHold(conds []external.Cond) bool {
 	for _, cond := range conds {
 		row, _ := t.rows.Get(external.Row{Key: cond.Key})
 		if row.Version != cond.Version {
@@ -137,15 +137,15 @@
 	return true
 }
 
-func (t *Table) current(conds []external.Cond) []external.Row {
+func (t *Table) conditionRows(conds []external.Cond) []external.Row {
 	keys := make([]string, len(conds))
 	for i, cond := range conds {
 		keys[i] = cond.Key
 	}
-	return t.read(keys)
+	return t.rowsOf(keys)
 }
 
-func (t *Table) read(keys []string) []external.Row {
+func (t *Table) rowsOf(keys []string) []external.Row {
 	rows := make([]external.Row, len(keys))
 	for i, key := range keys {
 		row, _ := t.rows.Get(external.Row{Key: key})
@@ -158,39 +158,39 @@
 // put writes one row and returns it with its new version, without its value.
 func (t *Table) put(row external.Row) external.Row {
 	old, _ := t.rows.Get(external.Row{Key: row.Key})
-	row.Version = t.note(row.Key)
-	if !t.shared {
+	row.Version = t.recordChange(row.Key)
+	if !t.sharedVersions {
 		row.Version = old.Version + 1
 	}
 	t.rows.ReplaceOrInsert(row)
 	return external.Row{Key: row.Key, Version: row.Version}
 }
 
-// note enters a change into the history and returns its version.
-func (t *Table) note(key string) uint64 {
+// recordChange enters a change into the history and returns its version.
+func (t *Table) recordChange(key string) uint64 {
 	t.version++
 	t.history = append(t.history, external.Row{Key: key, Version: t.version})
 	if n := len(t.history) - maxHistory; n > 0 {
-		t.oldest = t.history[n-1].Version
+		t.droppedUpTo = t.history[n-1].Version
 		t.history = t.history[n:]
 	}
 	return t.version
 }
 
-func (t *Table) wake() {
+func (t *Table) notifyWaiters() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
 // Feed returns the rows that were written after a version.
 func (t *Table) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]external.Row, uint64, error) {
-	if !t.shared {
+	if !t.sharedVersions {
 		return nil, 0, errors.NotSupportedf("feed of a table whose rows count their own versions")
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		rows, upTo, changed, err := t.since(prefix, after)
+		rows, upTo, changed, err := t.changesSince(prefix, after)
 		if err != nil || len(rows) > 0 {
 			return rows, upTo, err
 		}
@@ -204,10 +204,10 @@
 	}
 }
 
-func (t *Table) since(prefix string, after uint64) (rows []external.Row, upTo uint64, changed <-chan struct{}, err error) {
+func (t *Table) changesSince(prefix string, after uint64) (rows []external.Row, upTo uint64, changed <-chan struct{}, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if after < t.oldest {
+	if after < t.droppedUpTo {
 		return nil, 0, nil, external.ErrHistoryGone
 	}
 	seen := map[string]bool{}
@@ -216,7 +216,7 @@
 			continue
 		}
 		seen[h.Key] = true
-		rows = append(rows, t.read([]string{h.Key})...)
+		rows = append(rows, t.rowsOf([]string{h.Key})...)
 	}
 	return rows, t.version, t.changed, nil
 }
@@ -232,7 +232,7 @@
 func (t *Table) DropHistory() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.history, t.oldest = nil, t.version
+	t.history, t.droppedUpTo = nil, t.version
 }
 
 func (t *Table) faults() *Faults { return &t.Faults }
@@ -241,16 +241,16 @@
 
 func (t *Table) routes(r *router.Router) {
 	ctx := context.Background()
-	r.GET(external.PathHealth, healthy)
-	r.POST(external.PathTableGet, post(func(in external.GetRequest) (external.RowsReply, error) {
+	r.GET(external.PathHealth, handleHealth)
+	r.POST(external.PathTableGet, postHandler(func(in external.GetRequest) (external.RowsReply, error) {
 		rows, err := t.Get(ctx, in.Keys...)
 		return external.RowsReply{Rows: rows}, err
 	}))
-	r.POST(external.PathTableScan, post(func(in external.ScanRequest) (external.RowsReply, error) {
+	r.POST(external.PathTableScan, postHandler(func(in external.ScanRequest) (external.RowsReply, error) {
 		rows, err := t.Scan(ctx, in.Prefix, in.After, in.Limit)
 		return external.RowsReply{Rows: rows}, err
 	}))
-	r.POST(external.PathTableCommit, post(func(in external.Txn) (external.TxnResult, error) {
+	r.POST(external.PathTableCommit, postHandler(func(in external.Txn) (external.TxnResult, error) {
 		return t.Commit(ctx, in)
 	}))
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// usageLag is how long a task runs before its usage is reported.
-	usageLag = 400 * time.Millisecond
-	// failAfter is how long a task runs that its worker makes fail.
-	failAfter = 20 * time.Millisecond
+	// usageReportDelay is how long a task runs before its usage is reported.
+	usageReportDelay = 400 * time.Millisecond
+	// injectedFailureDelay is how long a task runs that its worker makes fail.
+	injectedFailureDelay = 20 * time.Millisecond
 	// checkpointPrefix starts the keys of checkpoints of tasks that name none.
 	checkpointPrefix = "checkpoints/"
-	// throttledSpeed is the progress of a throttled task, as a divisor.
-	throttledSpeed = 2
+	// throttleDivisor is the progress of a throttled task, as a divisor.
+	throttleDivisor = 2
 )
 
 // TaskPayload is the payload that a worker understands.
@@ -66,9 +66,9 @@
 	started      time.Time
 	ended        time.Time
 	leaseBy      time.Time
-	counted      time.Time // progress is counted up to here
-	end          *time.Timer
-	lapse        *time.Timer
+	progressAt      time.Time // progress is counted up to here
+	endTimer          *time.Timer
+	leaseTimer        *time.Timer
 }
 
 var _ external.Worker = (*Worker)(nil)
@@ -80,13 +80,13 @@
 
 // Start starts a task, unless its ID is known already.
 func (w *Worker) Start(ctx context.Context, t external.Task) (external.TaskStatus, error) {
-	if status, known := w.status(t.ID); known {
+	if status, known := w.statusByID(t.ID); known {
 		return status, nil
 	}
 	var payload TaskPayload
 	if len(t.Payload) > 0 {
 		if err := json.Unmarshal(t.Payload, &payload); err != nil {
-			return w.refuse(t.ID, err.Error()), nil
+			return w.failedStatus(t.ID, err.Error()), nil
 		}
 	}
 	progress, err := w.loadProgress(ctx, t.Checkpoint)
@@ -96,12 +96,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if known := w.tasks[t.ID]; known != nil {
-		return w.report(known), nil
+		return w.statusOf(known), nil
 	}
-	if !t.Resources.Fits(w.free()) {
+	if !t.Resources.Fits(w.freeCapacity()) {
 		return external.TaskStatus{ID: t.ID, State: external.TaskFailed, WorkerFault: true, Detail: "no capacity"}, nil
 	}
-	return w.report(w.run(t, payload, progress)), nil
+	return w.statusOf(w.startTask(t, payload, progress)), nil
 }
 
 // Renew extends the leases of the named tasks that run.
@@ -110,7 +110,7 @@
 	defer w.mu.Unlock()
 	for _, id := range ids {
 		if t := w.tasks[id]; t != nil && t.State == external.TaskRunning {
-			w.lease(t, leaseMS)
+			w.renewLease(t, leaseMS)
 		}
 	}
 	return nil
@@ -118,7 +118,7 @@
 
 // Checkpoint saves a task's progress and ends it.
 func (w *Worker) Checkpoint(ctx context.Context, id string) (external.TaskStatus, error) {
-	status, known := w.status(id)
+	status, known := w.statusByID(id)
 	if !known {
 		return status, errors.NotFoundf("task %q", id)
 	}
@@ -137,11 +137,11 @@
 	defer w.mu.Unlock()
 	t := w.tasks[id]
 	if t.State == external.TaskRunning {
-		w.finish(t, external.TaskCheckpointed, "")
+		w.endTask(t, external.TaskCheckpointed, "")
 		t.Checkpoint = key
 		t.ProgressMS = status.ProgressMS
 	}
-	return w.report(t), nil
+	return w.statusOf(t), nil
 }
 
 // Throttle limits what a task uses.
@@ -153,9 +153,9 @@
 		return errors.NotFoundf("task %q", id)
 	}
 	if t.State == external.TaskRunning {
-		w.count(t)
+		w.updateProgress(t)
 		t.limit = &limit
-		w.schedule(t)
+		w.scheduleEnd(t)
 	}
 	return nil
 }
@@ -169,22 +169,22 @@
 		return external.TaskStatus{}, errors.NotFoundf("task %q", id)
 	}
 	if t.State == external.TaskRunning {
-		w.finish(t, external.TaskStopped, "stopped")
+		w.endTask(t, external.TaskStopped, "stopped")
 	}
-	return w.report(t), nil
+	return w.statusOf(t), nil
 }
 
-// listEnded is how long a worker lists a task after its end.
-const listEnded = time.Minute
+// endedRetention is how long a worker lists a task after its end.
+const endedRetention = time.Minute
 
 // List returns the tasks that run or have ended lately, in order of their IDs.
 func (w *Worker) List(context.Context) ([]external.TaskStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := []external.TaskStatus{}
-	for _, t := range w.sorted() {
-		if t.ended.IsZero() || time.Since(t.ended) < listEnded {
-			list = append(list, w.report(t))
+	for _, t := range w.sortedTasks() {
+		if t.ended.IsZero() || time.Since(t.ended) < endedRetention {
+			list = append(list, w.statusOf(t))
 		}
 	}
 	return list, nil
@@ -195,13 +195,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := []Execution{}
-	for _, t := range w.sorted() {
+	for _, t := range w.sortedTasks() {
 		list = append(list, Execution{t.ID, w.id, t.State, t.started, t.ended, t.leaseBy})
 	}
 	return list
 }
 
-func (w *Worker) sorted() []*task {
+func (w *Worker) sortedTasks() []*task {
 	list := make([]*task, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		list = append(list, t)
@@ -210,11 +210,11 @@
 	return list
 }
 
-func (w *Worker) status(id string) (external.TaskStatus, bool) {
+func (w *Worker) statusByID(id string) (external.TaskStatus, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t := w.tasks[id]; t != nil {
-		return w.report(t), true
+		return w.statusOf(t), true
 	}
 	return external.TaskStatus{ID: id}, false
 }
@@ -225,7 +225,7 @@
 	return w.tasks[id].checkpointTo
 }
 
-func (w *Worker) refuse(id, detail string) external.TaskStatus {
+func (w *Worker) failedStatus(id, detail string) external.TaskStatus {
 	return external.TaskStatus{ID: id, State: external.TaskFailed, Detail: detail}
 }
 
@@ -242,7 +242,7 @@
 	return progress, errors.Annotatef(err, "checkpoint %q", checkpoint)
 }
 
-func (w *Worker) free() api.Resources {
+func (w *Worker) freeCapacity() api.Resources {
 	free := w.capacity
 	for _, t := range w.tasks {
 		if t.State == external.TaskRunning {
@@ -252,55 +252,55 @@
 	return free
 }
 
-func (w *Worker) run(started external.Task, payload TaskPayload, progress int64) *task {
+func (w *Worker) startTask(started external.Task, payload TaskPayload, progress int64) *task {
 	now := time.Now()
 	t := &task{
 		TaskStatus:   external.TaskStatus{ID: started.ID, State: external.TaskRunning, ProgressMS: progress, Resources: started.Resources},
 		payload:      payload,
 		checkpointTo: cmp.Or(started.CheckpointTo, checkpointPrefix+started.ID),
 		started:      now,
-		counted:      now,
+		progressAt:      now,
 	}
 	w.tasks[t.ID] = t
-	w.lease(t, started.LeaseMS)
-	w.schedule(t)
+	w.renewLease(t, started.LeaseMS)
+	w.scheduleEnd(t)
 	return t
 }
 
-// lease lets the task end leaseMS from now unless it is renewed.
-func (w *Worker) lease(t *task, leaseMS int64) {
+// renewLease lets the task end leaseMS from now unless it is renewed.
+func (w *Worker) renewLease(t *task, leaseMS int64) {
 	lease := time.Duration(leaseMS) * time.Millisecond
 	t.leaseBy = time.Now().Add(lease)
-	if t.lapse != nil {
-		t.lapse.Stop()
+	if t.leaseTimer != nil {
+		t.leaseTimer.Stop()
 	}
-	t.lapse = time.AfterFunc(lease, func() { w.lapsed(t) })
+	t.leaseTimer = time.AfterFunc(lease, func() { w.stopIfLeaseExpired(t) })
 }
 
-func (w *Worker) lapsed(t *task) {
+func (w *Worker) stopIfLeaseExpired(t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t.State == external.TaskRunning && !time.Now().Before(t.leaseBy) {
-		w.finish(t, external.TaskStopped, "lease lapsed")
+		w.endTask(t, external.TaskStopped, "lease lapsed")
 	}
 }
 
-// schedule sets the time of the task's own end.
-func (w *Worker) schedule(t *task) {
+// scheduleEnd sets the time of the task's own end.
+func (w *Worker) scheduleEnd(t *task) {
 	remaining := time.Duration(t.payload.RunMS-t.ProgressMS) * time.Millisecond
 	if t.limit != nil {
-		remaining *= throttledSpeed
+		remaining *= throttleDivisor
 	}
 	if w.get().FailTasks != "" {
-		remaining = failAfter
+		remaining = injectedFailureDelay
 	}
-	if t.end != nil {
-		t.end.Stop()
+	if t.endTimer != nil {
+		t.endTimer.Stop()
 	}
-	t.end = time.AfterFunc(max(remaining, 0), func() { w.ended(t) })
+	t.endTimer = time.AfterFunc(max(remaining, 0), func() { w.completeTask(t) })
 }
 
-func (w *Worker) ended(t *task) {
+func (w *Worker) completeTask(t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t.State != external.TaskRunning {
@@ -310,44 +310,44 @@
 	switch {
 	case faults.FailTasks != "":
 		t.WorkerFault = faults.WorkerFault
-		w.finish(t, external.TaskFailed, faults.FailTasks)
+		w.endTask(t, external.TaskFailed, faults.FailTasks)
 	case t.payload.Fail != "":
-		w.finish(t, external.TaskFailed, t.payload.Fail)
+		w.endTask(t, external.TaskFailed, t.payload.Fail)
 	default:
 		t.Output = t.payload.Result
 		if t.Output == nil {
 			t.Output, _ = json.Marshal(t.ID)
 		}
-		w.finish(t, external.TaskDone, "")
+		w.endTask(t, external.TaskDone, "")
 	}
 }
 
-func (w *Worker) finish(t *task, state external.TaskState, detail string) {
-	w.count(t)
+func (w *Worker) endTask(t *task, state external.TaskState, detail string) {
+	w.updateProgress(t)
 	t.State = state
 	t.Detail = detail
 	t.ended = time.Now()
-	t.end.Stop()
-	t.lapse.Stop()
+	t.endTimer.Stop()
+	t.leaseTimer.Stop()
 }
 
-// count adds the progress since the last call.
-func (w *Worker) count(t *task) {
+// updateProgress adds the progress since the last call.
+func (w *Worker) updateProgress(t *task) {
 	now := time.Now()
-	gained := now.Sub(t.counted)
+	gained := now.Sub(t.progressAt)
 	if t.limit != nil {
-		gained /= throttledSpeed
+		gained /= throttleDivisor
 	}
 	t.ProgressMS = min(t.ProgressMS+gained.Milliseconds(), t.payload.RunMS)
-	t.counted = now
+	t.progressAt = now
 }
 
-func (w *Worker) report(t *task) external.TaskStatus {
+func (w *Worker) statusOf(t *task) external.TaskStatus {
 	if t.State == external.TaskRunning {
-		w.count(t)
+		w.updateProgress(t)
 	}
 	status := t.TaskStatus
-	if time.Since(t.started) >= usageLag {
+	if time.Since(t.started) >= usageReportDelay {
 		status.Usage = t.usage()
 	}
 	return status
@@ -371,23 +371,23 @@
 
 func (w *Worker) routes(r *router.Router) {
 	ctx := context.Background()
-	r.GET(external.PathHealth, healthy)
-	r.POST(external.PathWorkerStart, post(func(in external.Task) (external.TaskStatus, error) {
+	r.GET(external.PathHealth, handleHealth)
+	r.POST(external.PathWorkerStart, postHandler(func(in external.Task) (external.TaskStatus, error) {
 		return w.Start(ctx, in)
 	}))
-	r.POST(external.PathWorkerRenew, post(func(in external.RenewRequest) (struct{}, error) {
+	r.POST(external.PathWorkerRenew, postHandler(func(in external.RenewRequest) (struct{}, error) {
 		return struct{}{}, w.Renew(ctx, in.IDs, in.LeaseMS)
 	}))
-	r.POST(external.PathWorkerCheckpoint, post(func(in external.TaskRequest) (external.TaskStatus, error) {
+	r.POST(external.PathWorkerCheckpoint, postHandler(func(in external.TaskRequest) (external.TaskStatus, error) {
 		return w.Checkpoint(ctx, in.ID)
 	}))
-	r.POST(external.PathWorkerThrottle, post(func(in external.TaskRequest) (struct{}, error) {
+	r.POST(external.PathWorkerThrottle, postHandler(func(in external.TaskRequest) (struct{}, error) {
 		return struct{}{}, w.Throttle(ctx, in.ID, in.Limit)
 	}))
-	r.POST(external.PathWorkerStop, post(func(in external.TaskRequest) (external.TaskStatus, error) {
+	r.POST(external.PathWorkerStop, postHandler(func(in external.TaskRequest) (external.TaskStatus, error) {
 		return w.Stop(ctx, in.ID)
 	}))
-	r.POST(external.PathWorkerList, post(func(struct{}) (external.ListReply, error) {
+	r.POST(external.PathWorkerList, postHandler(func(struct{}) (external.ListReply, error) {
 		list, err := w.List(ctx)
 		return external.ListReply{Tasks: list}, err
 	}))
