--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -2,7 +2,7 @@
 
 import "github.com/fasthttp/router"
 
-// PathTargets reads (GET) and replaces (POST) a balancer's targets.
+// PathTargets serves (GET) and replaces (POST) the targets of a balancer.
 const PathTargets = "/control/targets"
 
 // Targets is the body of PathTargets.
@@ -10,7 +10,7 @@
 	Targets []string `json:"targets"`
 }
 
-// Balancer is the control interface of a Relay.
+// Balancer serves the control interface of a Relay.
 type Balancer struct {
 	Faults
 	Relay *Relay
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -9,28 +9,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The paths of the control interface.
+// Paths of the control interface.
 const (
-	// PathFaults reads (GET) and replaces (POST) the FaultSettings.
+	// PathFaults serves (GET) and replaces (POST) the FaultSettings.
 	PathFaults = "/control/faults"
-	// PathObserve tells what the stand-in has done.
+	// PathObserve serves the activity of the stand-in, such as its executions.
 	PathObserve = "/executions"
 )
 
-// FaultSettings says how a stand-in fails.
+// FaultSettings selects the faults of a stand-in.
 type FaultSettings struct {
-	// Down drops each request's connection before it has any effect.
+	// Down closes the connection of each request before the request has any effect.
 	Down bool `json:"down,omitempty"`
-	// DelayMS passes before the effect, AnswerDelayMS between effect and answer.
+	// DelayMS delays the effect of each request, AnswerDelayMS the answer after
+	// the effect.
 	DelayMS       int64 `json:"delay_ms,omitempty"`
 	AnswerDelayMS int64 `json:"answer_delay_ms,omitempty"`
-	// LoseNext answers are dropped after the effect, then a LoseShare (0 to 1)
-	// of the rest.
+	// LoseNext is the number of answers that are dropped after the effect of the
+	// request. LoseShare (0 to 1) is the share of the later ones to drop.
 	LoseNext  int     `json:"lose_next,omitempty"`
 	LoseShare float64 `json:"lose_share,omitempty"`
-	// FailTasks lets a worker fail each task it starts, with this message.
+	// FailTasks, if not empty, makes a worker fail each task with this message.
 	FailTasks string `json:"fail_tasks,omitempty"`
-	// WorkerFault marks these failures as the worker's own.
+	// WorkerFault reports these failures as faults of the worker.
 	WorkerFault bool `json:"worker_fault,omitempty"`
 }
 
@@ -56,7 +57,7 @@
 	return f.settings
 }
 
-// losesNextAnswer tells whether the next answer is lost.
+// losesNextAnswer reports whether to drop the next answer. It counts LoseNext down.
 func (f *Faults) losesNextAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// dropConnection closes the connection after writing no more than the given bytes.
+// dropConnection writes only the given bytes and closes the connection.
 func dropConnection(ctx *fasthttp.RequestCtx, last []byte) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) { _, _ = c.Write(last) })
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -13,16 +13,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// MinionCall is the body that controls a minion; any other body is echoed.
+// MinionCall is a request body that controls the behaviour of a minion. Any
+// other body is only echoed.
 type MinionCall struct {
 	// Tag is counted in MinionStats.Tags.
 	Tag     string `json:"tag"`
 	SleepMS int64  `json:"sleep_ms"`
-	// Fail answers with status 500 and this message.
+	// Fail, if not empty, is returned as the message of a response with status 500.
 	Fail string `json:"fail"`
-	// Size pads the answer by this number of bytes.
+	// Size is the number of padding bytes in the answer.
 	Size int `json:"size"`
-	// Cut closes the connection in the middle of the answer.
+	// Cut closes the connection after half of the answer's body.
 	Cut bool `json:"cut"`
 }
 
@@ -31,26 +32,26 @@
 	Minion    string `json:"minion"`
 	RequestID string `json:"request_id"`
 	Attempt   string `json:"attempt"`
-	// Echo is the body of the call, Digest its xxhash64.
+	// Echo is the body of the call and Digest its xxhash64 in hexadecimal.
 	Echo    []byte `json:"echo"`
 	Digest  string `json:"digest"`
 	Padding string `json:"padding,omitempty"`
 }
 
-// MinionStats tells what a minion has done.
+// MinionStats counts the calls of a minion.
 type MinionStats struct {
 	Minion string `json:"minion"`
-	// Executions counts the started calls of each request.
+	// Executions counts the started calls by request ID.
 	Executions map[string]int `json:"executions"`
-	// Tags counts the started calls of each tag.
+	// Tags counts the started calls by tag.
 	Tags     map[string]int `json:"tags"`
 	InUse    int            `json:"in_use"`
 	MaxInUse int            `json:"max_in_use"`
-	// Waited counts the calls that came while all slots were in use.
+	// Waited counts the calls that arrived while all slots were in use.
 	Waited int `json:"waited"`
 }
 
-// Minion answers calls on a bounded number of slots.
+// Minion executes calls on a bounded number of slots; further calls wait for a slot.
 type Minion struct {
 	Faults
 
@@ -70,7 +71,7 @@
 	}
 }
 
-// Stats returns what the minion has done.
+// Stats returns a copy of the counts.
 func (m *Minion) Stats() MinionStats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +84,7 @@
 func (m *Minion) call(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(external.HeaderRequestID))
 	var control MinionCall
-	// A body that is not a MinionCall asks for nothing special.
+	// A body that is not a MinionCall leaves control empty.
 	_ = json.Unmarshal(ctx.PostBody(), &control)
 	m.acquireSlot(id, control.Tag)
 	defer m.releaseSlot()
@@ -116,7 +117,7 @@
 	}
 }
 
-// acquireSlot waits for a slot and counts the execution.
+// acquireSlot waits for a free slot and counts the execution.
 func (m *Minion) acquireSlot(id, tag string) {
 	select {
 	case m.slots <- struct{}{}:
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -12,25 +12,26 @@
 
 const relayDialTimeout = 500 * time.Millisecond
 
-// Relay forwards TCP connections to its targets in turn. It can cut its
-// connections, delay them, or stop forwarding without closing them.
+// Relay is a TCP proxy that distributes connections over its targets in turn.
+// It can close connections, delay their data, or stop forwarding without
+// closing them.
 type Relay struct {
 	listener net.Listener
 
-	mu      sync.Mutex
-	targets []string
-	nextTarget    int
-	pairs   map[*connPair]struct{}
-	delay   time.Duration
-	refuse  bool
+	mu         sync.Mutex
+	targets    []string
+	nextTarget int
+	pairs      map[*connPair]struct{}
+	delay      time.Duration
+	refuse     bool
 
 	bytes atomic.Int64
 }
 
-// connPair is one forwarded connection.
+// connPair holds both sides of a forwarded connection.
 type connPair struct {
 	client, target net.Conn
-	stalled    chan struct{}
+	stalled        chan struct{}
 	stallOnce      sync.Once
 }
 
@@ -55,47 +56,47 @@
 	return append([]string(nil), r.targets...)
 }
 
-// SetTargets replaces the targets; open connections stay.
+// SetTargets replaces the targets of new connections. Open connections stay.
 func (r *Relay) SetTargets(targets ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.targets = append([]string(nil), targets...)
 }
 
-// SetDelay delays what is forwarded from now on.
+// SetDelay sets the delay before each chunk of data is forwarded.
 func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// RefuseConnections closes new connections at once, or lets them through again.
+// RefuseConnections sets whether new connections are closed at once.
 func (r *Relay) RefuseConnections(refuse bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refuse = refuse
 }
 
-// Bytes returns the number of bytes forwarded so far, both ways together.
+// Bytes returns the number of bytes forwarded so targetConn in both directions.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
-// Stall stops forwarding on all open connections without closing them. New
-// connections work.
+// Stall stops forwarding on all open connections without closing them and
+// returns their number. New connections work.
 func (r *Relay) Stall() int {
-	links := r.openPairs()
-	for _, l := range links {
-		l.stallOnce.Do(func() { close(l.stalled) })
+	pairs := r.openPairs()
+	for _, p := range pairs {
+		p.stallOnce.Do(func() { close(p.stalled) })
 	}
-	return len(links)
+	return len(pairs)
 }
 
-// Cut closes all open connections. New connections work.
+// Cut closes all open connections and returns their number. New connections work.
 func (r *Relay) Cut() int {
-	links := r.openPairs()
-	for _, l := range links {
-		l.close()
+	pairs := r.openPairs()
+	for _, p := range pairs {
+		p.close()
 	}
-	return len(links)
+	return len(pairs)
 }
 
 // Close stops the relay and closes all connections.
@@ -107,44 +108,44 @@
 func (r *Relay) openPairs() []*connPair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	links := make([]*connPair, 0, len(r.pairs))
-	for l := range r.pairs {
-		links = append(links, l)
+	pairs := make([]*connPair, 0, len(r.pairs))
+	for p := range r.pairs {
+		pairs = append(pairs, p)
 	}
-	return links
+	return pairs
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		clientConn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(near)
+		go r.serve(clientConn)
 	}
 }
 
-func (r *Relay) serve(near net.Conn) {
-	far := r.dial()
-	if far == nil {
-		_ = near.Close()
+func (r *Relay) serve(clientConn net.Conn) {
+	targetConn := r.dial()
+	if targetConn == nil {
+		_ = clientConn.Close()
 		return
 	}
-	l := &connPair{client: near, target: far, stalled: make(chan struct{})}
+	p := &connPair{client: clientConn, target: targetConn, stalled: make(chan struct{})}
 	r.mu.Lock()
-	r.pairs[l] = struct{}{}
+	r.pairs[p] = struct{}{}
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.forward(l, far, near) })
-	both.Go(func() { r.forward(l, near, far) })
-	both.Wait()
-	l.close()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.forward(p, targetConn, clientConn) })
+	directions.Go(func() { r.forward(p, clientConn, targetConn) })
+	directions.Wait()
+	p.close()
 	r.mu.Lock()
-	delete(r.pairs, l)
+	delete(r.pairs, p)
 	r.mu.Unlock()
 }
 
-// dial connects to the next target that accepts.
+// dial connects to the next target that accepts. It returns nil if none does.
 func (r *Relay) dial() net.Conn {
 	r.mu.Lock()
 	targets, first, refuse := r.targets, r.nextTarget, r.refuse
@@ -162,17 +163,17 @@
 	return nil
 }
 
-// forward copies from one side to the other until the sender ends. On a
-// silent link it keeps both sides open and copies nothing.
-func (r *Relay) forward(l *connPair, to, from net.Conn) {
+// forward copies data until the sender closes its side. On a stalled
+// connection it keeps both sides open and discards the data.
+func (r *Relay) forward(p *connPair, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		select {
-		case <-l.stalled:
-			// The other end must not see the sender's end either.
+		case <-p.stalled:
+			// A close by the sender must not reach the other side.
 			_, _ = io.Copy(io.Discard, from)
-			l.waitClosed(to)
+			p.waitClosed(to)
 			return
 		default:
 		}
@@ -180,7 +181,7 @@
 			r.bytes.Add(int64(n))
 			r.applyDelay()
 			if _, werr := to.Write(buffer[:n]); werr != nil {
-				l.close()
+				p.close()
 				return
 			}
 		}
@@ -200,14 +201,14 @@
 	}
 }
 
-func (l *connPair) close() {
-	_ = l.client.Close()
-	_ = l.target.Close()
+func (p *connPair) close() {
+	_ = p.client.Close()
+	_ = p.target.Close()
 }
 
-// waitClosed polls until the connection is closed on this side, which the
-// goroutine of the other direction or Cut does.
-func (l *connPair) waitClosed(c net.Conn) {
+// waitClosed polls until the connection is closed locally, by the goroutine of
+// the other direction or by Cut.
+func (p *connPair) waitClosed(c net.Conn) {
 	for {
 		if err := c.SetDeadline(time.Time{}); err != nil {
 			return
--- a/internal/standin/relay_test.go
+++ b/internal/standin/relay_test.go
@@ -11,7 +11,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// rawServer answers each connection's request with the given bytes and closes.
+// rawServer writes the given bytes in answer to the first request of each
+// connection and closes the connection. It returns its address.
 func rawServer(t *testing.T, answer string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +60,7 @@
 	}
 }
 
-func TestRelaySilence(t *testing.T) {
+func TestRelayStall(t *testing.T) {
 	server, err := Serve("127.0.0.1:0", NewMinion("m1", 1))
 	if err != nil {
 		t.Fatal(err)
@@ -74,28 +75,28 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	}
-	answers := func(conn net.Conn, wait time.Duration) error {
+	readAnswer := func(conn net.Conn, wait time.Duration) error {
 		_, _ = io.WriteString(conn, "GET /health HTTP/1.1\r\nHost: m\r\n\r\n")
 		_ = conn.SetReadDeadline(time.Now().Add(wait))
 		_, err := conn.Read(make([]byte, 1))
 		return err
 	}
 	old := dial()
-	if err := answers(old, callTimeout); err != nil {
+	if err := readAnswer(old, callTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if n := relay.Stall(); n != 1 {
-		t.Fatalf("silenced %d connections", n)
+		t.Fatalf("stalled %d connections", n)
 	}
-	err = answers(dial(), callTimeout)
+	err = readAnswer(dial(), callTimeout)
 	if err != nil {
 		t.Fatalf("new connection: %v", err)
 	}
-	// Drain what was forwarded before the silence, then expect a timeout, not an end.
+	// Drain the data forwarded before the stall, then expect a timeout, not a close.
 	_ = old.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, _ = io.Copy(io.Discard, old)
-	if err, ok := answers(old, 100*time.Millisecond).(net.Error); !ok || !err.Timeout() {
-		t.Fatalf("silent connection: %v", err)
+	if err, ok := readAnswer(old, 100*time.Millisecond).(net.Error); !ok || !err.Timeout() {
+		t.Fatalf("stalled connection: %v", err)
 	}
 	relay.Cut()
 	_ = old.SetReadDeadline(time.Now().Add(callTimeout))
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -10,45 +10,46 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// Runner is a worker in memory that runs tasks under one lease, as
-// external.Runner describes.
+// Runner is an in-memory worker that runs all tasks under one lease. It
+// implements external.Runner.
 type Runner struct {
-	// RunDuration tells how long a task takes; the default is 100 ms.
+	// RunDuration returns the run time of a task. The default is 100 ms.
 	RunDuration func(task graph.TaskID) time.Duration
-	// ShouldFail tells whether a run ends as failed.
+	// ShouldFail reports whether a run ends as failed.
 	ShouldFail func(task graph.TaskID, run uint64) bool
 
-	mu      sync.Mutex
+	mu             sync.Mutex
 	incarnation    int64
-	startTime   time.Time
-	epoch   uint64
-	leaseEnd   time.Time
-	acknowledged    uint64
+	startTime      time.Time
+	epoch          uint64
+	leaseEnd       time.Time
+	acknowledged   uint64
 	lastEndNumber  uint64
-	runs    map[graph.TaskID]*activeRun
-	unacknowledged   []graph.RunEnd
-	highestStopped map[graph.TaskID]uint64 // highest run that was stopped or has ended
-	endAdded chan struct{}
-	startedTasks  []graph.TaskID
-	faults  RunnerFaults
+	runs           map[graph.TaskID]*activeRun
+	unacknowledged []graph.RunEnd
+	highestStopped map[graph.TaskID]uint64 // highest run of each task that was stopped or has ended
+	endAdded       chan struct{}
+	startedTasks   []graph.TaskID
+	faults         RunnerFaults
 }
 
-// RunnerFaults are the ways in which a runner can misbehave.
+// RunnerFaults selects the faults of a runner.
 type RunnerFaults struct {
-	// DropCalls calls get no answer and have no effect.
+	// DropCalls drops calls: they have no effect and get no answer.
 	DropCalls bool
-	// ApplyDelay lets starts and stops get no answer and take effect after that time.
+	// ApplyDelay, if positive, is the time after which starts and stops take
+	// effect. They get no answer.
 	ApplyDelay time.Duration
-	// Unhealthy answers starts as an unhealthy worker does.
+	// Unhealthy refuses starts as an unhealthy worker does.
 	Unhealthy bool
 }
 
 type activeRun struct {
-	run   uint64
-	timer *time.Timer
+	run        uint64
+	timer      *time.Timer
 	checkpoint string
-	startedAt time.Time
-	duration  time.Duration
+	startedAt  time.Time
+	duration   time.Duration
 }
 
 var _ external.Runner = (*Runner)(nil)
@@ -60,7 +61,7 @@
 	return r
 }
 
-// Restart ends the worker's life and begins another one.
+// Restart begins a new incarnation of the worker: its runs, ends and lease are lost.
 func (r *Runner) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,28 +76,28 @@
 	r.endAdded = make(chan struct{})
 }
 
-// SetFaults sets the faults of the calls that follow.
+// SetFaults sets the faults of later calls.
 func (r *Runner) SetFaults(f RunnerFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Incarnation is the number of the worker's life.
+// Incarnation returns the number of the worker's incarnation, which Restart increases.
 func (r *Runner) Incarnation() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.incarnation
 }
 
-// StartedTasks returns the tasks that have begun, in order.
+// StartedTasks returns the tasks of all started runs, in order of their starts.
 func (r *Runner) StartedTasks() []graph.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]graph.TaskID(nil), r.startedTasks...)
 }
 
-// Running returns the number of tasks that run.
+// Running returns the number of running tasks.
 func (r *Runner) Running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +107,7 @@
 
 func (r *Runner) uptime() time.Duration { return time.Since(r.startTime) }
 
-// applyWithFaults applies an order with the faults that are set.
+// applyWithFaults applies an order under the current faults.
 func (r *Runner) applyWithFaults(ctx context.Context, instance string, apply func() error) (time.Duration, error) {
 	r.mu.Lock()
 	faults := r.faults
@@ -119,7 +120,7 @@
 		time.AfterFunc(faults.ApplyDelay, func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			_ = apply() // nobody hears the answer
+			_ = apply() // the caller gets no answer
 		})
 		<-ctx.Done()
 		return 0, external.ErrUnavailable
@@ -129,6 +130,8 @@
 	return r.uptime(), apply()
 }
 
+// staleEpoch reports whether epoch is below the highest one seen; if not, it
+// becomes the highest one seen.
 func (r *Runner) staleEpoch(epoch uint64) bool {
 	if epoch < r.epoch {
 		return true
@@ -143,7 +146,7 @@
 	}
 }
 
-// enforceLease kills everything once the lease has run out.
+// enforceLease ends all runs if the lease has expired.
 func (r *Runner) enforceLease() {
 	if r.leaseEnd.IsZero() || time.Now().Before(r.leaseEnd) {
 		return
@@ -153,7 +156,7 @@
 	}
 }
 
-// Start orders a run.
+// Start starts a run of a task.
 func (r *Runner) Start(ctx context.Context, instance string, o external.StartRun) (time.Duration, error) {
 	return r.applyWithFaults(ctx, instance, func() error {
 		r.enforceLease()
@@ -190,26 +193,26 @@
 		if r.runs[o.Task] != run {
 			return
 		}
-		how := graph.EndDone
+		kind := graph.EndDone
 		if r.ShouldFail != nil && r.ShouldFail(o.Task, o.Run) {
-			how = graph.EndFailed
+			kind = graph.EndFailed
 		}
-		r.endRun(o.Task, how)
+		r.endRun(o.Task, kind)
 	})
 }
 
-func (r *Runner) endRun(task graph.TaskID, how graph.EndKind) {
+func (r *Runner) endRun(task graph.TaskID, kind graph.EndKind) {
 	run := r.runs[task]
 	run.timer.Stop()
 	delete(r.runs, task)
 	r.highestStopped[task] = max(r.highestStopped[task], run.run)
 	r.lastEndNumber++
-	r.unacknowledged = append(r.unacknowledged, graph.RunEnd{Number: r.lastEndNumber, Task: task, Run: run.run, Kind: how, Checkpoint: run.checkpoint})
+	r.unacknowledged = append(r.unacknowledged, graph.RunEnd{Number: r.lastEndNumber, Task: task, Run: run.run, Kind: kind, Checkpoint: run.checkpoint})
 	close(r.endAdded)
 	r.endAdded = make(chan struct{})
 }
 
-// Stop orders the end of a run.
+// Stop ends a run and prevents its later start.
 func (r *Runner) Stop(ctx context.Context, instance string, o external.StopRun) (time.Duration, error) {
 	return r.applyWithFaults(ctx, instance, func() error {
 		r.enforceLease()
@@ -224,7 +227,8 @@
 	})
 }
 
-// Hold extends the lease, lists the runs and waits for an end.
+// Hold extends the lease and returns the runs. If there are no unacknowledged
+// ends, it first waits for one, for at most o.Wait.
 func (r *Runner) Hold(ctx context.Context, instance string, o external.HoldRuns) (external.RunList, error) {
 	r.mu.Lock()
 	silent := r.faults.DropCalls
@@ -249,7 +253,8 @@
 	return r.runList(), nil
 }
 
-// waitForEnd waits for an end; the lock is held before and after.
+// waitForEnd waits until a run ends. The caller holds the lock, which is
+// released during the wait.
 func (r *Runner) waitForEnd(ctx context.Context, wait time.Duration) {
 	changed := r.endAdded
 	r.mu.Unlock()
@@ -276,5 +281,5 @@
 	return out
 }
 
-// Instance is the name that the worker gives itself.
+// Instance returns a name that is unique to this runner.
 func (r *Runner) Instance() string { return fmt.Sprintf("runner-%p", r) }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the platform's services, for tests
-// and the demo: the table, the object store, workers, minions and the
-// balancer. Each can be told to fail over its control interface.
+// Package standin implements in-memory stand-ins for the platform's services,
+// for tests and the demo: table, object store, workers, minions and balancer.
+// Faults can be injected over the control interface of each stand-in.
 package standin
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Bounds of a stand-in's server.
+// Limits of the HTTP server of a stand-in.
 const (
 	maxRequestBytes = 64 << 20
 	stopTimeout     = 2 * time.Second
 )
 
-// Service is one stand-in, served over HTTP.
+// Service is a stand-in that is served over HTTP.
 type Service interface {
 	routes(r *router.Router)
 	faults() *Faults
@@ -31,7 +31,7 @@
 	http     *fasthttp.Server
 }
 
-// Serve starts to serve s on address.
+// Serve listens on address and serves s in the background.
 func Serve(address string, s Service) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,7 +56,7 @@
 // URL returns the server's base URL.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Close stops the server. Requests in progress have a short time to finish.
+// Close stops the server. It waits at most stopTimeout for requests in progress.
 func (s *Server) Close() error {
 	done := make(chan error, 1)
 	go func() { done <- s.http.Shutdown() }()
@@ -68,27 +68,27 @@
 	}
 }
 
-// handler puts the control interface beside the service, whose own routes
-// pass through its faults.
+// handler routes requests to the control interface or to the service. Faults
+// apply to the routes of the service only.
 func handler(s Service) fasthttp.RequestHandler {
 	service := router.New()
 	s.routes(service)
 	f := s.faults()
-	all := router.New()
-	all.POST(PathFaults, postHandler(func(next FaultSettings) (FaultSettings, error) { return f.set(next), nil }))
-	all.GET(PathFaults, getHandler(func() any { return f.get() }))
+	root := router.New()
+	root.POST(PathFaults, postHandler(func(next FaultSettings) (FaultSettings, error) { return f.set(next), nil }))
+	root.GET(PathFaults, getHandler(func() any { return f.get() }))
 	if o, ok := s.(observer); ok {
-		all.GET(PathObserve, getHandler(o.observe))
+		root.GET(PathObserve, getHandler(o.observe))
 	}
-	all.NotFound = f.wrap(service.Handler)
-	all.HandleMethodNotAllowed = false
-	return all.Handler
+	root.NotFound = f.wrap(service.Handler)
+	root.HandleMethodNotAllowed = false
+	return root.Handler
 }
 
-// observer is a service that reports what it has done, for tests.
+// observer is a service that reports its activity to tests.
 type observer interface{ observe() any }
 
-// postHandler adapts a function to a handler of JSON bodies.
+// postHandler adapts fn to an HTTP handler with JSON bodies.
 func postHandler[In, Out any](fn func(In) (Out, error)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		var in In
--- a/internal/standin/specs.go
+++ b/internal/standin/specs.go
@@ -12,7 +12,7 @@
 	"github.com/juju/errors"
 )
 
-// The defaults of a spec's optional values.
+// Defaults of the optional values of a spec.
 const (
 	defaultSlots        = 8
 	defaultAccelerators = 8
@@ -20,19 +20,19 @@
 	defaultMemoryMB     = 250_000
 )
 
-// Specs are the stand-ins of one process, as given by flags.
+// Specs lists the stand-ins that one process serves, as given by its flags.
 type Specs struct {
 	list []spec
 }
 
-// spec is one stand-in: "address,key=value,key=value".
+// spec describes one stand-in; its flag has the form "address,key=value,key=value".
 type spec struct {
 	kind    string
 	address string
 	values  url.Values
 }
 
-// builder makes one stand-in. Objects is the process's object store.
+// builder creates a stand-in. Objects is the object store of the process.
 type builder func(s spec, objects external.Objects) (Service, error)
 
 var builders = map[string]builder{
@@ -42,7 +42,7 @@
 	"balancer": buildBalancer,
 }
 
-// Register adds the flags of all kinds of stand-ins.
+// Register defines one repeatable flag for each kind of stand-in.
 func (s *Specs) Register(flags *flag.FlagSet) {
 	s.registerKind(flags, "table", "`address` of a table")
 	s.registerKind(flags, "objects", "`address` of the object store")
@@ -55,18 +55,18 @@
 	flags.Func(kind, usage, func(value string) error { return s.Add(kind, value) })
 }
 
-// Add adds one stand-in of the kind.
+// Add parses "address,key=value,..." and adds a stand-in of the given kind.
 func (s *Specs) Add(kind, value string) error {
 	parts := strings.Split(value, ",")
-	one := spec{kind: kind, address: parts[0], values: url.Values{}}
+	sp := spec{kind: kind, address: parts[0], values: url.Values{}}
 	for _, part := range parts[1:] {
 		key, v, ok := strings.Cut(part, "=")
 		if !ok {
 			return errors.NotValidf("%q (want key=value)", part)
 		}
-		one.values.Add(key, v)
+		sp.values.Add(key, v)
 	}
-	s.list = append(s.list, one)
+	s.list = append(s.list, sp)
 	return nil
 }
 
@@ -77,7 +77,7 @@
 	states  []State
 }
 
-// State is what the dump of a process shows of one stand-in.
+// State is the entry of one stand-in in the state dump of its process.
 type State struct {
 	Address  string        `json:"address"`
 	Kind     string        `json:"kind"`
@@ -87,21 +87,21 @@
 	service Service
 }
 
-// Serve starts all stand-ins. Workers keep their checkpoints in the object
-// store of the same process.
+// Serve starts all stand-ins. Workers store their checkpoints in the object
+// store of the same process. On an error the stand-ins that run are stopped.
 func (s *Specs) Serve() (*Group, error) {
 	group := &Group{}
 	objects := NewObjects()
-	for _, one := range s.list {
-		if err := group.add(one, objects); err != nil {
+	for _, sp := range s.list {
+		if err := group.add(sp, objects); err != nil {
 			group.Close()
-			return nil, errors.Annotatef(err, "%s %s", one.kind, one.address)
+			return nil, errors.Annotatef(err, "%s %s", sp.kind, sp.address)
 		}
 	}
 	return group, nil
 }
 
-// Start does nothing: the stand-ins serve already.
+// Start does nothing: Specs.Serve has already started the stand-ins.
 func (g *Group) Start(context.Context) error { return nil }
 
 // Stop stops all stand-ins.
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// DumpState returns the state of each stand-in.
+// DumpState returns a State for each stand-in, with its current faults.
 func (g *Group) DumpState() any {
 	out := append([]State(nil), g.states...)
 	for i := range out {
@@ -132,29 +132,29 @@
 	}
 }
 
-func (g *Group) add(one spec, objects *Objects) error {
-	if one.kind == "objects" {
-		g.addState(one, objects)
-		return g.serve(one.address, objects)
+func (g *Group) add(sp spec, objects *Objects) error {
+	if sp.kind == "objects" {
+		g.addState(sp, objects)
+		return g.serve(sp.address, objects)
 	}
-	service, err := builders[one.kind](one, objects)
+	service, err := builders[sp.kind](sp, objects)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	g.addState(one, service)
+	g.addState(sp, service)
 	balancer, ok := service.(*Balancer)
 	if !ok {
-		return g.serve(one.address, service)
+		return g.serve(sp.address, service)
 	}
 	g.relays = append(g.relays, balancer.Relay)
-	if control := one.values.Get("control"); control != "" {
+	if control := sp.values.Get("control"); control != "" {
 		return g.serve(control, balancer)
 	}
 	return nil
 }
 
-func (g *Group) addState(one spec, service Service) {
-	g.states = append(g.states, State{Address: one.address, Kind: one.kind, service: service})
+func (g *Group) addState(sp spec, service Service) {
+	g.states = append(g.states, State{Address: sp.address, Kind: sp.kind, service: service})
 }
 
 func (g *Group) serve(address string, service Service) error {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -46,7 +46,7 @@
 			return
 		}
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("not within 10 s: %s", what)
 }
 
 func TestTableTransactions(t *testing.T) {
@@ -163,13 +163,13 @@
 		}
 		return external.TaskStatus{}
 	}
-	reaches := func(id string, want external.TaskState) {
+	waitForState := func(id string, want external.TaskState) {
 		t.Helper()
 		eventually(t, id+" is "+string(want), func() bool { return state(id).State == want })
 	}
 
 	start("done", TaskPayload{RunMS: 1, Result: json.RawMessage(`7`)}, 60_000, "")
-	reaches("done", external.TaskDone)
+	waitForState("done", external.TaskDone)
 	if out := string(state("done").Output); out != "7" {
 		t.Fatalf("output %s", out)
 	}
@@ -177,9 +177,9 @@
 		t.Fatalf("same ID started twice: %+v", again)
 	}
 	start("fails", TaskPayload{Fail: "broken"}, 60_000, "")
-	reaches("fails", external.TaskFailed)
+	waitForState("fails", external.TaskFailed)
 	start("lapses", TaskPayload{RunMS: 60_000}, 30, "")
-	reaches("lapses", external.TaskStopped)
+	waitForState("lapses", external.TaskStopped)
 
 	start("long/1/0", TaskPayload{RunMS: 60_000}, 60_000, "")
 	start("other", TaskPayload{RunMS: 60_000}, 60_000, "")
@@ -203,7 +203,7 @@
 	}
 	service.Set(FaultSettings{FailTasks: "bad memory", WorkerFault: true})
 	start("victim", TaskPayload{RunMS: 60_000}, 60_000, "")
-	reaches("victim", external.TaskFailed)
+	waitForState("victim", external.TaskFailed)
 }
 
 func TestMinionAnswers(t *testing.T) {
@@ -241,15 +241,15 @@
 			t.Errorf("%s ran %d times", id, stats.Executions[id])
 		}
 	}
-	gone := external.NewMinionClient("http://127.0.0.1:1", callTimeout)
-	if _, err := gone.Call(ctx, external.MinionRequest{}); !errors.Is(err, external.ErrNotSent) {
+	unreachable := external.NewMinionClient("http://127.0.0.1:1", callTimeout)
+	if _, err := unreachable.Call(ctx, external.MinionRequest{}); !errors.Is(err, external.ErrNotSent) {
 		t.Fatalf("refused connection: %v", err)
 	}
 }
 
 func TestMinionAnswerWithoutLength(t *testing.T) {
-	relay := rawServer(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of the ans")
-	minion := external.NewMinionClient("http://"+relay, callTimeout)
+	address := rawServer(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of the ans")
+	minion := external.NewMinionClient("http://"+address, callTimeout)
 	_, err := minion.Call(t.Context(), external.MinionRequest{RequestID: "r"})
 	if err == nil || !strings.Contains(err.Error(), "without a length") {
 		t.Fatalf("answer without a length: %v", err)
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -15,24 +15,25 @@
 const (
 	btreeDegree  = 32
 	maxScanLimit = 10_000
-	// maxHistory is the number of changes that the feed can tell of.
+	// maxHistory is the number of changes that Feed can look back.
 	maxHistory = 10_000
 )
 
-// Table is an in-memory transactional table.
+// Table is an in-memory table with conditional transactions.
 type Table struct {
 	Faults
 
-	// sharedVersions counts the versions of all rows together, as a feed needs.
+	// sharedVersions makes all rows take versions from one counter, which Feed
+	// requires. Otherwise each row counts its own versions.
 	sharedVersions bool
 
-	mu      sync.Mutex
-	rows    *btree.BTreeG[external.Row]
-	version uint64         // of the last write
-	history []external.Row // without values, in order of versions
-	droppedUpTo  uint64         // changes up to this version have left the history
-	changed chan struct{}  // closed by the next write
-	stats   TableStats
+	mu          sync.Mutex
+	rows        *btree.BTreeG[external.Row]
+	version     uint64         // version of the last change
+	history     []external.Row // recent changes without values, ordered by version
+	droppedUpTo uint64         // history has no changes up to this version
+	changed     chan struct{}  // closed by the next commit
+	stats       TableStats
 }
 
 // TableStats counts the operations of a table.
@@ -57,15 +58,15 @@
 	return &Table{rows: btree.NewG(btreeDegree, byKey), changed: make(chan struct{})}
 }
 
-// NewFeedTable returns an empty table whose rows share one counter of versions,
-// so that it can tell what has changed.
+// NewFeedTable returns an empty table whose rows share one version counter, so
+// that Feed is supported.
 func NewFeedTable() *Table {
 	t := NewTable()
 	t.sharedVersions = true
 	return t
 }
 
-// Get returns a row for each key.
+// Get returns one row for each key, in order. A missing row has version 0.
 func (t *Table) Get(_ context.Context, keys ...string) ([]external.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +75,8 @@
 	return t.rowsOf(keys), nil
 }
 
-// Scan returns up to limit rows with the prefix and keys above after.
+// Scan returns up to limit rows whose keys have the prefix and are greater than
+// after, sorted by key.
 func (t *Table) Scan(_ context.Context, prefix, after string, limit int) ([]external.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +98,8 @@
 	return rows, nil
 }
 
-// Commit applies a transaction.
+// Commit applies a transaction if all its conditions hold; otherwise it returns
+// the current rows of the conditions.
 func (t *Table) Commit(_ context.Context, txn external.Txn) (external.TxnResult, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +121,7 @@
 	return result, nil
 }
 
-// Stats returns the counts of operations.
+// Stats returns the counts of operations and of rows.
 func (t *Table) Stats() TableStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,7 +169,7 @@
 	return external.Row{Key: row.Key, Version: row.Version}
 }
 
-// recordChange enters a change into the history and returns its version.
+// recordChange appends a change to the history and returns its version.
 func (t *Table) recordChange(key string) uint64 {
 	t.version++
 	t.history = append(t.history, external.Row{Key: key, Version: t.version})
@@ -182,7 +185,8 @@
 	t.changed = make(chan struct{})
 }
 
-// Feed returns the rows that were written after a version.
+// Feed returns the rows with the prefix that changed after a version, and the
+// version that they cover. It waits for a change for at most wait.
 func (t *Table) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]external.Row, uint64, error) {
 	if !t.sharedVersions {
 		return nil, 0, errors.NotSupportedf("feed of a table whose rows count their own versions")
@@ -221,14 +225,14 @@
 	return rows, t.version, t.changed, nil
 }
 
-// Newest returns the version that the table has reached.
+// Newest returns the version of the last change.
 func (t *Table) Newest(context.Context) (uint64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version, nil
 }
 
-// DropHistory drops the history, as the service may at any time.
+// DropHistory discards the history, as the real service may do at any time.
 func (t *Table) DropHistory() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// usageReportDelay is how long a task runs before its usage is reported.
+	// usageReportDelay is the run time after which a task's usage is reported.
 	usageReportDelay = 400 * time.Millisecond
-	// injectedFailureDelay is how long a task runs that its worker makes fail.
+	// injectedFailureDelay is the run time of tasks that FaultSettings.FailTasks fails.
 	injectedFailureDelay = 20 * time.Millisecond
-	// checkpointPrefix starts the keys of checkpoints of tasks that name none.
+	// checkpointPrefix is the key prefix for checkpoints of tasks without CheckpointTo.
 	checkpointPrefix = "checkpoints/"
-	// throttleDivisor is the progress of a throttled task, as a divisor.
+	// throttleDivisor divides the speed of a throttled task.
 	throttleDivisor = 2
 )
 
-// TaskPayload is the payload that a worker understands.
+// TaskPayload is the payload format that Worker understands.
 type TaskPayload struct {
 	RunMS int64 `json:"run_ms"`
-	// Result is the task's output; without it, the output names the task.
+	// Result is the task's output. The default is the task's ID.
 	Result json.RawMessage `json:"result,omitempty"`
-	// Fail lets the task fail with this message at its end.
+	// Fail, if not empty, makes the task fail at its end with this message.
 	Fail string `json:"fail,omitempty"`
-	// Grow is what the task uses above its declaration.
+	// Grow is the usage above the task's declared resources.
 	Grow api.Resources `json:"grow"`
 }
 
-// Execution is the record of one task's run on one worker.
+// Execution records the run of one task on one worker.
 type Execution struct {
 	ID      string             `json:"id"`
 	Worker  string             `json:"worker"`
@@ -46,7 +46,7 @@
 	LeaseBy time.Time          `json:"lease_by"`
 }
 
-// Worker runs tasks on timers.
+// Worker simulates tasks with timers.
 type Worker struct {
 	Faults
 
@@ -66,19 +66,20 @@
 	started      time.Time
 	ended        time.Time
 	leaseBy      time.Time
-	progressAt      time.Time // progress is counted up to here
-	endTimer          *time.Timer
-	leaseTimer        *time.Timer
+	progressAt   time.Time // ProgressMS includes the time up to here
+	endTimer     *time.Timer
+	leaseTimer   *time.Timer
 }
 
 var _ external.Worker = (*Worker)(nil)
 
-// NewWorker returns a worker that keeps its checkpoints in objects.
+// NewWorker returns a worker that stores checkpoints in objects.
 func NewWorker(id string, capacity api.Resources, objects external.Objects) *Worker {
 	return &Worker{id: id, capacity: capacity, objects: objects, tasks: map[string]*task{}}
 }
 
-// Start starts a task, unless its ID is known already.
+// Start starts a task. If the ID is already known, it returns the status of
+// that task.
 func (w *Worker) Start(ctx context.Context, t external.Task) (external.TaskStatus, error) {
 	if status, known := w.statusByID(t.ID); known {
 		return status, nil
@@ -104,7 +105,7 @@
 	return w.statusOf(w.startTask(t, payload, progress)), nil
 }
 
-// Renew extends the leases of the named tasks that run.
+// Renew extends the leases of the given tasks, except those that have ended.
 func (w *Worker) Renew(_ context.Context, ids []string, leaseMS int64) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// Checkpoint saves a task's progress and ends it.
+// Checkpoint saves the progress of a running task and ends the task.
 func (w *Worker) Checkpoint(ctx context.Context, id string) (external.TaskStatus, error) {
 	status, known := w.statusByID(id)
 	if !known {
@@ -144,7 +145,7 @@
 	return w.statusOf(t), nil
 }
 
-// Throttle limits what a task uses.
+// Throttle limits the usage of a running task and slows it down.
 func (w *Worker) Throttle(_ context.Context, id string, limit api.Resources) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// Stop ends a task.
+// Stop ends a task if it runs and returns its status.
 func (w *Worker) Stop(_ context.Context, id string) (external.TaskStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -174,10 +175,10 @@
 	return w.statusOf(t), nil
 }
 
-// endedRetention is how long a worker lists a task after its end.
+// endedRetention is the time for which List includes a task after its end.
 const endedRetention = time.Minute
 
-// List returns the tasks that run or have ended lately, in order of their IDs.
+// List returns the running and recently ended tasks, sorted by ID.
 func (w *Worker) List(context.Context) ([]external.TaskStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -190,7 +191,7 @@
 	return list, nil
 }
 
-// Executions returns a record of each task that was started.
+// Executions returns a record of each started task, sorted by ID.
 func (w *Worker) Executions() []Execution {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -259,7 +260,7 @@
 		payload:      payload,
 		checkpointTo: cmp.Or(started.CheckpointTo, checkpointPrefix+started.ID),
 		started:      now,
-		progressAt:      now,
+		progressAt:   now,
 	}
 	w.tasks[t.ID] = t
 	w.renewLease(t, started.LeaseMS)
@@ -267,7 +268,7 @@
 	return t
 }
 
-// renewLease lets the task end leaseMS from now unless it is renewed.
+// renewLease sets the task's lease to end leaseMS from now and restarts its timer.
 func (w *Worker) renewLease(t *task, leaseMS int64) {
 	lease := time.Duration(leaseMS) * time.Millisecond
 	t.leaseBy = time.Now().Add(lease)
@@ -285,7 +286,7 @@
 	}
 }
 
-// scheduleEnd sets the time of the task's own end.
+// scheduleEnd sets the timer for the completion of the task.
 func (w *Worker) scheduleEnd(t *task) {
 	remaining := time.Duration(t.payload.RunMS-t.ProgressMS) * time.Millisecond
 	if t.limit != nil {
@@ -331,7 +332,7 @@
 	t.leaseTimer.Stop()
 }
 
-// updateProgress adds the progress since the last call.
+// updateProgress adds the progress made since the last update.
 func (w *Worker) updateProgress(t *task) {
 	now := time.Now()
 	gained := now.Sub(t.progressAt)
