--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -77,7 +77,7 @@
 	r.refuse = refuse
 }
 
-// Bytes returns the number of bytes forwarded so targetConn in both directions.
+// Bytes returns the number of bytes forwarded so far in both directions.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
 // Stall stops forwarding on all open connections without closing them and
