--- a/test/demo/processes.go
+++ b/test/demo/processes.go
@@ -73,7 +73,7 @@
 	var bad []string
 	for i := len(f.processes) - 1; i >= 0; i-- {
 		p := f.processes[i]
-		if err := p.Term(); err != nil {
+		if err := p.Terminate(); err != nil {
 			bad = append(bad, fmt.Sprintf("%v\n%s", err, p.Tail()))
 		}
 	}
--- a/test/process/ports.go
+++ b/test/process/ports.go
@@ -40,21 +40,21 @@
 	defer ports.mu.Unlock()
 	var out []string
 	for len(out) < n {
-		port, err := ports.take()
+		port, err := ports.takePort()
 		if err != nil {
 			return nil, err
 		}
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
-		if listens(address) {
+		if canListen(address) {
 			out = append(out, address)
 		}
 	}
 	return out, nil
 }
 
-// listens reports whether the address can be listened on: a process that is
+// canListen reports whether the address can be listened on: a process that is
 // not one of ours may have the port.
-func listens(address string) bool {
+func canListen(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -62,7 +62,7 @@
 	return l.Close() == nil
 }
 
-func (p *portPool) take() (int, error) {
+func (p *portPool) takePort() (int, error) {
 	for p.next == p.end {
 		if err := p.lockBlock(); err != nil {
 			return 0, err
--- a/test/process/ports_test.go
+++ b/test/process/ports_test.go
@@ -14,7 +14,7 @@
 	seen := map[int]bool{}
 	for range 2 * blockPorts {
 		for _, pool := range []*portPool{&first, &second} {
-			port, err := pool.take()
+			port, err := pool.takePort()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/test/process/process.go
+++ b/test/process/process.go
@@ -34,10 +34,10 @@
 	err    error // valid once exited is closed
 }
 
-// starter runs functions on one operating system thread that never ends: a
+// startThread runs functions on one operating system thread that never ends: a
 // child with a parent-death signal is killed when the thread that started it
 // ends.
-var starter = sync.OnceValue(func() chan<- func() {
+var startThread = sync.OnceValue(func() chan<- func() {
 	jobs := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -62,7 +62,7 @@
 	p.cmd.Stderr = log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	starter() <- func() { started <- p.cmd.Start() }
+	startThread() <- func() { started <- p.cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, errors.Annotatef(err, "starting %s", name)
 	}
@@ -105,9 +105,9 @@
 // Thaw lets a frozen process go on.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Term asks for a planned stop and waits for it. The error tells an exit
+// Terminate asks for a planned stop and waits for it. The error tells an exit
 // status other than 0; a process that does not end is killed.
-func (p *Process) Term() error {
+func (p *Process) Terminate() error {
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
@@ -128,11 +128,11 @@
 	return strings.Join(lines[max(0, len(lines)-tailLines):], "\n")
 }
 
-var pages = http.Client{Timeout: time.Second}
+var httpClient = http.Client{Timeout: time.Second}
 
 // Ready reports whether the process says that it is ready.
 func (p *Process) Ready() bool {
-	resp, err := pages.Get("http://" + p.HTTP + "/readyz")
+	resp, err := httpClient.Get("http://" + p.HTTP + "/readyz")
 	if err != nil {
 		return false
 	}
--- a/test/procs/builds_test.go
+++ b/test/procs/builds_test.go
@@ -36,22 +36,22 @@
 	}
 	h.WaitReady()
 	h.SetProfile(api.Profile{Name: harness.Profile, ClientAccount: "county"})
-	whole := harness.Gang(2, accelerators, 16*time.Second, false)
-	guaranteed := whole
+	gang := harness.Gang(2, accelerators, 16*time.Second, false)
+	guaranteed := gang
 	guaranteed.Profile = "guaranteed"
-	h.SetProfile(api.Profile{Name: "guaranteed", ClientAccount: "clinic", Guarantee: &api.Guarantee{Gangs: 1, Shape: whole.Gang}})
+	h.SetProfile(api.Profile{Name: "guaranteed", ClientAccount: "clinic", Guarantee: &api.Guarantee{Gangs: 1, Shape: gang.Gang}})
 	profiles, err := h.Client().Profiles(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	first := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 100}}
-	await(t, "the first call", start(t, first, h, entries[0]))
-	running := submit(t, h, "running", whole, h.Owner())
+	waitForEnd(t, "the first call", startRequest(t, first, h, entries[0]))
+	running := submit(t, h, "running", gang, h.Owner())
 	promised := submit(t, h, "promised", guaranteed, h.Owner())
 	attempts := map[string]uint32{}
 	for _, id := range []string{running, promised} {
-		attempts[id] = runningOn(t, h, id, 2).Attempt
+		attempts[id] = waitRunning(t, h, id, 2).Attempt
 	}
 	waiting := submit(t, h, "waiting", harness.Gang(2, accelerators, 200*time.Millisecond, true), h.Owner())
 	load := h.StartLoad(4, standin.MinionCall{SleepMS: 100, Size: 2000})
@@ -60,19 +60,19 @@
 	for i, e := range entries {
 		entries[i] = h.StartEntry("next-"+e.Name, e.Zone)
 		h.WaitReady()
-		if err := e.Term(); err != nil {
+		if err := e.Terminate(); err != nil {
 			t.Errorf("stopped entry: %v", err)
 		}
 	}
 	for _, w := range h.Workers() {
-		if err := w.Agent.Term(); err != nil {
+		if err := w.Agent.Terminate(); err != nil {
 			t.Errorf("stopped agent: %v", err)
 		}
 		h.StartWorkerAgent(w)
 		h.WaitReady()
 	}
 	for _, m := range minions {
-		if err := m.Agent.Term(); err != nil {
+		if err := m.Agent.Terminate(); err != nil {
 			t.Errorf("stopped agent: %v", err)
 		}
 		h.StartMinionAgent(m)
@@ -80,11 +80,11 @@
 	}
 
 	again := &harness.Request{Tag: first.Tag, Body: first.Body}
-	await(t, "the repeated call", start(t, again, h, entries[0]))
+	waitForEnd(t, "the repeated call", startRequest(t, again, h, entries[0]))
 	if again.Outcome != api.OutcomeDone || again.Answer.RequestID != first.Answer.RequestID {
 		t.Errorf("key %s was answered by execution %q, then %q by %q: %v", first.Tag, first.Answer.RequestID, again.Outcome, again.Answer.RequestID, again.Err)
 	}
-	if id := submit(t, h, "running", whole, h.Owner()); id != running {
+	if id := submit(t, h, "running", gang, h.Owner()); id != running {
 		t.Errorf("the key of job %s was given to job %s", running, id)
 	}
 	for _, id := range []string{running, promised, waiting} {
--- a/test/procs/gangs_test.go
+++ b/test/procs/gangs_test.go
@@ -12,11 +12,11 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// urgentLimit is the bound within which urgent and reclaimed capacity starts.
-const urgentLimit = 3600 * time.Millisecond
+// urgentStartLimit is the bound within which urgent and reclaimed capacity starts.
+const urgentStartLimit = 3600 * time.Millisecond
 
-// runningOn waits until the job's tasks run and returns its record.
-func runningOn(t *testing.T, h *harness.Harness, id string, tasks int) api.JobRecord {
+// waitRunning waits until the job's tasks run and returns its record.
+func waitRunning(t *testing.T, h *harness.Harness, id string, tasks int) api.JobRecord {
 	t.Helper()
 	var record api.JobRecord
 	h.Eventually("job "+id+" runs", 15*time.Second, func() bool {
@@ -33,11 +33,11 @@
 	t.Parallel()
 	h := gangSystem(t)
 	id := submit(t, h, "long", harness.Gang(2, accelerators, 9*time.Second, false), h.Owner())
-	before := runningOn(t, h, id, 2)
+	before := waitRunning(t, h, id, 2)
 	for i, w := range h.Workers() {
 		if i%2 == 0 {
 			w.Agent.Kill()
-		} else if err := w.Agent.Term(); err != nil {
+		} else if err := w.Agent.Terminate(); err != nil {
 			t.Errorf("stopped agent: %v", err)
 		}
 		h.StartWorkerAgent(w)
@@ -57,7 +57,7 @@
 	t.Parallel()
 	h := gangSystem(t)
 	id := submit(t, h, "moved", harness.Gang(2, accelerators, 14*time.Second, true), h.Owner())
-	before := runningOn(t, h, id, 2)
+	before := waitRunning(t, h, id, 2)
 	frozen := h.Worker(before.Placements[0].Worker)
 	frozen.Agent.Freeze()
 	h.Eventually("another attempt", 30*time.Second, func() bool {
@@ -93,7 +93,7 @@
 	for n := range 5 {
 		began := time.Now()
 		id := submit(t, h, fmt.Sprintf("claim-%d", n), shape, h.Owner())
-		h.Eventually("the guaranteed gang runs", urgentLimit, func() bool { return h.RunningTasks(id) == 2 })
+		h.Eventually("the guaranteed gang runs", urgentStartLimit, func() bool { return h.RunningTasks(id) == 2 })
 		t.Logf("claim %d runs after %v", n, time.Since(began).Round(time.Millisecond))
 		record := h.AwaitJob(id, jobLimit)
 		h.CheckJobOutcome(record)
--- a/test/procs/harness/harness.go
+++ b/test/procs/harness/harness.go
@@ -42,7 +42,7 @@
 	tableURL   string
 	objectsURL string
 
-	loads     atomic.Int32
+	loadCount atomic.Int32
 	mu        sync.Mutex
 	processes []*Process
 	entries   []*Entry
@@ -73,7 +73,7 @@
 	h.objectsURL = h.serve(h.Objects)
 	h.CallerBalancer = h.Relay()
 	h.AgentBalancer = h.Relay()
-	go h.balance()
+	go h.updateBalancers()
 	t.Cleanup(h.stop)
 	return h
 }
@@ -193,9 +193,9 @@
 // startGrace is how long a process has to find its ports taken.
 const startGrace = 100 * time.Millisecond
 
-// balance keeps the balancers' targets to the entries that are ready, for
+// updateBalancers keeps the balancers' targets to the entries that are ready, for
 // callers, and to those that run, for agents.
-func (h *Harness) balance() {
+func (h *Harness) updateBalancers() {
 	for {
 		var ready, running []string
 		for _, e := range h.liveEntries() {
@@ -250,11 +250,11 @@
 
 // Eventually polls a condition and fails the test when it does not hold
 // within the limit.
-func (h *Harness) Eventually(what string, limit time.Duration, holds func() bool) time.Duration {
+func (h *Harness) Eventually(what string, limit time.Duration, condition func() bool) time.Duration {
 	h.t.Helper()
 	began := time.Now()
 	for time.Since(began) < limit {
-		if holds() {
+		if condition() {
 			return time.Since(began)
 		}
 		time.Sleep(pollInterval)
--- a/test/procs/harness/jobs.go
+++ b/test/procs/harness/jobs.go
@@ -15,9 +15,9 @@
 	"github.com/juju/errors"
 )
 
-// partialLimit is how long tasks of an attempt may run of which others have
+// partialStartLimit is how long tasks of an attempt may run of which others have
 // not started: the lease of a group and the time to see that it has lapsed.
-const partialLimit = 13 * time.Second
+const partialStartLimit = 13 * time.Second
 
 // Gang returns a job of tasks with a run time; each takes a number of
 // accelerators and all run in one rack.
@@ -125,7 +125,7 @@
 	}
 	ran := a.last.Sub(a.first)
 	h.t.Logf("%s: %d of %d tasks started, for %v", a, len(a.tasks), record.Job.Gang.Tasks, ran)
-	if ran > partialLimit || record.Outcome == api.OutcomeDone && a.ref.Attempt == record.Attempt {
+	if ran > partialStartLimit || record.Outcome == api.OutcomeDone && a.ref.Attempt == record.Attempt {
 		h.t.Errorf("%s ran partially for %v", a, ran)
 	}
 }
@@ -173,7 +173,7 @@
 	return h.NewOwner(nil)
 }
 
-func (h *Harness) owns(e *Entry) bool {
+func (h *Harness) isOwner(e *Entry) bool {
 	dump, err := h.ClientOf(e).DumpState(context.Background())
 	if err != nil {
 		return false
@@ -204,7 +204,7 @@
 	var owner *Entry
 	h.Eventually("another owner", 30*time.Second, func() bool {
 		for _, e := range h.liveEntries() {
-			if e != former && h.owns(e) {
+			if e != former && h.isOwner(e) {
 				owner = e
 			}
 		}
--- a/test/procs/harness/load.go
+++ b/test/procs/harness/load.go
@@ -80,15 +80,15 @@
 		})
 		r.Err = err
 		if !errors.Is(err, client.ErrUnreachable) && !errors.Is(err, client.ErrNoAnswer) {
-			r.finish(answer, body)
+			r.recordAnswer(answer, body)
 			return
 		}
 		time.Sleep(retryPause)
 	}
 }
 
-// finish takes in the entry's answer, which must be complete and this request's.
-func (r *Request) finish(answer client.Answer, body []byte) {
+// recordAnswer takes in the entry's answer, which must be complete and this request's.
+func (r *Request) recordAnswer(answer client.Answer, body []byte) {
 	var problem *client.ProblemError
 	if errors.As(r.Err, &problem) {
 		r.Outcome = problem.Outcome
@@ -123,21 +123,21 @@
 // StartLoad starts the callers. Every second request is idempotent.
 func (h *Harness) StartLoad(callers int, body standin.MinionCall) *Load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{h: h, name: fmt.Sprintf("load-%d", h.loads.Add(1)), cancel: cancel}
+	l := &Load{h: h, name: fmt.Sprintf("load-%d", h.loadCount.Add(1)), cancel: cancel}
 	for range callers {
-		l.done.Go(func() { l.call(ctx, body) })
+		l.done.Go(func() { l.sendRequests(ctx, body) })
 	}
 	h.t.Cleanup(cancel)
 	return l
 }
 
-func (l *Load) call(ctx context.Context, body standin.MinionCall) {
+func (l *Load) sendRequests(ctx context.Context, body standin.MinionCall) {
 	for ctx.Err() == nil {
 		n := l.count.Add(1)
 		r := &Request{Tag: fmt.Sprintf("%s-%d", l.name, n), Idempotent: n%2 == 0, Body: body}
 		// A request that has begun is brought to its end after the load's.
-		patient, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*requestTimeout)
-		r.Do(patient, l.h.Client())
+		requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*requestTimeout)
+		r.Do(requestCtx, l.h.Client())
 		cancel()
 		l.mu.Lock()
 		l.requests = append(l.requests, r)
--- a/test/procs/keys_test.go
+++ b/test/procs/keys_test.go
@@ -18,12 +18,12 @@
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	first := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 300}}
-	done := start(t, first, h, entries[0])
-	executing(h, minions, first.Tag)
-	await(t, "the first call", done)
+	done := startRequest(t, first, h, entries[0])
+	waitExecuting(h, minions, first.Tag)
+	waitForEnd(t, "the first call", done)
 	h.Table.Set(standin.FaultSettings{Down: true})
 	again := &harness.Request{Tag: first.Tag, Body: first.Body}
-	await(t, "the second call", start(t, again, h, entries[1]))
+	waitForEnd(t, "the second call", startRequest(t, again, h, entries[1]))
 	t.Logf("first %q, again %q: %v", first.Outcome, again.Outcome, again.Err)
 	if again.Outcome == api.OutcomeNotRun {
 		t.Errorf("%s is answered not-run although it has run", again.Tag)
@@ -31,7 +31,7 @@
 	h.Table.Set(standin.FaultSettings{})
 	h.Eventually("the answer, once the table is back", 20*time.Second, func() bool {
 		last := &harness.Request{Tag: first.Tag, Body: first.Body}
-		await(t, "a further call", start(t, last, h, entries[1]))
+		waitForEnd(t, "a further call", startRequest(t, last, h, entries[1]))
 		return last.Outcome == api.OutcomeDone && last.Answer.RequestID == first.Answer.RequestID
 	})
 	h.CheckOutcomes([]*harness.Request{first})
@@ -44,7 +44,7 @@
 	h, entries, minions := requestSystem(t)
 	h.SetProfile(api.Profile{Name: harness.Profile, ClientAccount: "county", MaxQueue: 1})
 	first := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 100}}
-	await(t, "the first call", start(t, first, h, entries[0]))
+	waitForEnd(t, "the first call", startRequest(t, first, h, entries[0]))
 	var done sync.WaitGroup
 	stop := make(chan struct{})
 	for n := range 40 {
@@ -59,7 +59,7 @@
 	})
 	for range 20 {
 		again := &harness.Request{Tag: first.Tag, Body: first.Body}
-		await(t, "the second call", start(t, again, h, entries[1]))
+		waitForEnd(t, "the second call", startRequest(t, again, h, entries[1]))
 		if again.Outcome == api.OutcomeNotRun {
 			t.Errorf("%s is answered not-run although it has run: %v", again.Tag, again.Err)
 		}
--- a/test/procs/owner_test.go
+++ b/test/procs/owner_test.go
@@ -66,9 +66,9 @@
 // startStep is a step of a gang's start. The table's answers may be delayed, so
 // that what it has stored lies apart from what the owner knows.
 type startStep struct {
-	name    string
-	table   standin.FaultSettings
-	reached func(h *harness.Harness, jobID string) bool
+	name        string
+	tableFaults standin.FaultSettings
+	reached     func(h *harness.Harness, jobID string) bool
 }
 
 var startSteps = []startStep{
@@ -150,7 +150,7 @@
 	t.Helper()
 	owner := h.Owner()
 	owner.Relay.SetDelay(60 * time.Millisecond)
-	h.Table.Set(step.table)
+	h.Table.Set(step.tableFaults)
 	id := submit(t, h, step.name, harness.Gang(2, accelerators, 2*time.Second, idempotent), h.OtherEntry(owner))
 	h.Eventually("step "+step.name, 10*time.Second, func() bool { return step.reached(h, id) })
 	owner.Kill()
@@ -234,12 +234,12 @@
 	t.Parallel()
 	h := gangSystem(t)
 	owner := h.Owner()
-	id := submit(t, h, "running", harness.Gang(2, 4, outage+4*time.Second, false), owner)
+	id := submit(t, h, "running", harness.Gang(2, 4, outageDuration+4*time.Second, false), owner)
 	h.Eventually("the gang runs", 10*time.Second, func() bool { return len(h.Tasks()) == 2 })
 	h.Table.Set(standin.FaultSettings{Down: true})
 	time.Sleep(time.Second)
 	owner.Kill()
-	time.Sleep(outage)
+	time.Sleep(outageDuration)
 	h.Table.Set(standin.FaultSettings{})
 	later := submit(t, h, "later", harness.Gang(2, 8, 100*time.Millisecond, true), h.Owner())
 	for _, id := range []string{id, later} {
--- a/test/procs/requests_test.go
+++ b/test/procs/requests_test.go
@@ -25,8 +25,8 @@
 	return h, entries, minions
 }
 
-// executing waits until the tag runs on a minion and returns that minion.
-func executing(h *harness.Harness, minions []*harness.Minion, tag string) *harness.Minion {
+// waitExecuting waits until the tag runs on a minion and returns that minion.
+func waitExecuting(h *harness.Harness, minions []*harness.Minion, tag string) *harness.Minion {
 	var at *harness.Minion
 	h.Eventually(tag+" is executed", 5*time.Second, func() bool {
 		for _, m := range minions {
@@ -39,9 +39,9 @@
 	return at
 }
 
-// start runs a request in the background and returns a channel that is closed
+// startRequest runs a request in the background and returns a channel that is closed
 // at its end.
-func start(t *testing.T, r *harness.Request, h *harness.Harness, entries ...*harness.Entry) <-chan struct{} {
+func startRequest(t *testing.T, r *harness.Request, h *harness.Harness, entries ...*harness.Entry) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -54,7 +54,7 @@
 	return done
 }
 
-func await(t *testing.T, what string, done <-chan struct{}) {
+func waitForEnd(t *testing.T, what string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
@@ -69,10 +69,10 @@
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	r := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 1500, Size: 1000}}
-	done := start(t, r, h, entries[0], entries[1])
-	executing(h, minions, r.Tag)
+	done := startRequest(t, r, h, entries[0], entries[1])
+	waitExecuting(h, minions, r.Tag)
 	entries[0].Kill()
-	await(t, "the request", done)
+	waitForEnd(t, "the request", done)
 	t.Logf("%q after %d calls and %v: %v", r.Outcome, r.Calls, r.Took, r.Err)
 	h.CheckOutcomes([]*harness.Request{r})
 	h.CheckAllDone([]*harness.Request{r})
@@ -84,8 +84,8 @@
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	running := &harness.Request{Tag: "running", Body: standin.MinionCall{SleepMS: 500}}
-	done := start(t, running, h, entries[0])
-	at := executing(h, minions, running.Tag)
+	done := startRequest(t, running, h, entries[0])
+	at := waitExecuting(h, minions, running.Tag)
 	at.Agent.Freeze()
 	// These reach the frozen agent at first, or pass it by.
 	var queued []*harness.Request
@@ -93,13 +93,13 @@
 	for i := range 12 {
 		r := &harness.Request{Tag: fmt.Sprintf("queued-%d", i), Idempotent: i%2 == 0, Body: standin.MinionCall{SleepMS: 50}}
 		queued = append(queued, r)
-		ends = append(ends, start(t, r, h, entries[i%2]))
+		ends = append(ends, startRequest(t, r, h, entries[i%2]))
 	}
 	time.Sleep(4 * time.Second)
 	at.Agent.Thaw()
-	await(t, "the running request", done)
+	waitForEnd(t, "the running request", done)
 	for _, end := range ends {
-		await(t, "a queued request", end)
+		waitForEnd(t, "a queued request", end)
 	}
 	all := append(queued, running)
 	t.Log(harness.Summary(all))
@@ -117,12 +117,12 @@
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	r := &harness.Request{Tag: "silent", Body: standin.MinionCall{SleepMS: 1000, Size: 100}}
-	done := start(t, r, h, entries[0])
-	executing(h, minions, r.Tag)
+	done := startRequest(t, r, h, entries[0])
+	waitExecuting(h, minions, r.Tag)
 	if n := entries[0].Relay.Stall(); n == 0 {
 		t.Fatal("no connection to silence")
 	}
-	await(t, "the request", done)
+	waitForEnd(t, "the request", done)
 	t.Logf("%q after %v: %v", r.Outcome, r.Took, r.Err)
 	h.CheckOutcomes([]*harness.Request{r})
 	h.CheckAllDone([]*harness.Request{r})
@@ -139,13 +139,13 @@
 	for i, e := range entries {
 		next := h.StartEntry(fmt.Sprintf("next-%d", i), e.Zone)
 		h.WaitReady()
-		if err := e.Term(); err != nil {
+		if err := e.Terminate(); err != nil {
 			t.Error(err)
 		}
 		entries[i] = next
 	}
 	for _, m := range minions {
-		if err := m.Agent.Term(); err != nil {
+		if err := m.Agent.Terminate(); err != nil {
 			t.Error(err)
 		}
 		h.StartMinionAgent(m)
--- a/test/procs/store_test.go
+++ b/test/procs/store_test.go
@@ -15,27 +15,27 @@
 	"github.com/juju/errors"
 )
 
-// The lease of a group is 10 s, so that running work lasts through this outage
+// The lease of a group is 10 s, so that running work lasts through this outageDuration
 // only if it is kept alive without the store.
-const outage = 12 * time.Second
+const outageDuration = 12 * time.Second
 
 // submitter submits a small job at a steady pace until it is stopped.
 type submitter struct {
-	mu       sync.Mutex
-	accepted []string // job IDs
-	notRun   []string // keys
-	refused  int      // without a word on the job, since an earlier call may have been accepted
-	others   []error
+	mu         sync.Mutex
+	accepted   []string // job IDs
+	notRun     []string // keys
+	refused    int      // without a word on the job, since an earlier call may have been accepted
+	unexpected []error
 }
 
-func (s *submitter) run(ctx context.Context, h *harness.Harness) {
+func (s *submitter) submitJobs(ctx context.Context, h *harness.Harness) {
 	for n := 0; ctx.Err() == nil; n++ {
 		job := harness.Gang(1, 1, 100*time.Millisecond, n%2 == 0)
-		patient, cancel := context.WithTimeout(context.Background(), time.Minute)
+		submitCtx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		key := fmt.Sprintf("job-%d", n)
-		record, err := h.Submit(patient, key, job, h.Client())
+		record, err := h.Submit(submitCtx, key, job, h.Client())
 		cancel()
-		s.add(key, record, err)
+		s.recordResult(key, record, err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(250 * time.Millisecond):
@@ -43,7 +43,7 @@
 	}
 }
 
-func (s *submitter) add(key string, record api.JobRecord, err error) {
+func (s *submitter) recordResult(key string, record api.JobRecord, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var problem *client.ProblemError
@@ -51,7 +51,7 @@
 	case err == nil:
 		s.accepted = append(s.accepted, record.Job.ID)
 	case !errors.As(err, &problem) || problem.Problem.Status != 503 || problem.Problem.RetryAfter <= 0:
-		s.others = append(s.others, err)
+		s.unexpected = append(s.unexpected, err)
 	case problem.Outcome == api.OutcomeNotRun:
 		s.notRun = append(s.notRun, key)
 	default:
@@ -84,18 +84,18 @@
 	}
 	h.WaitReady()
 	owner := h.Owner()
-	long := submit(t, h, "long", harness.Gang(2, 4, outage+5*time.Second, false), owner)
+	long := submit(t, h, "long", harness.Gang(2, 4, outageDuration+5*time.Second, false), owner)
 	h.Eventually("the long gang runs", 10*time.Second, func() bool { return len(h.Tasks()) == 2 })
 	load := h.StartLoad(4, standin.MinionCall{SleepMS: 20})
 	ctx, cancel := context.WithCancel(t.Context())
 	var jobs submitter
 	var done sync.WaitGroup
-	done.Go(func() { jobs.run(ctx, h) })
+	done.Go(func() { jobs.submitJobs(ctx, h) })
 	time.Sleep(time.Second)
 
 	before := load.Count()
 	h.Table.Set(standin.FaultSettings{Down: true})
-	time.Sleep(outage)
+	time.Sleep(outageDuration)
 	during := load.Count() - before
 	h.Table.Set(standin.FaultSettings{DelayMS: 200, LoseShare: 0.1})
 	time.Sleep(2 * time.Second)
@@ -107,7 +107,7 @@
 
 	t.Logf("%s; %d ended during the outage", harness.Summary(requests), during)
 	t.Logf("jobs: %d accepted, %d refused as not run, %d refused", len(jobs.accepted), len(jobs.notRun), jobs.refused)
-	for _, err := range jobs.others {
+	for _, err := range jobs.unexpected {
 		t.Errorf("submission: %v", err)
 	}
 	jobs.checkNotRun(t, h)
@@ -141,7 +141,7 @@
 	}
 	var done sync.WaitGroup
 	for _, o := range operators {
-		done.Go(func() { o.change(t.Context(), changes) })
+		done.Go(func() { o.changeZone(t.Context(), changes) })
 	}
 	done.Wait()
 	var last *operator
@@ -153,9 +153,9 @@
 			}
 			replaced[version] = true
 		}
-		t.Logf("%s: %d changes, %d lost races", o.state, o.won, o.lost)
-		if o.err != nil || o.won != changes {
-			t.Errorf("%s: %d of %d changes: %v", o.state, o.won, changes, o.err)
+		t.Logf("%s: %d changes, %d lost races", o.state, o.successes, o.conflicts)
+		if o.err != nil || o.successes != changes {
+			t.Errorf("%s: %d of %d changes: %v", o.state, o.successes, changes, o.err)
 		}
 		if last == nil || o.version > last.version {
 			last = o
@@ -173,18 +173,18 @@
 
 // operator sets a zone to one state again and again.
 type operator struct {
-	client *client.Client
-	state  api.ZoneState
-	won    int
-	lost   int
+	client    *client.Client
+	state     api.ZoneState
+	successes int
+	conflicts int
 	// replaced holds the versions that its changes replaced.
 	replaced []uint64
 	version  uint64 // of its last change
 	err      error
 }
 
-func (o *operator) change(ctx context.Context, changes int) {
-	for o.won < changes && o.err == nil {
+func (o *operator) changeZone(ctx context.Context, changes int) {
+	for o.successes < changes && o.err == nil {
 		zone, err := zoneAt(ctx, o.client, "z1")
 		if err != nil {
 			o.err = err
@@ -194,11 +194,11 @@
 		var problem *client.ProblemError
 		switch {
 		case err == nil:
-			o.won++
+			o.successes++
 			o.replaced = append(o.replaced, zone.Version)
 			o.version = changed.Version
 		case errors.As(err, &problem) && problem.Problem.Status == 412:
-			o.lost++
+			o.conflicts++
 		default:
 			o.err = err
 		}
--- a/test/procs/zones_test.go
+++ b/test/procs/zones_test.go
@@ -27,8 +27,8 @@
 	return zone.Version
 }
 
-// executed returns how many calls a minion has started.
-func executed(m *harness.Minion) int {
+// executionCount returns how many calls a minion has started.
+func executionCount(m *harness.Minion) int {
 	sum := 0
 	for _, n := range m.Stats().Executions {
 		sum += n
@@ -39,9 +39,9 @@
 // checkNoStarts fails if the minion starts anything during the given time.
 func checkNoStarts(t *testing.T, m *harness.Minion, d time.Duration) {
 	t.Helper()
-	before := executed(m)
+	before := executionCount(m)
 	time.Sleep(d)
-	if n := executed(m) - before; n > 0 {
+	if n := executionCount(m) - before; n > 0 {
 		t.Errorf("%s started %d calls that it must not start", m.ID, n)
 	}
 }
@@ -52,7 +52,7 @@
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	load := h.StartLoad(8, standin.MinionCall{SleepMS: 5})
-	h.Eventually("work in z3", 10*time.Second, func() bool { return executed(minions[2]) > 0 })
+	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 0 })
 	entries[0].CutTable(true)
 	time.Sleep(time.Second)
 	putZone(t, entries[1], h, api.ZoneOut)
@@ -63,8 +63,8 @@
 		_, err := h.ClientOf(entries[0]).PutZone(context.Background(), "z3", api.ZoneIn, client.AnyVersion)
 		return err == nil
 	})
-	before := executed(minions[2])
-	h.Eventually("work in z3 again", 10*time.Second, func() bool { return executed(minions[2]) > before })
+	before := executionCount(minions[2])
+	h.Eventually("work in z3 again", 10*time.Second, func() bool { return executionCount(minions[2]) > before })
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
 	h.CheckOutcomes(requests)
@@ -81,7 +81,7 @@
 	for _, p := range h.Running() {
 		p.Kill()
 	}
-	before := []int{executed(minions[0]), executed(minions[1]), executed(minions[2])}
+	before := []int{executionCount(minions[0]), executionCount(minions[1]), executionCount(minions[2])}
 	entry := h.StartEntry("e3", "z1")
 	for _, m := range minions {
 		h.StartMinionAgent(m)
@@ -98,17 +98,17 @@
 		t.Errorf("outcome %q without a configuration, want not-run", r.Outcome)
 	}
 	for i, m := range minions {
-		if executed(m) != before[i] {
+		if executionCount(m) != before[i] {
 			t.Errorf("%s started calls without a configuration", m.ID)
 		}
 	}
 	h.Table.Set(standin.FaultSettings{})
 	h.WaitReady()
 	load := h.StartLoad(4, standin.MinionCall{SleepMS: 5})
-	h.Eventually("work goes on", 20*time.Second, func() bool { return executed(minions[0]) > before[0] })
+	h.Eventually("work goes on", 20*time.Second, func() bool { return executionCount(minions[0]) > before[0] })
 	checkNoStarts(t, minions[2], 2*time.Second)
 	h.CheckOutcomes(load.Stop())
-	if executed(minions[2]) != before[2] {
+	if executionCount(minions[2]) != before[2] {
 		t.Errorf("%s started calls although its zone is out", minions[2].ID)
 	}
 }
@@ -119,14 +119,14 @@
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	load := h.StartLoad(8, standin.MinionCall{SleepMS: 5})
-	h.Eventually("work in z3", 10*time.Second, func() bool { return executed(minions[2]) > 0 })
+	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 0 })
 	minions[2].Agent.Freeze()
 	putZone(t, entries[0], h, api.ZoneOut)
 	time.Sleep(inForceLimit)
-	before := executed(minions[2])
+	before := executionCount(minions[2])
 	minions[2].Agent.Thaw()
 	time.Sleep(2 * time.Second)
-	if n := executed(minions[2]) - before; n > 0 {
+	if n := executionCount(minions[2]) - before; n > 0 {
 		t.Errorf("%s started %d calls after its agent woke, although its zone is out", minions[2].ID, n)
 	}
 	requests := load.Stop()
@@ -141,9 +141,9 @@
 	h, _, minions := requestSystem(t)
 	// The calls last longer than the notice that a stopping agent gives.
 	load := h.StartLoad(12, standin.MinionCall{SleepMS: 1500})
-	h.Eventually("work in z3", 10*time.Second, func() bool { return executed(minions[2]) > 2 })
+	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 2 })
 	exit := make(chan error, 1)
-	go func() { exit <- minions[2].Agent.Term() }()
+	go func() { exit <- minions[2].Agent.Terminate() }()
 	time.Sleep(leaveLimit)
 	checkNoStarts(t, minions[2], 2*time.Second)
 	if err := <-exit; err != nil {
