--- a/test/process/ports.go
+++ b/test/process/ports.go
@@ -12,17 +12,17 @@
 	"github.com/juju/errors"
 )
 
-// The ports that tests may use lie below the system's range of ephemeral
-// ports, so that no outgoing connection and no listener on port 0 takes one of
-// them. Blocks of them are locked, so that two test processes share none.
+// Ports for tests are below the system's ephemeral range, so that no outgoing
+// connection and no listener on port 0 uses one of them. Each test process
+// locks whole blocks of ports, so that two processes never share one.
 const (
 	firstPort  = 10_000
 	lastPort   = 29_999
 	blockPorts = 50
 )
 
-// portPool hands out the ports of the blocks that this process has locked.
-// The locks are held until the process ends.
+// portPool allocates ports from the blocks that this process has locked. The
+// locks are held until the process ends.
 type portPool struct {
 	mu    sync.Mutex
 	locks []*os.File
@@ -33,8 +33,8 @@
 
 var ports portPool
 
-// FreeAddresses returns n addresses with the IP. Their ports belong to this
-// process until it ends.
+// FreeAddresses returns n free addresses with the given IP. Their ports are
+// reserved for this process until it ends.
 func FreeAddresses(ip string, n int) ([]string, error) {
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
@@ -52,8 +52,8 @@
 	return out, nil
 }
 
-// canListen reports whether the address can be listened on: a process that is
-// not one of ours may have the port.
+// canListen reports whether the address is free: a process that does not use
+// the port locks may have taken the port.
 func canListen(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return port, nil
 }
 
-// lockBlock locks the next block that no other process holds.
+// lockBlock locks the next block that no other process has locked.
 func (p *portPool) lockBlock() error {
 	dir := filepath.Join(os.TempDir(), "coltsfoot-test-ports")
 	if err := os.MkdirAll(dir, 0o777); err != nil {
--- a/test/process/ports_test.go
+++ b/test/process/ports_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestPortsAreNotShared shows that a second process gets other ports, also
-// while nothing listens on those of the first one, and that none of them can
-// be given out by the system for port 0.
+// TestPortsAreNotShared guards against two test processes that use the same
+// port: neither a second process, even while nothing listens on the port, nor
+// the system for a listener on port 0 may get a port that was handed out.
 func TestPortsAreNotShared(t *testing.T) {
-	var first, second portPool // two pools lock like two processes do
+	var first, second portPool // two pools lock blocks as two processes do
 	seen := map[int]bool{}
 	for range 2 * blockPorts {
 		for _, pool := range []*portPool{&first, &second} {
--- a/test/process/process.go
+++ b/test/process/process.go
@@ -25,7 +25,7 @@
 // Process is one started binary.
 type Process struct {
 	Name string
-	// HTTP is the address of its pages, such as /readyz.
+	// HTTP is the address that serves /readyz and the other HTTP pages.
 	HTTP string
 
 	cmd    *exec.Cmd
@@ -34,9 +34,9 @@
 	err    error // valid once exited is closed
 }
 
-// startThread runs functions on one operating system thread that never ends: a
-// child with a parent-death signal is killed when the thread that started it
-// ends.
+// startThread runs functions on one operating system thread that never ends.
+// The parent-death signal of a child is sent when the thread that started the
+// child ends, not when the process does.
 var startThread = sync.OnceValue(func() chan<- func() {
 	jobs := make(chan func())
 	go func() {
@@ -48,8 +48,8 @@
 	return jobs
 })
 
-// Start runs a binary; its output is appended to a log file in dir. The
-// child does not outlive the test process.
+// Start runs a binary and appends its output to a log file in dir. The child
+// is killed when the test process ends.
 func Start(dir, name, httpAddress, binary string, args ...string) (*Process, error) {
 	p := &Process{Name: name, HTTP: httpAddress, log: filepath.Join(dir, name+".log"), exited: make(chan struct{})}
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -78,7 +78,7 @@
 	select {
 	case <-p.exited:
 	default:
-		// It may exit at this moment.
+		// The process may exit between the check and the signal.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
@@ -93,20 +93,21 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// Freeze stops the process where it is, until Thaw.
+// Freeze suspends the process with SIGSTOP until Thaw.
 func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Terminate asks for a planned stop and waits for it. The error tells an exit
-// status other than 0; a process that does not end is killed.
+// Terminate sends SIGTERM and waits for the exit. It returns an error if the
+// exit status is not 0. A process that has not exited after stopTimeout is
+// killed, and the error is a timeout.
 func (p *Process) Terminate() error {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -118,7 +119,7 @@
 	}
 }
 
-// Tail returns the end of the process's log.
+// Tail returns the last tailLines lines of the process's log.
 func (p *Process) Tail() string {
 	data, err := os.ReadFile(p.log)
 	if err != nil {
@@ -130,7 +131,7 @@
 
 var httpClient = http.Client{Timeout: time.Second}
 
-// Ready reports whether the process says that it is ready.
+// Ready reports whether /readyz of the process answers with status 200.
 func (p *Process) Ready() bool {
 	resp, err := httpClient.Get("http://" + p.HTTP + "/readyz")
 	if err != nil {
@@ -140,7 +141,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// WaitReady waits until the process is ready or has exited.
+// WaitReady waits until the process is ready. It fails if the process exits or
+// is not ready within readyTimeout.
 func (p *Process) WaitReady() error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if p.Ready() {
@@ -153,7 +155,7 @@
 	return errors.Timeoutf("%s: ready (log: %s)", p.Name, p.Tail())
 }
 
-// ExitsWithin reports whether the process ends within a time.
+// ExitsWithin waits at most d and reports whether the process has exited.
 func (p *Process) ExitsWithin(d time.Duration) bool {
 	select {
 	case <-p.exited:
@@ -163,7 +165,7 @@
 	}
 }
 
-// ExitError is how an exited process has ended; nil stands for status 0.
+// ExitError waits for the exit and returns its error, or nil for status 0.
 func (p *Process) ExitError() error {
 	<-p.exited
 	return p.err
--- a/test/process/usage.go
+++ b/test/process/usage.go
@@ -10,24 +10,24 @@
 	"github.com/juju/errors"
 )
 
-// clockTick is the unit of processor time in /proc/PID/stat.
+// clockTick is the unit of CPU time in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU      time.Duration // user and system
+	CPU      time.Duration // user and system time
 	RSSBytes int64
 }
 
-// Usage reads the process's usage so far.
+// Usage returns the CPU time so far and the current resident memory.
 func (p *Process) Usage() (Usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
 		return Usage{}, errors.Trace(err)
 	}
-	// The fields after the command's name, which is in parentheses: utime is
-	// the 12th of them, stime the 13th, rss in pages the 22nd.
+	// Of the fields after the command name in parentheses, utime is the 12th,
+	// stime the 13th and rss (in pages) the 22nd.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	var values [3]int64
 	for i, n := range []int{11, 12, 21} {
--- a/test/procs/harness/harness.go
+++ b/test/procs/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness starts entries and agents as real processes on loopback,
-// with the platform's stand-ins in the test's own process, so that a test can
-// set faults and read what was executed. It is for tests only.
+// Package harness runs entries and agents as real processes on loopback. The
+// stand-ins of the platform run in the test process, so that a test can inject
+// faults and read what was executed. It is for tests only.
 package harness
 
 import (
@@ -20,13 +20,13 @@
 )
 
 const (
-	// startAttempts is how often a process is started on other ports after it
-	// found its ports taken.
+	// startAttempts is the number of attempts to start a process, each on other
+	// ports, if it exits because a port is in use.
 	startAttempts = 3
 	callTimeout   = 5 * time.Second
 )
 
-// Harness is one running system.
+// Harness is a running system of entries, agents and stand-ins.
 type Harness struct {
 	t   testing.TB
 	dir string
@@ -35,7 +35,7 @@
 
 	Table   *standin.Table
 	Objects *standin.Objects
-	// CallerBalancer and AgentBalancer stand in front of the entries.
+	// CallerBalancer and AgentBalancer forward callers and agents to the entries.
 	CallerBalancer *standin.Relay
 	AgentBalancer  *standin.Relay
 
@@ -52,8 +52,8 @@
 	stopped   chan struct{}
 }
 
-// New starts the platform's stand-ins and the balancers. All that the harness
-// starts ends with the test.
+// New starts the stand-ins and the balancers. Everything that the harness
+// starts is stopped at the end of the test.
 func New(t testing.TB) *Harness {
 	t.Helper()
 	bin, err := buildBinaries()
@@ -78,8 +78,8 @@
 	return h
 }
 
-// UseBinaries makes the processes that start from now on run the binaries of
-// another folder; an empty name keeps those in use.
+// UseBinaries sets the folder of the binaries for processes started later. An
+// empty name changes nothing.
 func (h *Harness) UseBinaries(dir string) {
 	if dir != "" {
 		h.bin = dir
@@ -88,10 +88,10 @@
 
 var harnesses atomic.Int32
 
-// loopback returns an address of the loopback network that no other harness of
-// this process uses, nor most likely one of another process: a port that a
-// killed process has left free must not become part of another system, to which
-// those that are left would then connect.
+// loopback returns a loopback address that no other harness of this process
+// uses, and most likely none of another process. Otherwise another system could
+// reuse the port of a killed process, and the remaining processes would connect
+// to that system.
 func loopback() string {
 	const networks, hosts = 200, 250
 	pid := os.Getpid()
@@ -99,8 +99,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 20+pid%networks, pid/networks%hosts, 1+n%hosts)
 }
 
-// buildBinaries builds the binaries once for each test process; the build is
-// a no-op when they are up to date.
+// buildBinaries builds the binaries once per test process. The build is a no-op
+// if they are up to date.
 var buildBinaries = sync.OnceValues(func() (string, error) {
 	root, err := moduleRoot()
 	if err != nil {
@@ -154,16 +154,16 @@
 	return server.URL()
 }
 
-// onStop registers what ends after all processes.
+// onStop registers a function to call after all processes have been killed.
 func (h *Harness) onStop(fn func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closers = append(h.closers, fn)
 }
 
-// start runs a binary with settings made for n free addresses, of which the
-// first is that of its pages. Another process may take an address between its
-// choice and its use; then others are tried.
+// start runs a binary with settings for n free addresses, the first of which
+// serves its HTTP pages. Another process may take an address before the binary
+// listens on it; start then retries with other addresses.
 func (h *Harness) start(name, binary string, n int, settings func(addresses []string) string) (*Process, error) {
 	for attempt := 1; ; attempt++ {
 		addresses, err := process.FreeAddresses(h.ip, n)
@@ -187,14 +187,14 @@
 	}
 }
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// startGrace is how long a process has to find its ports taken.
+// startGrace is the time within which a process exits if a port is in use.
 const startGrace = 100 * time.Millisecond
 
-// updateBalancers keeps the balancers' targets to the entries that are ready, for
-// callers, and to those that run, for agents.
+// updateBalancers periodically sets the targets of CallerBalancer to the ready
+// entries and those of AgentBalancer to the running entries.
 func (h *Harness) updateBalancers() {
 	for {
 		var ready, running []string
@@ -214,18 +214,18 @@
 	}
 }
 
-// balanceInterval is the time between two readiness checks of the balancer.
+// balanceInterval is the time between two updates of the balancers.
 const balanceInterval = 100 * time.Millisecond
 
-// Client returns a caller that comes through the balancer.
+// Client returns a client that connects through CallerBalancer.
 func (h *Harness) Client() *client.Client {
 	return client.New(h.CallerBalancer.Address(), callTimeout)
 }
 
-// ClientOf returns a caller of one entry.
+// ClientOf returns a client of one entry.
 func (h *Harness) ClientOf(e *Entry) *client.Client { return client.New(e.HTTP, callTimeout) }
 
-// WaitReady waits until all processes that run are ready.
+// WaitReady waits until all running processes are ready.
 func (h *Harness) WaitReady() {
 	h.t.Helper()
 	for _, p := range h.running() {
@@ -248,8 +248,8 @@
 	return list
 }
 
-// Eventually polls a condition and fails the test when it does not hold
-// within the limit.
+// Eventually polls a condition and returns the time until it holds. It fails
+// the test if that takes longer than the limit.
 func (h *Harness) Eventually(what string, limit time.Duration, condition func() bool) time.Duration {
 	h.t.Helper()
 	began := time.Now()
@@ -263,7 +263,8 @@
 	return 0
 }
 
-// stop ends what still runs and shows the logs of a failed test.
+// stop kills all processes, stops the stand-ins and, if the test has failed,
+// prints the end of each log.
 func (h *Harness) stop() {
 	close(h.stopped)
 	h.mu.Lock()
--- a/test/procs/harness/jobs.go
+++ b/test/procs/harness/jobs.go
@@ -15,12 +15,12 @@
 	"github.com/juju/errors"
 )
 
-// partialStartLimit is how long tasks of an attempt may run of which others have
-// not started: the lease of a group and the time to see that it has lapsed.
+// partialStartLimit bounds the run time of an attempt of which some tasks have
+// not started: the lease of a group and the time to detect that it has expired.
 const partialStartLimit = 13 * time.Second
 
-// Gang returns a job of tasks with a run time; each takes a number of
-// accelerators and all run in one rack.
+// Gang returns a job whose tasks run for the given time, all in one rack and
+// each on the given number of accelerators.
 func Gang(tasks, accelerators int, run time.Duration, idempotent bool) api.JobRequest {
 	// A TaskPayload always marshals.
 	payload, _ := json.Marshal(standin.TaskPayload{RunMS: run.Milliseconds()})
@@ -37,8 +37,8 @@
 	}
 }
 
-// Submit submits a job and repeats calls without an answer, to the clients in
-// turn. An entry's refusal is returned as it is.
+// Submit submits a job. It repeats calls that got no answer, through the
+// clients in turn, and returns a refusal unchanged.
 func (h *Harness) Submit(ctx context.Context, key string, job api.JobRequest, clients ...*client.Client) (api.JobRecord, error) {
 	for calls := 0; ; calls++ {
 		record, err := clients[calls%len(clients)].SubmitJob(ctx, job, key)
@@ -49,7 +49,7 @@
 	}
 }
 
-// AwaitJob waits for the end of a job.
+// AwaitJob waits until a job has ended and returns its record.
 func (h *Harness) AwaitJob(id string, limit time.Duration) api.JobRecord {
 	h.t.Helper()
 	var record api.JobRecord
@@ -61,8 +61,9 @@
 	return record
 }
 
-// CheckJobOutcome fails the test unless the job has one answer that is true of what
-// its workers have run, and each attempt ran whole and alone.
+// CheckJobOutcome fails the test unless all entries return the same outcome, the
+// outcome agrees with what the workers have run, and attempts neither overlap
+// nor run without some of their tasks.
 func (h *Harness) CheckJobOutcome(record api.JobRecord) {
 	h.t.Helper()
 	for _, e := range h.liveEntries() {
@@ -92,10 +93,10 @@
 	}
 }
 
-// attempt is what the workers have run of one attempt of a job.
+// attempt collects what the workers have run for one attempt of a job.
 type attempt struct {
 	ref    groups.Ref
-	tasks  map[int]external.TaskState // by index
+	tasks  map[int]external.TaskState // by task index
 	first  time.Time
 	last   time.Time
 	active bool
@@ -114,7 +115,7 @@
 	return true
 }
 
-// checkAttempt judges one attempt of a job that has ended.
+// checkAttempt checks one attempt of a job that has ended.
 func (h *Harness) checkAttempt(record api.JobRecord, a *attempt) {
 	h.t.Helper()
 	if a.active {
@@ -130,7 +131,7 @@
 	}
 }
 
-// attempts returns what the workers have run of a job, in order of attempts.
+// attempts returns the attempts of a job that the workers have run, in order.
 func (h *Harness) attempts(jobID string) []*attempt {
 	h.t.Helper()
 	byNumber := map[uint32]*attempt{}
@@ -167,7 +168,7 @@
 	}
 }
 
-// Owner waits for the entry that owns the cell.
+// Owner waits until an entry owns the cell and returns it.
 func (h *Harness) Owner() *Entry {
 	h.t.Helper()
 	return h.NewOwner(nil)
@@ -186,7 +187,7 @@
 	return json.Unmarshal(dump, &state) == nil && state.Owner.Authority.Owner
 }
 
-// OtherEntry returns an entry that runs and is not the given one.
+// OtherEntry returns a running entry other than the given one.
 func (h *Harness) OtherEntry(than *Entry) *Entry {
 	h.t.Helper()
 	for _, e := range h.liveEntries() {
@@ -198,7 +199,8 @@
 	return nil
 }
 
-// NewOwner waits for an owner other than the given entry, which may be frozen.
+// NewOwner waits until an entry other than former owns the cell and returns it.
+// The former owner may be frozen.
 func (h *Harness) NewOwner(former *Entry) *Entry {
 	h.t.Helper()
 	var owner *Entry
@@ -213,7 +215,8 @@
 	return owner
 }
 
-// CountAgentGroups returns how many groups are in a phase, over all workers' agents.
+// CountAgentGroups returns the number of groups in a phase, over the agents of
+// all workers.
 func (h *Harness) CountAgentGroups(phase string) int {
 	h.mu.Lock()
 	workers := append([]*Worker(nil), h.workers...)
@@ -239,7 +242,7 @@
 	return n
 }
 
-// WorkerOf returns the worker that has run a task.
+// WorkerOf returns the worker of an execution.
 func (h *Harness) WorkerOf(task standin.Execution) *Worker {
 	h.t.Helper()
 	h.mu.Lock()
--- a/test/procs/harness/load.go
+++ b/test/procs/harness/load.go
@@ -16,7 +16,7 @@
 	"github.com/juju/errors"
 )
 
-// Profile is the profile that SetProfile creates and requests use.
+// Profile is the name of the profile that requests and jobs use.
 const Profile = "survey"
 
 const (
@@ -24,7 +24,7 @@
 	retryPause     = 50 * time.Millisecond
 )
 
-// SetProfile creates a profile and waits until it is in force everywhere.
+// SetProfile creates a profile and waits until it is in force in all processes.
 func (h *Harness) SetProfile(p api.Profile) {
 	h.t.Helper()
 	h.Eventually("profile "+p.Name+" accepted", callTimeout, func() bool {
@@ -35,9 +35,10 @@
 	h.WaitInForce(p.Version, callTimeout)
 }
 
-// WaitInForce waits until all processes that run have the configuration of the
-// version or a newer one, and returns how long that took. The entry that is
-// asked may not know the version or all the others yet, so both are checked.
+// WaitInForce waits until all running processes have the configuration of the
+// given version or a newer one, and returns the time that took. It checks the
+// version and the number of processes, because the entry that answers may not
+// know the version or all other processes yet.
 func (h *Harness) WaitInForce(version uint64, limit time.Duration) time.Duration {
 	h.t.Helper()
 	running := len(h.running())
@@ -47,7 +48,7 @@
 	})
 }
 
-// Request is one request of a caller and how it ended.
+// Request is a request of a caller with its result.
 type Request struct {
 	Tag        string
 	Idempotent bool
@@ -60,8 +61,8 @@
 	Took    time.Duration
 }
 
-// Do sends the request with its tag as Idempotency-Key, the first time to the
-// first client. A call without an answer is repeated, to the clients in turn.
+// Do sends the request with its tag as Idempotency-Key. It repeats calls that
+// got no answer, through the clients in turn, starting with the first.
 func (r *Request) Do(ctx context.Context, clients ...*client.Client) {
 	began := time.Now()
 	defer func() { r.Took = time.Since(began) }()
@@ -87,7 +88,8 @@
 	}
 }
 
-// recordAnswer takes in the entry's answer, which must be complete and this request's.
+// recordAnswer records the answer of an entry and sets Err if it is incomplete
+// or belongs to another request.
 func (r *Request) recordAnswer(answer client.Answer, body []byte) {
 	var problem *client.ProblemError
 	if errors.As(r.Err, &problem) {
@@ -107,8 +109,8 @@
 	}
 }
 
-// Load sends requests through the balancer from a number of callers until it
-// is stopped.
+// Load sends requests through the balancer from several concurrent callers
+// until Stop.
 type Load struct {
 	h      *Harness
 	name   string
@@ -135,7 +137,7 @@
 	for ctx.Err() == nil {
 		n := l.count.Add(1)
 		r := &Request{Tag: fmt.Sprintf("%s-%d", l.name, n), Idempotent: n%2 == 0, Body: body}
-		// A request that has begun is brought to its end after the load's.
+		// A request in progress may still finish after the load has been stopped.
 		requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*requestTimeout)
 		r.Do(requestCtx, l.h.Client())
 		cancel()
@@ -145,14 +147,14 @@
 	}
 }
 
-// Count returns the number of requests that have ended.
+// Count returns the number of finished requests.
 func (l *Load) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.requests)
 }
 
-// Stop ends the load and returns all requests.
+// Stop stops the load, waits for requests in progress and returns all requests.
 func (l *Load) Stop() []*Request {
 	l.cancel()
 	l.done.Wait()
@@ -178,8 +180,8 @@
 	return fmt.Sprintf("%d requests: %s; %d called again", len(requests), strings.Join(parts, ", "), retried)
 }
 
-// CheckOutcomes fails the test for each request whose answer is not true of what
-// was executed, or that has no answer.
+// CheckOutcomes fails the test for each request that has no answer or whose
+// outcome contradicts what the minions have executed.
 func (h *Harness) CheckOutcomes(requests []*Request) {
 	h.t.Helper()
 	executions := h.Executions()
@@ -200,7 +202,7 @@
 	}
 }
 
-// CheckAllDone fails the test for each request that was not done.
+// CheckAllDone fails the test for each request without the outcome done.
 func (h *Harness) CheckAllDone(requests []*Request) {
 	h.t.Helper()
 	for _, r := range requests {
--- a/test/procs/harness/tasks.go
+++ b/test/procs/harness/tasks.go
@@ -5,14 +5,14 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/external"
 )
 
-// Workers returns the started workers.
+// Workers returns all workers in order of their starts.
 func (h *Harness) Workers() []*Worker {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]*Worker(nil), h.workers...)
 }
 
-// Worker returns the worker with the id, which must exist.
+// Worker returns the worker with the given ID and fails the test if there is none.
 func (h *Harness) Worker(id string) *Worker {
 	h.t.Helper()
 	for _, w := range h.Workers() {
@@ -24,12 +24,12 @@
 	return nil
 }
 
-// RunningTasks returns how many tasks of a job run.
+// RunningTasks returns the number of running tasks of a job.
 func (h *Harness) RunningTasks(jobID string) int {
 	return h.countRunning(func(name groups.TaskName) bool { return name.Ref.JobID == jobID })
 }
 
-// AllRunningTasks returns how many tasks run.
+// AllRunningTasks returns the number of running tasks of all jobs.
 func (h *Harness) AllRunningTasks() int {
 	return h.countRunning(func(groups.TaskName) bool { return true })
 }
--- a/test/procs/harness/topology.go
+++ b/test/procs/harness/topology.go
@@ -8,11 +8,11 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/standin"
 )
 
-// Service is the service that all minions of a harness run.
+// Service is the service of all minions in a harness.
 const Service = "assessment"
 
-// Entry is an entry process. Agents and other entries reach it through Relay,
-// and it reaches the table through TableRelay.
+// Entry is an entry process. Agents and other entries connect to it through
+// Relay. It connects to the table through TableRelay.
 type Entry struct {
 	*Process
 	Zone       string
@@ -20,7 +20,7 @@
 	TableRelay *standin.Relay
 }
 
-// CutTable cuts the entry, and no other, from the table, or lets it through again.
+// CutTable disconnects only this entry from the table, or reconnects it.
 func (e *Entry) CutTable(cut bool) {
 	e.TableRelay.RefuseConnections(cut)
 	if cut {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Minion is a stand-in minion with its agent.
+// Minion is a stand-in minion with its agent process.
 type Minion struct {
 	*standin.Minion
 	ID    string
@@ -38,7 +38,7 @@
 	url   string
 }
 
-// Worker is a stand-in worker with its agent.
+// Worker is a stand-in worker with its agent process.
 type Worker struct {
 	*standin.Worker
 	ID       string
@@ -97,7 +97,7 @@
 	return m
 }
 
-// StartMinionAgent starts another process of the minion's agent.
+// StartMinionAgent starts a new agent process for the minion.
 func (h *Harness) StartMinionAgent(m *Minion) {
 	h.t.Helper()
 	m.Agent = h.startAgent(m.ID, m.Zone, "minion", m.url,
@@ -117,7 +117,7 @@
 	return w
 }
 
-// StartWorkerAgent starts another process of the worker's agent.
+// StartWorkerAgent starts a new agent process for the worker.
 func (h *Harness) StartWorkerAgent(w *Worker) {
 	h.t.Helper()
 	w.Agent = h.startAgent(w.ID, w.Zone, "worker", w.url, fmt.Sprintf(
@@ -159,7 +159,7 @@
 	return live
 }
 
-// Executions returns how often each tag was executed, over all minions.
+// Executions returns the number of executions of each tag over all minions.
 func (h *Harness) Executions() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,7 +172,7 @@
 	return sum
 }
 
-// Tasks returns a record of each task that any worker has started.
+// Tasks returns the records of the tasks of all workers.
 func (h *Harness) Tasks() []standin.Execution {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -183,5 +183,5 @@
 	return list
 }
 
-// URL is where the minion itself is called, past its agent.
+// URL returns the minion's own URL, which bypasses its agent.
 func (m *Minion) URL() string { return m.url }
