--- a/test/procs/builds_test.go
+++ b/test/procs/builds_test.go
@@ -12,16 +12,17 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// Environment variables that name folders with the binaries of two builds.
-// Where one is not set, this build is used.
+// Environment variables with the folders of the binaries of two builds. The
+// default is the current build.
 const (
 	buildBefore = "COLTSFOOT_BUILD_BEFORE"
 	buildAfter  = "COLTSFOOT_BUILD_AFTER"
 )
 
-// Every process is replaced, one after another, by one of another build while
-// gangs run, one waits and requests are executed. Both builds share rows,
-// messages, settings and leases: nothing is lost, run twice or started again.
+// Guards against incompatible builds: every process is replaced, one after the
+// other, by one of another build while gangs run, one gang waits and requests
+// are executed. Both builds share rows, messages, settings and leases. No work
+// may be lost, run twice or restarted.
 func TestBuildReplacedUnderWork(t *testing.T) {
 	t.Parallel()
 	h := harness.New(t)
--- a/test/procs/gangs_test.go
+++ b/test/procs/gangs_test.go
@@ -12,10 +12,11 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// urgentStartLimit is the bound within which urgent and reclaimed capacity starts.
+// urgentStartLimit bounds the time until a gang runs on urgent or reclaimed capacity.
 const urgentStartLimit = 3600 * time.Millisecond
 
-// waitRunning waits until the job's tasks run and returns its record.
+// waitRunning waits until the job runs with the given number of tasks and
+// returns its record.
 func waitRunning(t *testing.T, h *harness.Harness, id string, tasks int) api.JobRecord {
 	t.Helper()
 	var record api.JobRecord
@@ -27,8 +28,9 @@
 	return record
 }
 
-// The agents of all workers are stopped or killed, one after the other, and
-// started again while a gang runs: the tasks go on in the same attempt.
+// Guards against an agent restart that ends its running tasks: the agents of
+// all workers are stopped or killed, one after the other, and restarted while a
+// gang runs. The tasks must continue in the same attempt.
 func TestWorkerAgentsRestartedUnderAGang(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -50,9 +52,9 @@
 	}
 }
 
-// The agent of a gang's member is frozen past the gang's lease: the gang runs
-// again elsewhere, never both at a time, and the agent starts nothing when it
-// wakes.
+// Guards against overlapping attempts: the agent of one worker of a gang is
+// frozen until after the gang's lease has expired. The gang must run again
+// without overlap, and the agent must start nothing when it resumes.
 func TestWorkerAgentFrozenPastTheGangsLease(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -72,8 +74,9 @@
 	}
 }
 
-// Preemptible work fills all accelerators; the account with the guarantee
-// claims its shape, again and again.
+// Guards against slow reclaims of guaranteed capacity: preemptible jobs use all
+// accelerators, and the account with the guarantee repeatedly submits a gang of
+// its guaranteed shape.
 func TestGuaranteedShapeIsReclaimedInTime(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -104,8 +107,9 @@
 	}
 }
 
-// A zone is taken out while gangs run in it and wait for it: no task starts
-// there after the bound, and its gangs go on elsewhere.
+// Guards against tasks that start in a zone that is out: the zone is taken out
+// while gangs run and wait. After inForceLimit no task may start there, and its
+// gangs must continue in the other zone.
 func TestZoneOutMovesGangs(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -134,8 +138,9 @@
 	}
 }
 
-// One account cancels a wave of jobs, most of them queued, one running; the job
-// of another account behind them runs soon.
+// Guards against cancelled jobs that delay others: one account cancels many
+// jobs, most of them queued. The job of another account behind them in the
+// queue must end within 10 s.
 func TestCancellationWave(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -167,8 +172,8 @@
 	}
 }
 
-// A worker fails every task it starts: the gangs of several jobs end done on
-// the others, and no job is blamed for the worker.
+// Guards against jobs that fail because of a faulty worker: one worker fails
+// every task that it starts. All jobs must end done on the other workers.
 func TestWorkerThatFailsEveryTask(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
--- a/test/procs/keys_test.go
+++ b/test/procs/keys_test.go
@@ -11,9 +11,10 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// A caller loses its entry while its request is executed, and the table goes
-// down before it comes back with the same key: the other entry cannot know of
-// the execution and must not say that the request has not run.
+// Guards against a false not-run: the table goes down after a request has been
+// executed through one entry, and the caller, which has lost that entry, repeats
+// the key at the other one. The other entry can't know of the execution, so it
+// must not answer not-run.
 func TestSameKeyWhileTheTableIsDown(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -37,8 +38,9 @@
 	h.CheckOutcomes([]*harness.Request{first})
 }
 
-// An entry whose queue is full refuses a key that another entry has executed:
-// the refusal must not say that the request has not run.
+// Guards against a false not-run: an entry with a full queue refuses a key whose
+// request has been executed through another entry. The refusal must not be
+// not-run.
 func TestSameKeyAtAFullEntry(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -68,7 +70,7 @@
 	done.Wait()
 }
 
-// flood repeats requests at an entry until it is told to stop.
+// flood sends requests to an entry until stop is closed.
 func flood(t *testing.T, h *harness.Harness, e *harness.Entry, caller int, stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
--- a/test/procs/owner_test.go
+++ b/test/procs/owner_test.go
@@ -15,12 +15,12 @@
 
 const (
 	accelerators = 8
-	// jobLimit bounds a job that meets a takeover: the old owner's leases are
-	// waited out before a second attempt.
+	// jobLimit bounds the time to the end of a job. After a change of the owner,
+	// a second attempt starts only when the old owner's leases have expired.
 	jobLimit = 45 * time.Second
 )
 
-// gangSystem starts two entries and, in each of two zones, a rack of two workers.
+// gangSystem starts two entries and two zones, each with one rack of two workers.
 func gangSystem(t *testing.T) *harness.Harness {
 	t.Helper()
 	h := harness.New(t)
@@ -37,7 +37,7 @@
 	return h
 }
 
-// submit submits a job that has to be accepted.
+// submit submits a job, repeatedly until it is accepted, and returns its ID.
 func submit(t *testing.T, h *harness.Harness, key string, job api.JobRequest, entry *harness.Entry) string {
 	t.Helper()
 	var record api.JobRecord
@@ -49,7 +49,7 @@
 	return record.Job.ID
 }
 
-// rowContains reports whether the job's row holds the text.
+// rowContains reports whether a row of the job contains the text.
 func rowContains(h *harness.Harness, jobID, text string) bool {
 	rows, err := h.Table.Scan(context.Background(), "", "", 0)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// startStep is a step of a gang's start. The table's answers may be delayed, so
-// that what it has stored lies apart from what the owner knows.
+// startStep is a step in the start of a gang. A delay of the table's answers
+// leaves time between a write to the table and the moment the owner learns of it.
 type startStep struct {
 	name        string
 	tableFaults standin.FaultSettings
@@ -82,8 +82,8 @@
 	{"running", standin.FaultSettings{}, func(h *harness.Harness, _ string) bool { return len(h.Tasks()) == 2 }},
 }
 
-// The owner is killed at each step of a gang's start. The messages to the
-// agents are delayed, so that the steps lie apart.
+// Guards against lost or duplicate work when the owner is killed at any step of
+// a gang's start. Messages to the agents are delayed to separate the steps.
 func TestOwnerKilledDuringGangStart(t *testing.T) {
 	t.Parallel()
 	for _, step := range startSteps {
@@ -109,9 +109,10 @@
 	}
 }
 
-// The owner is killed between the attempt's row and the start. All agents live
-// and know that they have started nothing, so the answer is not unknown, also
-// when their holds have lapsed before there is another owner.
+// Guards against a needless unknown outcome: the owner is killed after it has
+// stored the attempt's row and before the start. All agents run and can report
+// that they started nothing, so the outcome must not be unknown, even if their
+// holds expire before there is another owner.
 func TestAttemptThatNeverStartedIsNotUnknown(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"hold-lives": 0, "hold-lapses": 3500 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -144,7 +145,7 @@
 	return startStep{}
 }
 
-// killOwnerAt submits a job, kills the owner once the step is reached and
+// killOwnerAt submits a job, kills the owner when the step is reached and
 // returns the job's ID.
 func killOwnerAt(t *testing.T, h *harness.Harness, step startStep, idempotent bool) string {
 	t.Helper()
@@ -158,8 +159,9 @@
 	return id
 }
 
-// The owner is frozen past its lease while it starts one gang and another
-// runs, and woken after the next owner has gone on with both.
+// Guards against a former owner that still acts: the owner is frozen until after
+// its lease has expired, while one gang runs and it starts another. It resumes
+// when the next owner has started work.
 func TestOwnerFrozenPastItsLease(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -187,8 +189,9 @@
 	}
 }
 
-// Every entry is killed at once and replaced on new addresses, while a gang
-// runs, another waits and a zone is out.
+// Guards against state that only entries hold: all entries are killed at once
+// and replaced on new addresses, while one gang runs, another waits and a zone
+// is out.
 func TestEveryEntryReplacedAtOnce(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -228,8 +231,9 @@
 	}
 }
 
-// The store goes down, and then the owner dies. Whether the running gang lasts
-// depends on what the entries that are left can know; its answer must be true.
+// Guards against a false outcome when the store goes down and then the owner is
+// killed. Whether the running gang survives depends on what the remaining entry
+// knows, but its outcome must be correct.
 func TestOwnerKilledWhileStoreDown(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -252,8 +256,9 @@
 	}
 }
 
-// A worker's agent is killed while its gang runs, and replaced: the next
-// process adopts the tasks before their leases lapse.
+// Guards against tasks that are lost with their agent: a worker's agent is
+// killed while its gang runs. The next agent process must adopt the tasks before
+// their leases expire.
 func TestWorkerAgentKilledAndReplaced(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
--- a/test/procs/requests_test.go
+++ b/test/procs/requests_test.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// requestSystem starts two entries and a minion in each of three zones.
+// requestSystem starts two entries and one minion in each of three zones.
 func requestSystem(t *testing.T) (*harness.Harness, []*harness.Entry, []*harness.Minion) {
 	t.Helper()
 	h := harness.New(t)
@@ -25,22 +25,23 @@
 	return h, entries, minions
 }
 
-// waitExecuting waits until the tag runs on a minion and returns that minion.
+// waitExecuting waits until a minion has started the request with the tag and
+// returns that minion.
 func waitExecuting(h *harness.Harness, minions []*harness.Minion, tag string) *harness.Minion {
-	var at *harness.Minion
+	var found *harness.Minion
 	h.Eventually(tag+" is executed", 5*time.Second, func() bool {
 		for _, m := range minions {
 			if m.Stats().Tags[tag] > 0 {
-				at = m
+				found = m
 			}
 		}
-		return at != nil
+		return found != nil
 	})
-	return at
+	return found
 }
 
-// startRequest runs a request in the background and returns a channel that is closed
-// at its end.
+// startRequest sends a request in the background and returns a channel that is
+// closed when the request has ended.
 func startRequest(t *testing.T, r *harness.Request, h *harness.Harness, entries ...*harness.Entry) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -63,8 +64,8 @@
 	}
 }
 
-// An entry is killed while its request is executed; the caller comes back with
-// the same key through the other entry.
+// Guards against a lost answer: an entry is killed while its request is executed,
+// and the caller repeats the key through the other entry.
 func TestEntryKilledInMidRequest(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -78,16 +79,17 @@
 	h.CheckAllDone([]*harness.Request{r})
 }
 
-// An agent is frozen longer than any permission lasts while it executes a
-// request, and woken.
+// Guards against starts after a permission has expired: an agent is frozen while
+// it executes a request, for longer than any permission to start lasts, and
+// resumed.
 func TestAgentFrozenPastItsPermission(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	running := &harness.Request{Tag: "running", Body: standin.MinionCall{SleepMS: 500}}
 	done := startRequest(t, running, h, entries[0])
-	at := waitExecuting(h, minions, running.Tag)
-	at.Agent.Freeze()
-	// These reach the frozen agent at first, or pass it by.
+	minion := waitExecuting(h, minions, running.Tag)
+	minion.Agent.Freeze()
+	// Some of these go to the frozen agent first, the others to other agents.
 	var queued []*harness.Request
 	var ends []<-chan struct{}
 	for i := range 12 {
@@ -96,7 +98,7 @@
 		ends = append(ends, startRequest(t, r, h, entries[i%2]))
 	}
 	time.Sleep(4 * time.Second)
-	at.Agent.Thaw()
+	minion.Agent.Thaw()
 	waitForEnd(t, "the running request", done)
 	for _, end := range ends {
 		waitForEnd(t, "a queued request", end)
@@ -111,8 +113,9 @@
 	}
 }
 
-// The connections between the agents and the entries go silent while requests
-// are executed; new connections work.
+// Guards against requests that hang on a stalled connection: the connections
+// between the agents and an entry stop forwarding without being closed while a
+// request is executed. New connections work.
 func TestSilentConnection(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -128,8 +131,9 @@
 	h.CheckAllDone([]*harness.Request{r})
 }
 
-// All entries and agents are restarted one after the other under a load of
-// short requests and of such that take longer than any notice of a stop.
+// Guards against requests that fail during a rolling restart: all entries and
+// agents are restarted one after the other, under a load of short requests and
+// of requests that take longer than the notice of any planned stop.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -159,8 +163,9 @@
 	h.CheckAllDone(requests)
 }
 
-// One minion loses a third of its answers after it has run the calls, and the
-// connections between agents and entries are cut again and again.
+// Guards against false outcomes when answers are lost: one minion drops a third
+// of its answers after it has executed the calls, and the connections between
+// agents and entries are cut repeatedly.
 func TestLostAnswersAndCutLinks(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -180,7 +185,8 @@
 	}
 }
 
-// Signals reach only what the harness started, and all of it ends.
+// Guards against processes that outlive their test: the harness must also end a
+// frozen process.
 func TestHarnessReapsItsProcesses(t *testing.T) {
 	var h *harness.Harness
 	var entry *harness.Entry
--- a/test/procs/store_test.go
+++ b/test/procs/store_test.go
@@ -15,16 +15,16 @@
 	"github.com/juju/errors"
 )
 
-// The lease of a group is 10 s, so that running work lasts through this outageDuration
-// only if it is kept alive without the store.
+// outageDuration is longer than the lease of a group (10 s), so that running work
+// survives the outage only if leases are renewed without the store.
 const outageDuration = 12 * time.Second
 
-// submitter submits a small job at a steady pace until it is stopped.
+// submitter submits small jobs at a steady rate until its context ends.
 type submitter struct {
 	mu         sync.Mutex
 	accepted   []string // job IDs
 	notRun     []string // keys
-	refused    int      // without a word on the job, since an earlier call may have been accepted
+	refused    int      // no outcome given, since an earlier call may have been accepted
 	unexpected []error
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// checkNotRun fails the test for each key that was refused as not run and has
-// a job all the same.
+// checkNotRun fails the test for each key that was refused as not run although
+// it has a job.
 func (s *submitter) checkNotRun(t *testing.T, h *harness.Harness) {
 	t.Helper()
 	page, err := h.Client().Jobs(t.Context(), client.JobsQuery{Limit: 1000})
@@ -74,8 +74,9 @@
 	}
 }
 
-// The store is down for longer than any lease, then slow, then back, under a
-// load of requests and jobs.
+// Guards against false outcomes and lost work in a store outage: under a load of
+// requests and jobs, the store is down for longer than any lease, then slow, then
+// healthy.
 func TestStoreDownUnderLoad(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -126,8 +127,8 @@
 	}
 }
 
-// Two operators take one zone out and in, each through another entry and each
-// on the version that it has read.
+// Guards against lost updates: two operators concurrently take one zone out and
+// in, through different entries, each conditional on the version that it read.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	const changes = 100
@@ -171,15 +172,15 @@
 	}
 }
 
-// operator sets a zone to one state again and again.
+// operator repeatedly sets a zone to one state.
 type operator struct {
 	client    *client.Client
 	state     api.ZoneState
 	successes int
 	conflicts int
-	// replaced holds the versions that its changes replaced.
+	// replaced holds the versions that this operator's changes replaced.
 	replaced []uint64
-	version  uint64 // of its last change
+	version  uint64 // of this operator's last change
 	err      error
 }
 
--- a/test/procs/zones_test.go
+++ b/test/procs/zones_test.go
@@ -11,13 +11,14 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// inForceLimit is the bound for a configuration change to be in force everywhere.
+// inForceLimit bounds the time until a configuration change is in force in all
+// processes.
 const inForceLimit = 3 * time.Second
 
-// leaveLimit is the bound after which a leaving endpoint gets nothing new.
+// leaveLimit bounds the time for which a leaving endpoint still gets new calls.
 const leaveLimit = 2 * time.Second
 
-// putZone changes zone z3 and returns its new version.
+// putZone sets the state of zone z3 and returns its new version.
 func putZone(t *testing.T, e *harness.Entry, h *harness.Harness, state api.ZoneState) uint64 {
 	t.Helper()
 	zone, err := h.ClientOf(e).PutZone(context.Background(), "z3", state, client.AnyVersion)
@@ -27,7 +28,7 @@
 	return zone.Version
 }
 
-// executionCount returns how many calls a minion has started.
+// executionCount returns the number of calls that a minion has started.
 func executionCount(m *harness.Minion) int {
 	sum := 0
 	for _, n := range m.Stats().Executions {
@@ -36,7 +37,7 @@
 	return sum
 }
 
-// checkNoStarts fails if the minion starts anything during the given time.
+// checkNoStarts fails the test if the minion starts a call within d.
 func checkNoStarts(t *testing.T, m *harness.Minion, d time.Duration) {
 	t.Helper()
 	before := executionCount(m)
@@ -46,8 +47,8 @@
 	}
 }
 
-// A zone is taken out through one entry while the other is cut from the table;
-// load goes through both.
+// Guards against starts in a zone that is out: the zone is taken out through one
+// entry while the other is cut from the table, under load through both.
 func TestZoneOutWhileAnEntryIsCutFromTheTable(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -70,9 +71,10 @@
 	h.CheckOutcomes(requests)
 }
 
-// The zone is out when the table fails and every entry and agent is killed:
-// what starts again runs nothing without a configuration, and the zone is
-// still out when the table is back.
+// Guards against a restart that forgets the zone's state: the zone is out when
+// the table fails and every entry and agent is killed. Restarted processes must
+// run nothing without a configuration, and the zone must still be out when the
+// table is back.
 func TestZoneStaysOutOverARestartOfEverything(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -113,8 +115,9 @@
 	}
 }
 
-// The process that applied the change is frozen over it: it wakes with the old
-// version and a full queue, and starts nothing in the zone.
+// Guards against starts on an old configuration: the agent of a minion in the
+// zone is frozen while the zone is taken out. It resumes with the old version and
+// a full queue, and must start nothing.
 func TestAgentFrozenOverAZoneChange(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -134,12 +137,13 @@
 	h.CheckOutcomes(requests)
 }
 
-// A minion's agent is told to stop under load: it gets nothing new after the
-// bound and cuts nothing off.
+// Guards against lost calls in a planned stop: a minion's agent is stopped under
+// load. After leaveLimit it must get no new calls, and calls in progress must
+// finish.
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	h, _, minions := requestSystem(t)
-	// The calls last longer than the notice that a stopping agent gives.
+	// The calls take longer than the notice that an agent gives before it stops.
 	load := h.StartLoad(12, standin.MinionCall{SleepMS: 1500})
 	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 2 })
 	exit := make(chan error, 1)
