--- a/test/http/http_test.go
+++ b/test/http/http_test.go
@@ -1,5 +1,5 @@
-// Package http_test sends wrong and unusual calls to a real entry process and
-// checks that each gets a clear answer and that the process goes on serving.
+// Package http_test sends invalid and unusual HTTP calls to a real entry process.
+// It checks that each call gets a clear answer and that the process keeps serving.
 package http_test
 
 import (
@@ -31,11 +31,12 @@
 //	call [fill=N] [cookie=N]  the input is a request line, header lines, and
 //	                          after a line "--" the body; fill appends N bytes
 //	                          to the body, cookie adds a header of N bytes
-//	raw                       the input is sent with CRLF line ends, "--" as
-//	                          an empty line
-//	table down|up             sets the table's fault
+//	raw                       the input is sent with CRLF line ends, and "--"
+//	                          stands for an empty line
+//	table down|up             makes the table unavailable or available
 //
-// With the argument "later" a call must be refused for now, in whichever way.
+// With the argument "later", a call must be refused temporarily: any answer with
+// status 503 or 504 is printed as "refused for now".
 func TestScripts(t *testing.T) {
 	h := harness.New(t)
 	entry := h.StartEntry("e1", "z1")
@@ -44,20 +45,20 @@
 	h.SetProfile(api.Profile{Name: "survey", ClientAccount: "county"})
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			out := runStep(t, h, entry, d)
-			checkServes(t, entry, d)
+			out := runCommand(t, h, entry, d)
+			checkEntryServes(t, entry, d)
 			return out
 		})
 	})
 }
 
-func runStep(t *testing.T, h *harness.Harness, entry *harness.Entry, d *datadriven.TestData) string {
+func runCommand(t *testing.T, h *harness.Harness, entry *harness.Entry, d *datadriven.TestData) string {
 	t.Helper()
 	switch d.Cmd {
 	case "call":
-		return call(t, entry, d)
+		return sendCall(t, entry, d)
 	case "raw":
-		return raw(t, entry, d.Input)
+		return sendRaw(t, entry, d.Input)
 	case "table":
 		h.Table.Faults.Set(standin.FaultSettings{Down: d.HasArg("down")})
 		return ""
@@ -66,8 +67,8 @@
 	return ""
 }
 
-// call sends one request and describes its answer.
-func call(t *testing.T, entry *harness.Entry, d *datadriven.TestData) string {
+// sendCall sends the request of a call command and describes its answer.
+func sendCall(t *testing.T, entry *harness.Entry, d *datadriven.TestData) string {
 	t.Helper()
 	head, body, _ := strings.Cut(d.Input, "\n--\n")
 	lines := strings.Split(head, "\n")
@@ -96,7 +97,7 @@
 	if err != nil {
 		return fmt.Sprintf("no answer: %v\n", err)
 	}
-	answer := describe(t, resp)
+	answer := describeResponse(t, resp)
 	if !d.HasArg("later") {
 		return answer
 	}
@@ -106,8 +107,9 @@
 	return "refused for now\n"
 }
 
-// raw sends bytes that an HTTP client would refuse to send.
-func raw(t *testing.T, entry *harness.Entry, input string) string {
+// sendRaw sends bytes that an HTTP client would refuse to send and describes the
+// answer.
+func sendRaw(t *testing.T, entry *harness.Entry, input string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", entry.HTTP, callTimeout)
 	if err != nil {
@@ -125,12 +127,12 @@
 	if err != nil {
 		return fmt.Sprintf("no answer: %v\n", err)
 	}
-	return describe(t, resp)
+	return describeResponse(t, resp)
 }
 
-// describe writes the parts of an answer that do not vary. A problem document
-// that does not fit its answer fails the test.
-func describe(t *testing.T, resp *http.Response) string {
+// describeResponse formats the parts of an answer that do not vary between runs.
+// It fails the test if a problem document is inconsistent with the answer.
+func describeResponse(t *testing.T, resp *http.Response) string {
 	t.Helper()
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
@@ -147,22 +149,22 @@
 	if resp.Header.Get("Content-Type") != httpx.ContentTypeProblem {
 		return b.String()
 	}
-	var p api.Problem
-	if err := json.Unmarshal(body, &p); err != nil || p.Status != resp.StatusCode || p.Title == "" || p.Type == "" {
+	var problem api.Problem
+	if err := json.Unmarshal(body, &problem); err != nil || problem.Status != resp.StatusCode || problem.Title == "" || problem.Type == "" {
 		t.Errorf("status %d with problem document %q (%v)", resp.StatusCode, body, err)
 	}
-	fmt.Fprintf(&b, "%s\n", p.Detail)
+	fmt.Fprintf(&b, "%s\n", problem.Detail)
 	return b.String()
 }
 
-// checkServes fails the test when the entry has ended or does not serve.
-func checkServes(t *testing.T, entry *harness.Entry, d *datadriven.TestData) {
+// checkEntryServes fails the test if the entry has exited or is not healthy.
+func checkEntryServes(t *testing.T, entry *harness.Entry, d *datadriven.TestData) {
 	t.Helper()
 	client := http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	resp, err := client.Get("http://" + entry.HTTP + httpx.PathHealth)
 	if err != nil {
-		t.Fatalf("%s: entry does not serve any more: %v", d.Pos, err)
+		t.Fatalf("%s: entry no longer serves: %v", d.Pos, err)
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK || entry.Exited() {
--- a/test/http/process_test.go
+++ b/test/http/process_test.go
@@ -17,8 +17,8 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// TestPagesOfEachProcess asks an entry and both kinds of agents for all of
-// their pages, and for the state dump by signal.
+// TestPagesOfEachProcess checks that an entry and both kinds of agents serve all
+// HTTP pages and write their state dump on SIGUSR1.
 func TestPagesOfEachProcess(t *testing.T) {
 	h := harness.New(t)
 	entry := h.StartEntry("e1", "z1")
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestBadSettingsEndEachProcess starts each binary with settings that have
-// several faults: all are reported by one start, and it exits with ExitUsage.
+// TestBadSettingsEndEachProcess checks that each binary, started with several
+// invalid settings, reports all of them at once and exits with ExitUsage.
 func TestBadSettingsEndEachProcess(t *testing.T) {
 	harness.New(t) // builds the binaries
 	for role, binary := range map[string]string{"entry": "coltsfoot-entry", "agent": "coltsfoot-agent", "standin": "coltsfoot-standin"} {
