--- a/cmd/coltsfoot-agent/hosted.go
+++ b/cmd/coltsfoot-agent/hosted.go
@@ -26,7 +26,7 @@
 	if s.WorkerListen == "" {
 		return errors.NotValidf("settings of an agent without a worker")
 	}
-	if s.OrdersInReplies {
+	if s.OrdersInHeartbeatReplies {
 		return errors.NotSupportedf("workers that take orders in the replies to their heartbeats")
 	}
 	err := k.Provide(
@@ -35,7 +35,7 @@
 		func() metrics.Registry { return h.Registry },
 		ledger.NewMonotonicClock,
 		hostedFinder,
-		func(f *keeper.Finder, s *settings.Hosted, clock func() time.Duration) *keeper.Keeper {
+		func(f *keeper.OwnerFinder, s *settings.Hosted, clock func() time.Duration) *keeper.Keeper {
 			return keeper.New(platform.NewRunner(s.WorkerAddress), f, clock, h.Registry, h.Log)
 		},
 	)
@@ -44,7 +44,7 @@
 	}
 	return k.Invoke(func(kept *keeper.Keeper) error {
 		heartbeats := httpx.NewServer(httpx.ServerOptions{Listen: s.WorkerListen, Handler: platform.HeartbeatHandler(kept)})
-		pages := httpx.NewPages(s.IP, h.Flags.MetricsPort, h.Registry, func() any { return k.DumpState() })
+		pages := httpx.NewDebugServer(s.IP, h.Flags.MetricsPort, h.Registry, func() any { return k.DumpState() })
 		return k.RegisterAll(
 			kernel.Registration{Name: "pages", Service: pages},
 			kernel.Registration{Name: "heartbeats", Service: heartbeats},
@@ -53,7 +53,7 @@
 	})
 }
 
-func hostedFinder(s *settings.Hosted, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *keeper.Finder {
+func hostedFinder(s *settings.Hosted, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *keeper.OwnerFinder {
 	rows := ledger.New(platform.NewStore(s.TableAddress), ledger.Config{Metrics: registry, Log: log, Clock: clock, OpTimeout: settings.HostedTableTimeout})
-	return keeper.NewFinder(rows, settings.HostedCell, s.SeedAddresses(), clock, log)
+	return keeper.NewOwnerFinder(rows, settings.HostedCell, s.SeedAddresses(), clock, log)
 }
--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper keeps one worker's leases and carries out the owner's orders
-// on it. It is the worker's only caller: it lists what runs there under the
-// owner's epoch, extends the lease by the owner's grants, and settles every
-// order so that the owner learns its outcome.
+// Package keeper maintains the lease of one worker and executes the owner's
+// orders on it. It is the worker's only caller: it lists the worker's runs under
+// the owner's epoch, extends the lease when the owner grants it, and settles every
+// order, so that the owner learns its outcome.
 package keeper
 
 import (
@@ -21,55 +21,56 @@
 )
 
 const (
-	// holdWait is how long a call waits for an end; it is also the time between
-	// two extensions of the lease.
+	// holdWait is how long a Hold call waits for a run to end; it is also the
+	// interval at which the lease is extended.
 	holdWait = time.Second
-	// holdSlack is how long an answer may take beyond that.
-	holdSlack = 500 * time.Millisecond
-	// holdRetry is the time between two calls after a failure, or while ends
-	// wait for their acknowledgement.
-	holdRetry = 100 * time.Millisecond
-	// answerLimit is the age of the last answer up to which a worker counts as
-	// answering.
-	answerLimit = 2 * time.Second
-	// goneDelay is the time after a worker's farewell by which it has ended.
-	goneDelay = 300 * time.Millisecond
+	// holdReplyMargin is how long the reply may take beyond the requested wait.
+	holdReplyMargin = 500 * time.Millisecond
+	// holdRetryInterval is the delay before the next call after a failure or
+	// while ended runs have not been acknowledged.
+	holdRetryInterval = 100 * time.Millisecond
+	// responsiveWindow is the maximum age of the last run list for the worker to
+	// count as responsive.
+	responsiveWindow = 2 * time.Second
+	// exitDelay is the time after which a worker that has announced its exit is
+	// taken to have ended.
+	exitDelay = 300 * time.Millisecond
 )
 
-// Keeper keeps one worker.
+// Keeper maintains the lease and executes the orders of one worker.
 type Keeper struct {
 	runner   external.Runner
-	finder   *Finder
+	finder   *OwnerFinder
 	clock    func() time.Duration
 	registry metrics.Registry
 	log      zerolog.Logger
 
-	mu       sync.Mutex
-	worker   *plan.WorkerInfo // nil before its first heartbeat
-	number   uint64           // of its last heartbeat
-	leftAt   time.Duration    // of its farewell, 0 if there was none
-	lease    lease
-	epoch    uint64
-	listed   uint64 // epoch of the lists below
-	listedAt time.Duration
-	silent   bool // the worker was found not to answer
-	runs     external.RunList
-	seen     uint64 // ends up to it are acknowledged
-	absent   []*rpc.AbsentTask
-	orders   map[runRef]*order // those that are being carried out
-	wakeHold chan struct{}
-	wakeSend chan struct{}
-	loops    kernel.Loops
+	mu              sync.Mutex
+	worker          *plan.WorkerInfo // nil before its first heartbeat
+	heartbeatNumber uint64           // number of its last heartbeat
+	leftAt          time.Duration    // when it announced its exit, 0 if it did not
+	lease           lease
+	epoch           uint64 // highest known epoch of an owner
+	listedEpoch     uint64 // epoch under which runs was listed
+	listedAt        time.Duration
+	unresponsive    bool // logged as unresponsive
+	runs            external.RunList
+	acknowledged    uint64 // number of the last end acknowledged by the owner
+	absent          []*rpc.AbsentTask
+	orders          map[runRef]*order // orders in progress
+	wakeHold        chan struct{}
+	wakeSend        chan struct{}
+	loops           kernel.Loops
 }
 
-// runRef names a run.
+// runRef identifies a run of a task.
 type runRef struct {
 	task graph.TaskID
 	run  uint64
 }
 
 // New returns a keeper that is not running yet.
-func New(r external.Runner, f *Finder, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *Keeper {
+func New(r external.Runner, f *OwnerFinder, clock func() time.Duration, registry metrics.Registry, log zerolog.Logger) *Keeper {
 	k := &Keeper{
 		runner:   r,
 		finder:   f,
@@ -80,19 +81,19 @@
 		wakeHold: make(chan struct{}, 1),
 		wakeSend: make(chan struct{}, 1),
 	}
-	k.lease.restart(clock())
+	k.lease.reset(clock())
 	return k
 }
 
-// Start begins to keep the worker.
+// Start begins to extend the lease and to follow the owner.
 func (k *Keeper) Start(context.Context) error {
 	k.loops.Begin()
 	k.loops.Go(k.holdLoop)
-	k.loops.Go(k.attendLoop)
+	k.loops.Go(k.ownerLoop)
 	return nil
 }
 
-// Stop ends the loops. What runs on the worker goes on until its lease ends.
+// Stop ends the loops. Runs on the worker continue until its lease expires.
 func (k *Keeper) Stop(context.Context) error {
 	k.loops.End()
 	return nil
@@ -105,41 +106,41 @@
 	}
 }
 
-// Heartbeat takes what the worker says of itself. One that is older than the
-// last is left.
-func (k *Keeper) Heartbeat(info plan.WorkerInfo, number uint64) {
+// HandleHeartbeat records the state that the worker reports of itself. Heartbeats
+// older than the last one are ignored.
+func (k *Keeper) HandleHeartbeat(info plan.WorkerInfo, number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if old := k.worker; old != nil && (info.StartUnixMillis < old.StartUnixMillis || info.Incarnation() == old.Incarnation() && number < k.number) {
+	if known := k.worker; known != nil && (info.StartUnixMillis < known.StartUnixMillis || info.Incarnation() == known.Incarnation() && number < k.heartbeatNumber) {
 		return
 	}
 	changed := k.worker == nil || k.worker.Incarnation() != info.Incarnation()
 	if changed {
 		k.log.Info().Str("worker", info.ID).Str("instance", info.Incarnation()).Str("rack", info.Rack).Msg("worker announced")
-		k.restart()
+		k.resetWorkerState()
 	}
 	if !changed && info.Draining && !k.worker.Draining {
-		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.DrainRemaining).Msg("worker drains")
+		k.log.Info().Str("worker", info.ID).Dur("remaining_ms", info.DrainRemaining).Msg("worker is draining")
 		wake(k.wakeSend)
 	}
-	k.worker, k.number = &info, number
+	k.worker, k.heartbeatNumber = &info, number
 	if changed {
 		wake(k.wakeHold)
 		wake(k.wakeSend)
 	}
 }
 
-// restart forgets what belongs to an earlier incarnation of the worker.
-func (k *Keeper) restart() {
-	k.lease.restart(k.clock())
+// resetWorkerState discards the state of an earlier incarnation of the worker.
+func (k *Keeper) resetWorkerState() {
+	k.lease.reset(k.clock())
 	k.runs = external.RunList{}
-	k.listed, k.seen, k.leftAt = 0, 0, 0
+	k.listedEpoch, k.acknowledged, k.leftAt = 0, 0, 0
 	k.absent = nil
 	k.orders = map[runRef]*order{}
 }
 
-// Left takes the worker's farewell.
-func (k *Keeper) Left(id string) {
+// HandleWorkerLeft records that the worker has announced its exit.
+func (k *Keeper) HandleWorkerLeft(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.worker == nil || k.worker.Instance != id {
@@ -147,28 +148,28 @@
 	}
 	k.log.Info().Str("worker", k.worker.ID).Str("instance", id).Msg("worker left")
 	k.leftAt = k.clock()
-	time.AfterFunc(goneDelay, func() { wake(k.wakeSend) })
+	time.AfterFunc(exitDelay, func() { wake(k.wakeSend) })
 }
 
-// holdLoop extends the lease and waits for ends.
+// holdLoop extends the lease and waits for runs to end.
 func (k *Keeper) holdLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !k.holdable() {
-			k.await(ctx, holdWait)
+		if !k.canHold() {
+			k.waitForWake(ctx, holdWait)
 			continue
 		}
-		if err := k.hold(ctx, k.holdWait()); err != nil {
-			k.await(ctx, holdRetry)
+		if err := k.hold(ctx, k.nextHoldWait()); err != nil {
+			k.waitForWake(ctx, holdRetryInterval)
 			continue
 		}
-		if k.unacknowledged() {
-			k.await(ctx, holdRetry)
+		if k.hasUnacknowledgedEnds() {
+			k.waitForWake(ctx, holdRetryInterval)
 		}
 	}
 }
 
-// await waits for a time or until something has changed.
-func (k *Keeper) await(ctx context.Context, d time.Duration) {
+// waitForWake waits for d or until wakeHold is signalled.
+func (k *Keeper) waitForWake(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-k.wakeHold:
@@ -176,115 +177,116 @@
 	}
 }
 
-func (k *Keeper) holdable() bool {
+func (k *Keeper) canHold() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.worker != nil && k.epoch > 0
 }
 
-func (k *Keeper) unacknowledged() bool {
+func (k *Keeper) hasUnacknowledgedEnds() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := len(k.runs.Ended)
-	return n > 0 && k.runs.Ended[n-1].Number > k.seen
+	return n > 0 && k.runs.Ended[n-1].Number > k.acknowledged
 }
 
-func (k *Keeper) holdWait() time.Duration {
-	if k.unacknowledged() {
+func (k *Keeper) nextHoldWait() time.Duration {
+	if k.hasUnacknowledgedEnds() {
 		return 0
 	}
 	return holdWait
 }
 
-// target is what a call needs to know of the worker at one moment.
-type target struct {
-	instance    string
-	born        int64
-	incarnation string
-	epoch       uint64
-	deadline    time.Duration
-	seen        uint64
+// callTarget is a snapshot of the parameters of a call to the worker.
+type callTarget struct {
+	instance        string
+	startUnixMillis int64
+	incarnation     string
+	epoch           uint64
+	deadline        time.Duration
+	acknowledged    uint64
 }
 
-// target returns what to call the worker with, and notes that the deadline is
-// on its way.
-func (k *Keeper) target() target {
+// target returns the parameters for a call and records that its deadline may reach
+// the worker.
+func (k *Keeper) target() callTarget {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := target{epoch: k.epoch, seen: k.seen}
+	t := callTarget{epoch: k.epoch, acknowledged: k.acknowledged}
 	if k.worker != nil {
-		t.instance, t.incarnation, t.born = k.worker.Instance, k.worker.Incarnation(), k.worker.StartUnixMillis
+		t.instance, t.incarnation, t.startUnixMillis = k.worker.Instance, k.worker.Incarnation(), k.worker.StartUnixMillis
 	}
-	// While the worker does not answer, a call may still reach it later: its
-	// lease is not extended before it answers again.
-	if k.answering() || k.lease.orderedAt >= k.lease.grantedAt {
-		t.deadline = k.lease.order()
+	// While the worker is unresponsive, an earlier call may still reach it later.
+	// Its lease is therefore not extended until it answers again.
+	if k.workerResponsive() || k.lease.usedReportAt >= k.lease.grantReportAt {
+		t.deadline = k.lease.takeDeadline()
 	}
 	return t
 }
 
-func (k *Keeper) answering() bool {
-	return k.listed > 0 && k.clock()-k.listedAt <= answerLimit
+func (k *Keeper) workerResponsive() bool {
+	return k.listedEpoch > 0 && k.clock()-k.listedAt <= responsiveWindow
 }
 
-// hold makes one call and takes its lists.
+// hold makes one Hold call and applies the returned list.
 func (k *Keeper) hold(ctx context.Context, wait time.Duration) error {
 	t := k.target()
-	ctx, cancel := context.WithTimeout(ctx, wait+holdSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+holdReplyMargin)
 	defer cancel()
-	list, err := k.runner.Hold(ctx, t.instance, external.HoldRuns{Epoch: t.epoch, Seen: t.seen, Deadline: t.deadline, Wait: wait})
+	list, err := k.runner.Hold(ctx, t.instance, external.HoldRuns{Epoch: t.epoch, Seen: t.acknowledged, Deadline: t.deadline, Wait: wait})
 	if err != nil {
 		metrics.GetOrRegisterCounter("keeper.hold_failures", k.registry).Inc(1)
-		k.holdFailed(err)
+		k.recordHoldFailure(err)
 		return err
 	}
-	k.take(t, list)
+	k.applyList(t, list)
 	return nil
 }
 
-func (k *Keeper) holdFailed(err error) {
+func (k *Keeper) recordHoldFailure(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.answering() || k.silent {
+	if k.workerResponsive() || k.unresponsive {
 		return
 	}
-	k.silent = true
-	k.log.Warn().Err(err).Dur("answered_ago_ms", k.clock()-k.listedAt).Msg("worker does not answer")
+	k.unresponsive = true
+	k.log.Warn().Err(err).Dur("answered_ago_ms", k.clock()-k.listedAt).Msg("worker is unresponsive")
 }
 
-// take takes over lists that were asked for with t. Lists can overtake each
-// other: one with an earlier clock is left.
-func (k *Keeper) take(t target, list external.RunList) {
+// applyList records a list that was requested with t. Replies can arrive out of
+// order: a list with an earlier worker clock than the last one is ignored.
+func (k *Keeper) applyList(t callTarget, list external.RunList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.worker == nil || k.worker.Incarnation() != t.incarnation {
 		return
 	}
-	if list.Born != 0 && list.Born != t.born {
-		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker has been restarted")
-		k.restart()
+	if list.Born != 0 && list.Born != t.startUnixMillis {
+		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker restarted")
+		k.resetWorkerState()
 		info := *k.worker
 		info.StartUnixMillis = list.Born
-		k.worker, k.number = &info, 0
+		k.worker, k.heartbeatNumber = &info, 0
 	}
 	now := k.clock()
-	k.lease.observe(now, list.Clock)
-	if list.Clock < k.runs.Clock || t.epoch < k.listed {
+	k.lease.observeClock(now, list.Clock)
+	if list.Clock < k.runs.Clock || t.epoch < k.listedEpoch {
 		return
 	}
-	news := k.listed != t.epoch || differs(k.runs, list)
-	k.runs, k.listed, k.listedAt = list, t.epoch, now
-	if k.silent {
-		k.silent = false
-		k.log.Info().Msg("worker answers again")
+	changed := k.listedEpoch != t.epoch || runsDiffer(k.runs, list)
+	k.runs, k.listedEpoch, k.listedAt = list, t.epoch, now
+	if k.unresponsive {
+		k.unresponsive = false
+		k.log.Info().Msg("worker is responsive again")
 	}
-	if news {
+	if changed {
 		wake(k.wakeSend)
 	}
 }
 
-// differs reports whether other runs are listed, whatever their progress.
-func differs(a, b external.RunList) bool {
+// runsDiffer reports whether the lists contain different runs or ends. Progress is
+// not compared.
+func runsDiffer(a, b external.RunList) bool {
 	if len(a.Running) != len(b.Running) || len(a.Ended) != len(b.Ended) {
 		return true
 	}
@@ -301,15 +303,15 @@
 	return false
 }
 
-// DumpState returns the state for the dump on request.
+// DumpState returns the keeper's state for the state dump.
 func (k *Keeper) DumpState() any {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return map[string]any{
-		"worker": k.worker, "epoch": k.epoch, "listed_epoch": k.listed, "running": len(k.runs.Running),
-		"ended": len(k.runs.Ended), "acknowledged": k.seen, "orders": len(k.orders),
-		"lease_age_ms": k.lease.age(k.clock()).Milliseconds(), "answering": k.answering(),
+		"worker": k.worker, "epoch": k.epoch, "listed_epoch": k.listedEpoch, "running": len(k.runs.Running),
+		"ended": len(k.runs.Ended), "acknowledged": k.acknowledged, "orders": len(k.orders),
+		"lease_age_ms": k.lease.age(k.clock()).Milliseconds(), "answering": k.workerResponsive(),
 	}
 }
 
-var errStale = errors.New("a higher epoch is known")
+var errStaleEpoch = errors.New("a higher epoch is known")
--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -16,20 +16,21 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/standin"
 )
 
-// TestNextOwnersStopOfAStartInDoubtIsSettled shows that the stop which the next
-// owner orders, while an earlier owner's start gets no answer, is settled under
-// the next owner's epoch: it would wait for the outcome for ever.
-func TestNextOwnersStopOfAStartInDoubtIsSettled(t *testing.T) {
+// TestNextOwnersStopSettlesUnansweredStart guards against a stop order that is
+// never settled. The next owner orders the stop while an earlier owner's start is
+// unanswered; the run must be settled under the next owner's epoch, because that
+// owner would otherwise wait for the outcome forever.
+func TestNextOwnersStopSettlesUnansweredStart(t *testing.T) {
 	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
-	k := New(runner, NewFinder(noRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
+	k := New(runner, NewOwnerFinder(unavailableRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
 	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Incarnation()}
-	k.Heartbeat(worker, 1)
+	k.HandleHeartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
 		o := &rpc.WorkerOrders{Epoch: epoch, Incarnation: worker.Incarnation()}
 		change(o)
-		if err := k.obey(ctx, o); err != nil {
+		if err := k.applyOrders(ctx, o); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,14 +42,14 @@
 	kernel.Sleep(ctx, orderTimeout)
 	runner.SetFaults(standin.RunnerFaults{})
 
-	bound, cancel := context.WithTimeout(ctx, (startTries+1)*orderTimeout+10*settleRetry)
+	bound, cancel := context.WithTimeout(ctx, (maxStartAttempts+1)*orderTimeout+10*settleRetryInterval)
 	defer cancel()
 	settled := func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return len(k.absent) > 0 && k.absent[0].Ref.Run == ref.Run && len(k.orders) == 0
 	}
-	if !kernel.Until(bound, 10*time.Millisecond, settled) {
+	if !kernel.PollUntil(bound, 10*time.Millisecond, settled) {
 		t.Fatalf("not settled: absent %v, orders %v", k.absent, k.orders)
 	}
 }
--- a/internal/entry/graphs/front.go
+++ b/internal/entry/graphs/front.go
@@ -16,44 +16,46 @@
 )
 
 const (
-	// defaultWait is how long a caller is taken to wait if it does not say.
+	// defaultWait is the assumed caller timeout when the request gives none.
 	defaultWait = 2500 * time.Millisecond
-	// answerMargin is the part of the caller's time that is left for the answer
-	// to reach it.
+	// answerMargin is the part of the caller's timeout that is reserved for the
+	// answer to reach it.
 	answerMargin = 150 * time.Millisecond
-	// retryStore is when a caller may come back after the table was not
-	// reachable, retryNoPolicy when the configuration is not known.
-	retryStore    = time.Second
-	retryNoPolicy = time.Second
-	// retryNever is for what this version of the program does not serve.
-	retryNever = time.Hour
-	// idDigits is the number of hexadecimal digits of a job's ID.
-	idDigits = 16
+	// retryAfterStoreFailure is the retry delay told to callers when the table
+	// was not reachable, retryAfterStaleConfig when the configuration is not
+	// known to be current.
+	retryAfterStoreFailure = time.Second
+	retryAfterStaleConfig  = time.Second
+	// retryAfterUnsupported is the retry delay for features that this version of
+	// the program does not support.
+	retryAfterUnsupported = time.Hour
+	// jobIDDigits is the number of hexadecimal digits of a job's ID.
+	jobIDDigits = 16
 )
 
-// Call is what all requests of callers have in common.
+// Call holds the parameters common to all caller requests.
 type Call struct {
 	Host string
 	Path string
 	Key  string
-	Wait time.Duration // how long the caller waits; 0 if it does not say
-	// Least is the oldest version of the configuration that may be used.
-	Least uint64
+	Wait time.Duration // how long the caller waits; 0 if unknown
+	// MinConfigVersion is the oldest configuration version that may be used.
+	MinConfigVersion uint64
 }
 
-// Outcome is the kind of an answer.
+// Outcome classifies an answer.
 type Outcome int
 
-// The outcomes. Refused, Overloaded, NoQueue, Unauthorized and Invalid promise that
-// a job was not accepted and never runs because of this request.
+// The outcomes. Refused, Overloaded, NoQueue, Unauthorized and Invalid guarantee
+// that no job was accepted and that none will run because of this request.
 const (
 	OK           Outcome = iota
-	Refused              // for now; RetryAfter tells when to come back
-	Overloaded           // likewise
+	Refused              // temporarily; RetryAfter gives the delay before a retry
+	Overloaded           // temporarily, as for Refused
 	NoQueue              // no such queue
-	Unauthorized         // no account has the key
+	Unauthorized         // the key belongs to no account
 	Invalid              // the request can never be served
-	Unknown              // it may or may not have taken effect
+	Unknown              // the request may or may not have taken effect
 	NoJob                // no such job
 )
 
@@ -68,62 +70,67 @@
 	Detail     string
 	State      graph.State
 	Pending    *int
-	// Version is that of the configuration by which the call was let in or
-	// turned away; 0 if there was none.
-	Version uint64
+	// ConfigVersion is the configuration version by which the call was admitted
+	// or rejected; 0 if there was none.
+	ConfigVersion uint64
 }
 
-// Policies is where the front finds the configuration.
+// Policies provides the configuration to the front.
 type Policies interface {
 	FreshSnapshot() (*policy.Snapshot, time.Duration)
 	StoreOutage() time.Duration
-	// MaxConfirmationAge is the age that the last confirmation reaches while all is well.
+	// MaxConfirmationAge is the highest age that the last confirmation reaches
+	// in normal operation.
 	MaxConfirmationAge() time.Duration
 }
 
-// Relay serves requests through another entry.
+// Relay forwards requests to other entries.
 type Relay interface {
-	// Serve returns false if no other entry has answered; the request may have
-	// taken effect all the same.
-	Serve(ctx context.Context, verb string, call Call, job *graph.Job, least uint64) (Answer, bool)
+	// Forward returns false if no other entry has answered; the request may have
+	// taken effect nevertheless.
+	Forward(ctx context.Context, verb string, call Call, job *graph.Job, minConfigVersion uint64) (Answer, bool)
 }
 
-// Owner answers what only the owner of scheduling knows, wherever it runs.
-type Owner interface {
-	// Status returns a job's state; known is false if the owner cannot be
-	// asked or does not know the job.
-	Status(ctx context.Context, id graph.JobID) (state graph.State, known bool)
-	// Pending returns the number of a queue's jobs of which no task has started.
-	Pending(ctx context.Context, queue string) (n int, known bool)
+// OwnerQuerier queries state that only the owner of scheduling has, in whichever
+// process the owner runs.
+type OwnerQuerier interface {
+	// JobState returns a job's state; known is false if the owner cannot be
+	// reached or does not know the job.
+	JobState(ctx context.Context, id graph.JobID) (state graph.State, known bool)
+	// PendingJobs returns the number of the queue's jobs that have not started
+	// any task.
+	PendingJobs(ctx context.Context, queue string) (n int, known bool)
 }
 
-// Front serves the requests of callers.
+// Front serves caller requests.
 type Front struct {
 	policies Policies
 	store    *Store
-	owner    Owner
+	owner    OwnerQuerier
 	relay    Relay
 	now      func() time.Time
-	// floor is the newest version that any answer of this entry has rested on,
-	// through another entry too: callers never see an older one again.
-	floor    atomic.Uint64
-	log      zerolog.Logger
-	registry metrics.Registry
+	// configVersionFloor is the newest configuration version that any answer of
+	// this entry was based on, including relayed answers. Callers never get an
+	// answer based on an older one afterwards.
+	configVersionFloor atomic.Uint64
+	log                zerolog.Logger
+	registry           metrics.Registry
 }
 
-// NewFront returns a front. now is the time of day.
-func NewFront(p Policies, s *Store, o Owner, r Relay, now func() time.Time, registry metrics.Registry, log zerolog.Logger) *Front {
+// NewFront returns a front. now returns the time of day.
+func NewFront(p Policies, s *Store, o OwnerQuerier, r Relay, now func() time.Time, registry metrics.Registry, log zerolog.Logger) *Front {
 	return &Front{policies: p, store: s, owner: o, relay: r, now: now, log: log, registry: registry}
 }
 
-// lostLimit is how long the store may fail to confirm the configuration before
-// callers are sent to other entries: the balancer takes two more seconds.
-const lostLimit = 300 * time.Millisecond
+// readyOutageLimit is how long the store may fail to confirm the configuration,
+// beyond MaxConfirmationAge, before this entry reports itself not ready. The
+// balancer takes two more seconds to send callers to other entries.
+const readyOutageLimit = 300 * time.Millisecond
 
-// Ready returns nil while callers can be served from here.
+// Ready returns nil while this entry can serve callers.
 func (f *Front) Ready() error {
-	if lost := f.policies.StoreOutage(); lost > f.policies.MaxConfirmationAge()+lostLimit {
-		return errors.Errorf("the store has not answered for %v", lost)
+	if outage := f.policies.StoreOutage(); outage > f.policies.MaxConfirmationAge()+readyOutageLimit {
+		return errors.Errorf("the store has not answered for %v", outage)
 	}
 	if s, age := f.policies.FreshSnapshot(); s == nil {
 		return errors.Errorf("configuration was confirmed %v ago", age)
@@ -131,80 +138,81 @@
 	return nil
 }
 
-// target is what a call is about, once it has been let in.
+// target is the queue or job that an admitted call refers to.
 type target struct {
-	queue   *policy.Queue
-	account string
-	id      graph.JobID // empty for the queue itself
-	version uint64
-	age     time.Duration
+	queue         *policy.Queue
+	account       string
+	id            graph.JobID // empty if the call refers to the queue itself
+	configVersion uint64
+	configAge     time.Duration
 }
 
-// admit finds the queue of a call and checks its key. A nil target comes with
-// the answer.
+// admit finds the queue of a call and checks the caller's key. If the target is
+// nil, the call is rejected with the returned answer.
 func (f *Front) admit(call Call) (*target, Answer) {
-	s, age := f.policies.FreshSnapshot()
-	if s == nil {
-		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: "configuration is not known to be current"}
+	snapshot, age := f.policies.FreshSnapshot()
+	if snapshot == nil {
+		return nil, Answer{Outcome: Refused, RetryAfter: retryAfterStaleConfig, Detail: "configuration is not known to be current"}
 	}
-	if least := max(call.Least, f.floor.Load()); s.Version < least {
-		return nil, Answer{Outcome: Refused, RetryAfter: retryNoPolicy, Detail: fmt.Sprintf("configuration %d is older than %d, which has been used", s.Version, least)}
+	if minVersion := max(call.MinConfigVersion, f.configVersionFloor.Load()); snapshot.Version < minVersion {
+		return nil, Answer{Outcome: Refused, RetryAfter: retryAfterStaleConfig, Detail: fmt.Sprintf("configuration %d is older than %d, which has been used", snapshot.Version, minVersion)}
 	}
-	f.raise(s.Version)
-	q, rest := s.MatchQueue(call.Host, call.Path)
-	if q == nil {
-		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", Version: s.Version}
+	f.raiseConfigVersionFloor(snapshot.Version)
+	queue, rest := snapshot.MatchQueue(call.Host, call.Path)
+	if queue == nil {
+		return nil, Answer{Outcome: NoQueue, Detail: "no such queue", ConfigVersion: snapshot.Version}
 	}
-	t := &target{queue: q, id: graph.JobID(rest), version: s.Version, age: age}
-	if q.Public {
+	t := &target{queue: queue, id: graph.JobID(rest), configVersion: snapshot.Version, configAge: age}
+	if queue.Public {
 		return t, Answer{}
 	}
-	account := s.AccountByKey(call.Key)
+	account := snapshot.AccountByKey(call.Key)
 	if account == nil {
-		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", Version: s.Version}
+		return nil, Answer{Outcome: Unauthorized, Detail: "key is not known", ConfigVersion: snapshot.Version}
 	}
 	t.account = account.Name
 	return t, Answer{}
 }
 
-// raise notes that an answer rests on a version.
-func (f *Front) raise(version uint64) {
+// raiseConfigVersionFloor records that an answer is based on a version.
+func (f *Front) raiseConfigVersionFloor(version uint64) {
 	for {
-		old := f.floor.Load()
-		if version <= old || f.floor.CompareAndSwap(old, version) {
+		old := f.configVersionFloor.Load()
+		if version <= old || f.configVersionFloor.CompareAndSwap(old, version) {
 			return
 		}
 	}
 }
 
-// Submit accepts a job.
+// Submit accepts a job. While the store is not reachable from here, it first
+// tries to relay the request to another entry.
 func (f *Front) Submit(call Call, decode func() (*graph.Job, error)) Answer {
 	start := time.Now()
 	if f.policies.StoreOutage() > 0 {
 		if a, served := f.relaySubmit(call, decode); served {
-			f.report(verbSubmit, call, nil, a, start)
+			f.recordAnswer(verbSubmit, call, nil, a, start)
 			return a
 		}
 	}
-	return f.SubmitHere(call, decode)
+	return f.SubmitLocal(call, decode)
 }
 
-// relaySubmit submits through another entry.
+// relaySubmit submits a job through another entry.
 func (f *Front) relaySubmit(call Call, decode func() (*graph.Job, error)) (Answer, bool) {
 	job, err := decode()
 	if err != nil {
-		return Answer{}, false // refused here as well, once the caller is known
+		return Answer{}, false // SubmitLocal rejects it too, after checking the caller's key
 	}
-	return f.serveElsewhere(verbSubmit, call, job)
+	return f.relayCall(verbSubmit, call, job)
 }
 
-func (f *Front) serveElsewhere(verb string, call Call, job *graph.Job) (Answer, bool) {
-	ctx, cancel := f.context(call)
+func (f *Front) relayCall(verb string, call Call, job *graph.Job) (Answer, bool) {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	a, served := f.relay.Serve(ctx, verb, call, job, f.floor.Load())
-	f.raise(a.Version)
+	a, served := f.relay.Forward(ctx, verb, call, job, f.configVersionFloor.Load())
+	f.raiseConfigVersionFloor(a.ConfigVersion)
 	if served && a.Outcome == Refused {
-		return a, false // this entry may still do better
+		return a, false // serving it locally may still succeed
 	}
 	if served {
 		metrics.GetOrRegisterCounter("front.relayed", f.registry).Inc(1)
@@ -212,28 +220,28 @@
 	return a, served
 }
 
-// SubmitHere accepts a job with this entry's own view of the store.
-func (f *Front) SubmitHere(call Call, decode func() (*graph.Job, error)) Answer {
+// SubmitLocal accepts a job using only this entry's connection to the store.
+func (f *Front) SubmitLocal(call Call, decode func() (*graph.Job, error)) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
 	if t != nil {
-		a = f.accept(call, t, decode)
-		a.Version = t.version
+		a = f.acceptJob(call, t, decode)
+		a.ConfigVersion = t.configVersion
 	}
-	f.report(verbSubmit, call, t, a, start)
+	f.recordAnswer(verbSubmit, call, t, a, start)
 	return a
 }
 
-func (f *Front) accept(call Call, t *target, decode func() (*graph.Job, error)) Answer {
-	if !validID(t.id) {
+func (f *Front) acceptJob(call Call, t *target, decode func() (*graph.Job, error)) Answer {
+	if !validJobID(t.id) {
 		return Answer{Outcome: Invalid, Detail: "job ID is not 16 hexadecimal digits"}
 	}
 	if t.queue.Advised {
-		return Answer{Outcome: Refused, RetryAfter: retryNever, Detail: "queues with an adviser are not served"}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterUnsupported, Detail: "queues with an adviser are not served"}
 	}
 	job, err := decode()
 	if errors.Is(err, errors.NotSupported) {
-		return Answer{Outcome: Refused, RetryAfter: retryNever, Detail: err.Error()}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterUnsupported, Detail: err.Error()}
 	}
 	if err != nil {
 		return Answer{Outcome: Invalid, Detail: err.Error()}
@@ -243,71 +251,71 @@
 	job.Priority, job.MaxAttempts = t.queue.Priority, t.queue.MaxAttempts
 	job.Stretch, job.Allowance = t.queue.Stretch, t.queue.Allowance
 	job.SubmittedAt = f.now()
-	ctx, cancel := f.context(call)
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	return writeAnswer(f.store.Accept(ctx, job))
+	return answerForWrite(f.store.InsertJob(ctx, job))
 }
 
-// writeAnswer is the answer to a request that had to be made durable.
-func writeAnswer(err error) Answer {
+// answerForWrite returns the answer for the result of a durable write.
+func answerForWrite(err error) Answer {
 	switch {
 	case err == nil:
 		return Answer{Outcome: OK}
 	case errors.Is(err, ledger.ErrOutcomeUnknown):
 		return Answer{Outcome: Unknown, Detail: err.Error()}
 	default:
-		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: err.Error()}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterStoreFailure, Detail: err.Error()}
 	}
 }
 
-// Lookup answers for a job's state, or for a queue's length.
+// Lookup returns a job's state or a queue's number of pending jobs.
 func (f *Front) Lookup(call Call) Answer {
 	if f.policies.StoreOutage() > 0 {
-		if a, served := f.serveElsewhere(verbLookup, call, nil); served {
+		if a, served := f.relayCall(verbLookup, call, nil); served {
 			return a
 		}
 	}
-	return f.LookupHere(call)
+	return f.LookupLocal(call)
 }
 
-// LookupHere is Lookup with this entry's own view of the store.
-func (f *Front) LookupHere(call Call) Answer {
+// LookupLocal is Lookup using only this entry's connection to the store.
+func (f *Front) LookupLocal(call Call) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
 	switch {
 	case t == nil:
 	case t.id == "":
-		a = f.pending(call, t)
+		a = f.pendingJobs(call, t)
 	default:
-		a = f.state(call, t)
+		a = f.jobState(call, t)
 	}
 	if t != nil {
-		a.Version = t.version
+		a.ConfigVersion = t.configVersion
 	}
-	f.report(verbLookup, call, t, a, start)
+	f.recordAnswer(verbLookup, call, t, a, start)
 	return a
 }
 
-func (f *Front) pending(call Call, t *target) Answer {
-	ctx, cancel := f.context(call)
+func (f *Front) pendingJobs(call Call, t *target) Answer {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	n, known := f.owner.Pending(ctx, t.queue.Name)
+	n, known := f.owner.PendingJobs(ctx, t.queue.Name)
 	if !known {
-		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: "no entry owns scheduling"}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterStoreFailure, Detail: "no entry owns scheduling"}
 	}
 	return Answer{Outcome: OK, Pending: &n}
 }
 
-func (f *Front) state(call Call, t *target) Answer {
-	ctx, cancel := f.context(call)
+func (f *Front) jobState(call Call, t *target) Answer {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	if state, known := f.owner.Status(ctx, t.id); known {
+	if state, known := f.owner.JobState(ctx, t.id); known {
 		return Answer{Outcome: OK, State: state}
 	}
-	state, found, err := f.store.State(ctx, t.id)
+	state, found, err := f.store.JobState(ctx, t.id)
 	switch {
 	case err != nil:
-		return Answer{Outcome: Refused, RetryAfter: retryStore, Detail: err.Error()}
+		return Answer{Outcome: Refused, RetryAfter: retryAfterStoreFailure, Detail: err.Error()}
 	case !found:
 		return Answer{Outcome: NoJob}
 	default:
@@ -315,40 +323,41 @@
 	}
 }
 
-// Cancel ends a job.
+// Cancel requests the cancellation of a job.
 func (f *Front) Cancel(call Call) Answer {
 	if f.policies.StoreOutage() > 0 {
-		if a, served := f.serveElsewhere(verbCancel, call, nil); served {
+		if a, served := f.relayCall(verbCancel, call, nil); served {
 			return a
 		}
 	}
-	return f.CancelHere(call)
+	return f.CancelLocal(call)
 }
 
-// CancelHere is Cancel with this entry's own view of the store.
-func (f *Front) CancelHere(call Call) Answer {
+// CancelLocal is Cancel using only this entry's connection to the store.
+func (f *Front) CancelLocal(call Call) Answer {
 	start := time.Now()
 	t, a := f.admit(call)
 	if t != nil {
-		a = f.cancel(call, t)
-		a.Version = t.version
+		a = f.cancelJob(call, t)
+		a.ConfigVersion = t.configVersion
 	}
-	f.report(verbCancel, call, t, a, start)
+	f.recordAnswer(verbCancel, call, t, a, start)
 	return a
 }
 
-func (f *Front) cancel(call Call, t *target) Answer {
-	ctx, cancel := f.context(call)
+func (f *Front) cancelJob(call Call, t *target) Answer {
+	ctx, cancel := f.callContext(call)
 	defer cancel()
-	found, err := f.store.Cancel(ctx, t.id)
+	found, err := f.store.CancelJob(ctx, t.id)
 	if err == nil && !found {
 		return Answer{Outcome: NoJob}
 	}
-	return writeAnswer(err)
+	return answerForWrite(err)
 }
 
-// context ends shortly before the caller stops waiting.
-func (f *Front) context(call Call) (context.Context, context.CancelFunc) {
+// callContext returns a context that ends shortly before the caller stops
+// waiting.
+func (f *Front) callContext(call Call) (context.Context, context.CancelFunc) {
 	wait := call.Wait
 	if wait == 0 {
 		wait = defaultWait
@@ -356,29 +365,29 @@
 	return context.WithTimeout(context.Background(), max(wait-answerMargin, wait/2))
 }
 
-// report counts and logs one answer.
-func (f *Front) report(verb string, call Call, t *target, a Answer, start time.Time) {
+// recordAnswer counts and logs an answer.
+func (f *Front) recordAnswer(verb string, call Call, t *target, answer Answer, start time.Time) {
 	took := time.Since(start)
-	metrics.GetOrRegisterCounter("front."+verb+"."+a.Outcome.String(), f.registry).Inc(1)
+	metrics.GetOrRegisterCounter("front."+verb+"."+answer.Outcome.String(), f.registry).Inc(1)
 	metrics.GetOrRegisterTimer("front."+verb, f.registry).Update(took)
-	e := f.log.Info().Str("verb", verb).Str("outcome", a.Outcome.String()).Dur("took_ms", took)
+	event := f.log.Info().Str("verb", verb).Str("outcome", answer.Outcome.String()).Dur("took_ms", took)
 	if t != nil {
-		e = e.Str("job", string(t.id)).Str("queue", t.queue.Name).Str("account", t.account).
-			Uint64("policy", t.version).Dur("policy_age_ms", t.age)
+		event = event.Str("job", string(t.id)).Str("queue", t.queue.Name).Str("account", t.account).
+			Uint64("policy", t.configVersion).Dur("policy_age_ms", t.configAge)
 	} else {
-		e = e.Str("path", call.Path)
+		event = event.Str("path", call.Path)
 	}
-	if a.Detail != "" {
-		e = e.Str("detail", a.Detail)
+	if answer.Detail != "" {
+		event = event.Str("detail", answer.Detail)
 	}
-	if a.State != "" {
-		e = e.Str("state", string(a.State))
+	if answer.State != "" {
+		event = event.Str("state", string(answer.State))
 	}
-	e.Msg("request")
+	event.Msg("request")
 }
 
-func validID(id graph.JobID) bool {
-	if len(id) != idDigits {
+func validJobID(id graph.JobID) bool {
+	if len(id) != jobIDDigits {
 		return false
 	}
 	for _, r := range id {
--- a/internal/entry/node/status.go
+++ b/internal/entry/node/status.go
@@ -9,8 +9,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/membership"
 )
 
-// Status tells which process has which configuration in force. Each agent is
-// linked to every entry, so one entry knows all processes.
+// Status reports the configuration version of each process. Each agent is linked
+// to every entry, so one entry knows all processes.
 type Status struct {
 	EntryID string
 	Zone    string
@@ -19,7 +19,8 @@
 	Links   *links.Server
 }
 
-// ConfigStatus returns the status of all processes that this entry hears.
+// ConfigStatus returns the status of this entry, its live peers and the agents
+// linked to it.
 func (s *Status) ConfigStatus() api.ConfigStatus {
 	config, age, _ := s.Config.Snapshot()
 	out := api.ConfigStatus{Version: config.Version}
@@ -27,7 +28,7 @@
 		Process: s.EntryID, Role: "entry", Zone: s.Zone, Version: config.Version, AgeMS: age.Milliseconds(),
 	})
 	for _, r := range s.Members.Reports() {
-		out.Processes = append(out.Processes, peerLine(r))
+		out.Processes = append(out.Processes, peerProcessConfig(r))
 		out.Version = max(out.Version, r.State.GetConfigVersion())
 	}
 	for _, a := range s.Links.Agents() {
@@ -46,7 +47,7 @@
 	return out
 }
 
-func peerLine(r membership.PeerReport) api.ProcessConfig {
+func peerProcessConfig(r membership.PeerReport) api.ProcessConfig {
 	return api.ProcessConfig{
 		Process: r.State.GetEntryId(),
 		Role:    "entry",
