--- a/internal/agent/keeper/orders_test.go
+++ b/internal/agent/keeper/orders_test.go
@@ -24,7 +24,7 @@
 	clock := ledger.NewMonotonicClock()
 	runner := standin.NewRunner()
 	k := New(runner, NewOwnerFinder(unavailableRows{}, "all", nil, clock, zerolog.Nop()), clock, metrics.NewRegistry(), zerolog.Nop())
-	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.Incarnation()}
+	worker := plan.WorkerInfo{ID: "w", Instance: runner.Instance(), StartUnixMillis: runner.StartCount()}
 	k.HandleHeartbeat(worker, 1)
 	ctx := context.Background()
 	orders := func(epoch uint64, change func(*rpc.WorkerOrders)) {
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -19,7 +19,7 @@
 	ShouldFail func(task graph.TaskID, run uint64) bool
 
 	mu             sync.Mutex
-	incarnation    int64
+	startCount     int64
 	startTime      time.Time
 	epoch          uint64
 	leaseEnd       time.Time
@@ -61,14 +61,14 @@
 	return r
 }
 
-// Restart begins a new incarnation of the worker: its runs, ends and lease are lost.
+// Restart simulates a restart of the worker: its runs, ends and lease are lost.
 func (r *Runner) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, run := range r.runs {
 		run.timer.Stop()
 	}
-	r.incarnation++
+	r.startCount++
 	r.startTime = time.Now()
 	r.epoch, r.acknowledged, r.lastEndNumber = 0, 0, 0
 	r.leaseEnd = time.Time{}
@@ -83,11 +83,12 @@
 	r.faults = f
 }
 
-// Incarnation returns the number of the worker's incarnation, which Restart increases.
-func (r *Runner) Incarnation() int64 {
+// StartCount returns how often the worker has been started. It is the Born value of
+// its RunList, which differs after each restart.
+func (r *Runner) StartCount() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.incarnation
+	return r.startCount
 }
 
 // StartedTasks returns the tasks of all started runs, in order of their starts.
@@ -273,7 +274,7 @@
 }
 
 func (r *Runner) runList() external.RunList {
-	out := external.RunList{Clock: r.uptime(), Born: r.incarnation, Ended: append([]graph.RunEnd(nil), r.unacknowledged...)}
+	out := external.RunList{Clock: r.uptime(), Born: r.startCount, Ended: append([]graph.RunEnd(nil), r.unacknowledged...)}
 	for task, run := range r.runs {
 		percent := int(100 * time.Since(run.startedAt) / run.duration)
 		out.Running = append(out.Running, graph.RunState{Task: task, Run: run.run, Checkpoint: run.checkpoint, Percent: min(percent, 99)})
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -271,7 +271,7 @@
 func (a *agent) announce(ctx context.Context) {
 	for n := uint64(1); ctx.Err() == nil; n++ {
 		a.keeper.HandleHeartbeat(plan.WorkerInfo{
-			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Incarnation(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
+			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.StartCount(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
 			Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8},
 			Draining: a.drains.Load(), DrainRemaining: 3 * time.Second,
 		}, n)
