--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -83,8 +83,8 @@
 	r.faults = f
 }
 
-// StartCount returns how often the worker has been started. It is the Born value of
-// its RunList, which differs after each restart.
+// StartCount returns the number of starts of the worker. Its run lists carry this
+// number in place of a start time, so that a restart is visible.
 func (r *Runner) StartCount() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
