--- a/test/procs/harness/load.go
+++ b/test/procs/harness/load.go
@@ -177,7 +177,7 @@
 			parts = append(parts, fmt.Sprintf("%d %q", counts[o], o))
 		}
 	}
-	return fmt.Sprintf("%d requests: %s; %d called again", len(requests), strings.Join(parts, ", "), retried)
+	return fmt.Sprintf("%d requests: %s; %d retried", len(requests), strings.Join(parts, ", "), retried)
 }
 
 // CheckOutcomes fails the test for each request that has no answer or whose
@@ -193,11 +193,11 @@
 		case r.Outcome == api.OutcomeDone && r.Err != nil:
 			h.t.Errorf("%s: %v", r.Tag, r.Err)
 		case r.Outcome == api.OutcomeDone && n == 0:
-			h.t.Errorf("%s is answered done and was not executed", r.Tag)
+			h.t.Errorf("%s was answered done but not executed", r.Tag)
 		case r.Outcome == api.OutcomeNotRun && n > 0:
-			h.t.Errorf("%s is answered not-run and was executed %d times: %v", r.Tag, n, r.Err)
+			h.t.Errorf("%s was answered not-run but executed %d times: %v", r.Tag, n, r.Err)
 		case !r.Idempotent && n > 1:
-			h.t.Errorf("%s is not idempotent and was executed %d times", r.Tag, n)
+			h.t.Errorf("%s is not idempotent but was executed %d times", r.Tag, n)
 		}
 	}
 }
--- a/test/procs/requests_test.go
+++ b/test/procs/requests_test.go
@@ -60,7 +60,7 @@
 	select {
 	case <-done:
 	case <-time.After(25 * time.Second):
-		t.Fatalf("%s does not end", what)
+		t.Fatalf("%s did not end within 25 s", what)
 	}
 }
 
