--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -9,25 +9,25 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// coreScenario steps cores by hand against one row.
+// coreScenario steps cores through a script against one row.
 type coreScenario struct {
-	cores   map[string]*Core
-	now     time.Duration
-	version uint64
-	row     Row
-	flight  map[string]Action // of each core
-	times   Times
+	cores          map[string]*Core
+	now            time.Duration
+	version        uint64
+	row            Row
+	pendingActions map[string]Action // unanswered action of each core
+	timing         Timing
 }
 
 func (s *coreScenario) core(name string) *Core {
 	if _, ok := s.cores[name]; !ok {
-		s.cores[name] = NewCore(Self{ID: name, Addr: name, Incarnation: name}, s.times)
+		s.cores[name] = NewCore(Self{ID: name, Addr: name, Incarnation: name}, s.timing)
 	}
 	return s.cores[name]
 }
 
-// apply carries an action out at the row and returns the answer.
-func (s *coreScenario) apply(a Action) Event {
+// applyAction executes an action on the row and returns the result.
+func (s *coreScenario) applyAction(a Action) Event {
 	w, ok := a.(Write)
 	if !ok {
 		return ReadDone{s.version, s.row}
@@ -40,8 +40,9 @@
 	return WriteDone{s.version}
 }
 
-// round ticks a core and answers its action, as told.
-func (s *coreScenario) round(name, answer string) string {
+// runRound ticks a core and answers its action: not yet ("none"), with an unknown
+// outcome ("lost"), with a failure ("failed"), or otherwise with its result.
+func (s *coreScenario) runRound(name, answer string) string {
 	c := s.core(name)
 	actions := c.Step(s.now, Tick{})
 	if len(actions) == 0 {
@@ -50,19 +51,19 @@
 	a := actions[0]
 	switch answer {
 	case "none":
-		s.flight[name] = a
+		s.pendingActions[name] = a
 	case "lost":
-		s.apply(a)
-		c.Step(s.now, lostEvent(a))
+		s.applyAction(a)
+		c.Step(s.now, outcomeUnknownEvent(a))
 	case "failed":
 		c.Step(s.now, failedEvent(a))
 	default:
-		c.Step(s.now, s.apply(a))
+		c.Step(s.now, s.applyAction(a))
 	}
-	return show(a)
+	return describeAction(a)
 }
 
-func lostEvent(a Action) Event {
+func outcomeUnknownEvent(a Action) Event {
 	if _, ok := a.(Write); ok {
 		return WriteUnknown{}
 	}
@@ -76,7 +77,7 @@
 	return ReadFailed{}
 }
 
-func show(a Action) string {
+func describeAction(a Action) string {
 	w, ok := a.(Write)
 	if !ok {
 		return "read"
@@ -93,19 +94,19 @@
 	wait, _ := time.ParseDuration(length)
 	switch d.Cmd {
 	case "round":
-		return s.round(name, answer)
+		return s.runRound(name, answer)
 	case "arrive":
-		ev := s.apply(s.flight[name])
+		ev := s.applyAction(s.pendingActions[name])
 		s.core(name).Step(s.now, ev)
 		return fmt.Sprintf("%T", ev)
 	case "short-times":
-		s.times = shortTimes
+		s.timing = shortTiming
 	case "early-times":
-		s.times = earlyTimes
+		s.timing = earlyTakeoverTiming
 	case "sleep":
 		s.now += wait
 	case "rounds":
-		return s.rounds(strings.Fields(d.Input), wait)
+		return s.runRounds(strings.Fields(d.Input), wait)
 	case "release":
 		s.core(name).Step(s.now, Release{})
 	case "peer-epoch":
@@ -113,7 +114,7 @@
 		d.ScanArgs(t, "epoch", &epoch)
 		s.core(name).Step(s.now, PeerEpoch{epoch})
 	case "authority":
-		a := s.core(name).Authority(s.now, Outage{Everywhere: everywhere, Down: everywhere})
+		a := s.core(name).Authority(s.now, StoreOutage{AllEntries: everywhere, ThisEntry: everywhere})
 		return fmt.Sprintf("owner=%v epoch=%d start-after=%v of=%q store-down=%v", a.Owner, a.Epoch, max(0, a.StartAfter-s.now), a.OwnerID, a.StoreDown)
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
@@ -121,12 +122,12 @@
 	return ""
 }
 
-// rounds lets cores run without faults and shows the writes.
-func (s *coreScenario) rounds(names []string, length time.Duration) string {
+// runRounds ticks cores every 100 ms without faults and returns the writes.
+func (s *coreScenario) runRounds(names []string, length time.Duration) string {
 	var out []string
 	for end := s.now + length; s.now < end; s.now += 100 * time.Millisecond {
 		for _, name := range names {
-			if a := s.round(name, ""); strings.HasPrefix(a, "write") {
+			if a := s.runRound(name, ""); strings.HasPrefix(a, "write") {
 				out = append(out, fmt.Sprintf("%v %s", s.now, a))
 			}
 		}
@@ -136,13 +137,14 @@
 
 func TestCore(t *testing.T) {
 	datadriven.Walk(t, "testdata/core", func(t *testing.T, path string) {
-		s := &coreScenario{cores: map[string]*Core{}, flight: map[string]Action{}}
+		s := &coreScenario{cores: map[string]*Core{}, pendingActions: map[string]Action{}}
 		datadriven.RunTest(t, path, s.run)
 	})
 }
 
-// TestSoleRestart shows that a process which knows its predecessor to be dead
-// takes the ownership over at once, while any other waits for the lease's end.
+// TestSoleRestart checks that a process whose ID is exclusive claims the row of
+// its previous incarnation at once, while any other process waits for the lease
+// to expire.
 func TestSoleRestart(t *testing.T) {
 	row := Row{EntryID: "a", Incarnation: "first", Epoch: 7, Beat: 3}
 	for _, tc := range []struct {
@@ -150,7 +152,7 @@
 		sole   bool
 		claims bool
 	}{{"a", true, true}, {"a", false, false}, {"b", true, false}} {
-		c := NewCore(Self{ID: tc.id, Incarnation: "second", Sole: tc.sole}, Times{})
+		c := NewCore(Self{ID: tc.id, Incarnation: "second", ExclusiveID: tc.sole}, Timing{})
 		c.Step(0, Tick{})
 		c.Step(time.Millisecond, ReadDone{Version: 5, Row: row})
 		acts := c.Step(2*time.Millisecond, Tick{})
@@ -164,35 +166,35 @@
 	}
 }
 
-// TestResign shows that an owner which has resigned does not take its term up
-// again, whatever becomes of its last renewal, and that an entry which has
-// heard of it claims the row at once.
+// TestResign checks that an owner which has resigned does not resume its term,
+// even if its last renewal takes effect later, and that an entry which learns of
+// the resignation claims the row at once.
 func TestResign(t *testing.T) {
-	owner := NewCore(Self{ID: "a", Incarnation: "1"}, Times{})
+	owner := NewCore(Self{ID: "a", Incarnation: "1"}, Timing{})
 	owner.Step(0, Tick{})
 	owner.Step(0, ReadDone{})
 	owner.Step(0, Tick{})
 	owner.Step(0, WriteDone{Version: 1})
-	if !owner.Authority(time.Millisecond, Outage{}).Owner {
+	if !owner.Authority(time.Millisecond, StoreOutage{}).Owner {
 		t.Fatal("no owner to begin with")
 	}
-	renewal := owner.Step(DefaultRenew, Tick{})
-	owner.Step(DefaultRenew, Resign{})
-	owner.Step(DefaultRenew, WriteDone{Version: 2})
+	renewal := owner.Step(DefaultRenewInterval, Tick{})
+	owner.Step(DefaultRenewInterval, Resign{})
+	owner.Step(DefaultRenewInterval, WriteDone{Version: 2})
 	row := renewal[0].(Write).Row
-	owner.Step(DefaultRenew, ReadDone{Version: 2, Row: row})
-	if owner.Authority(DefaultRenew, Outage{}).Owner {
-		t.Fatal("owner again after it has resigned")
+	owner.Step(DefaultRenewInterval, ReadDone{Version: 2, Row: row})
+	if owner.Authority(DefaultRenewInterval, StoreOutage{}).Owner {
+		t.Fatal("owner again after its resignation")
 	}
-	other := NewCore(Self{ID: "b", Incarnation: "2"}, Times{})
+	other := NewCore(Self{ID: "b", Incarnation: "2"}, Timing{})
 	other.Step(0, Tick{})
 	other.Step(0, ReadDone{Version: 2, Row: row})
-	if acts := other.Step(DefaultPoll/2, Tick{}); len(acts) > 0 {
-		t.Fatalf("claims before it has heard: %+v", acts)
+	if acts := other.Step(DefaultPollInterval/2, Tick{}); len(acts) > 0 {
+		t.Fatalf("claimed before it learned of the resignation: %+v", acts)
 	}
-	other.Step(DefaultPoll/2, PeerResigned{Epoch: row.Epoch})
-	acts := other.Step(DefaultPoll/2, Tick{})
+	other.Step(DefaultPollInterval/2, PeerResigned{Epoch: row.Epoch})
+	acts := other.Step(DefaultPollInterval/2, Tick{})
 	if w, ok := acts[0].(Write); !ok || w.Version != 2 || w.Row.Epoch != row.Epoch+1 {
-		t.Fatalf("after it has heard: %+v", acts)
+		t.Fatalf("after it learned of the resignation: %+v", acts)
 	}
 }
--- a/internal/owner/store_bench_test.go
+++ b/internal/owner/store_bench_test.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// BenchmarkConfigChange measures the store's transactions for each acknowledged
-// change of the configuration, by one operator and by operators that race each
-// other at all entries. Polls are not counted.
+// BenchmarkConfigChange measures the store transactions for each acknowledged
+// configuration change, with one operator and with operators that race each other
+// at all entries. Polls are not counted.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, racing := range []bool{false, true} {
 		b.Run(fmt.Sprintf("racing=%v", racing), func(b *testing.B) {
-			w := newWorld(1, simProcesses, Times{})
+			w := newWorld(1, simProcesses, Timing{})
 			w.run(10 * time.Second)
 			w.configTxns = 0
 			if racing {
-				w.operators = 0.2
+				w.operatorRate = 0.2
 			}
-			for acked(w) < b.N {
+			for ackCount(w) < b.N {
 				if !racing {
-					w.procs[0].put("a", ^uint64(0))
+					w.procs[0].changeProfile("a", ^uint64(0))
 					continue
 				}
 				w.run(simStep)
 			}
-			if w.oracle.fault != "" {
-				b.Fatal(w.oracle.fault)
+			if w.oracle.violation != "" {
+				b.Fatal(w.oracle.violation)
 			}
-			b.ReportMetric(float64(w.configTxns)/float64(acked(w)), "txns/change")
+			b.ReportMetric(float64(w.configTxns)/float64(ackCount(w)), "txns/change")
 		})
 	}
 }
 
-func acked(w *world) int { return len(w.oracle.acked) }
+func ackCount(w *world) int { return len(w.oracle.acks) }
 
-// BenchmarkInForce measures, in virtual time, how long after its acknowledgement
-// a change is known to all entries.
+// BenchmarkInForce measures, in virtual time, the delay between the
+// acknowledgement of a change and the moment when all entries know it.
 func BenchmarkInForce(b *testing.B) {
-	w := newWorld(1, simProcesses, Times{})
+	w := newWorld(1, simProcesses, Timing{})
 	w.run(10 * time.Second)
 	var sum, worst time.Duration
 	for range b.N {
-		c := w.procs[0].put("a", ^uint64(0))
+		c := w.procs[0].changeProfile("a", ^uint64(0))
 		start := w.now
-		for !known(w, c.result.Version) {
+		for !knownByAll(w, c.result.Version) {
 			w.run(10 * time.Millisecond)
 		}
 		sum += w.now - start
@@ -55,7 +55,7 @@
 	b.ReportMetric(worst.Seconds()*1000, "virtual-ms-max")
 }
 
-func known(w *world, version uint64) bool {
+func knownByAll(w *world, version uint64) bool {
 	for _, p := range w.procs {
 		if p.conf.Current().Version < version {
 			return false
