--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -2,7 +2,7 @@
 
 import "github.com/fasthttp/router"
 
-// PathTargets reads (GET) and replaces (POST) a balancer's targets.
+// PathTargets serves (GET) and replaces (POST) the targets of a balancer.
 const PathTargets = "/control/targets"
 
 // Targets is the body of PathTargets.
@@ -10,7 +10,7 @@
 	Targets []string `json:"targets"`
 }
 
-// Balancer is the control interface of a Relay.
+// Balancer serves the control interface of a Relay.
 type Balancer struct {
 	Faults
 	Relay *Relay
@@ -19,8 +19,8 @@
 func (b *Balancer) faults() *Faults { return &b.Faults }
 
 func (b *Balancer) routes(r *router.Router) {
-	r.GET(PathTargets, get(func() any { return Targets{b.Relay.Targets()} }))
-	r.POST(PathTargets, post(func(in Targets) (Targets, error) {
+	r.GET(PathTargets, getHandler(func() any { return Targets{b.Relay.Targets()} }))
+	r.POST(PathTargets, postHandler(func(in Targets) (Targets, error) {
 		b.Relay.SetTargets(in.Targets...)
 		return in, nil
 	}))
--- a/test/graphs/fleet_test.go
+++ b/test/graphs/fleet_test.go
@@ -275,7 +275,7 @@
 func (a *agent) sendHeartbeats(ctx context.Context) {
 	for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 		a.keeper.HandleHeartbeat(plan.WorkerInfo{
-			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.Born(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
+			ID: a.id, Instance: a.runner.Instance(), StartUnixMillis: a.runner.StartCount(), Pool: "pool", Zone: a.zone, Rack: "r-" + a.zone,
 			Capacity: graph.Resources{MilliCPU: 16000, MemoryMB: 64000, Accelerators: 8},
 			Draining: a.draining.Load(), DrainRemaining: 3 * time.Second,
 		}, sequence)
@@ -375,7 +375,7 @@
 func (f *fleet) startCounts(id graph.JobID) map[graph.TaskID]int {
 	out := map[graph.TaskID]int{}
 	for _, a := range f.agents {
-		for _, t := range a.runner.Starts() {
+		for _, t := range a.runner.StartedTasks() {
 			if t.Job == id {
 				out[t]++
 			}
@@ -386,6 +386,6 @@
 
 func (f *fleet) setTaskDuration(d time.Duration) {
 	for _, a := range f.agents {
-		a.runner.Work = func(graph.TaskID) time.Duration { return d }
+		a.runner.RunDuration = func(graph.TaskID) time.Duration { return d }
 	}
 }
--- a/test/process/ports.go
+++ b/test/process/ports.go
@@ -12,17 +12,17 @@
 	"github.com/juju/errors"
 )
 
-// The ports that tests may use lie below the system's range of ephemeral
-// ports, so that no outgoing connection and no listener on port 0 takes one of
-// them. Blocks of them are locked, so that two test processes share none.
+// Ports for tests are below the system's ephemeral range, so that no outgoing
+// connection and no listener on port 0 uses one of them. Each test process
+// locks whole blocks of ports, so that two processes never share one.
 const (
 	firstPort  = 10_000
 	lastPort   = 29_999
 	blockPorts = 50
 )
 
-// portPool hands out the ports of the blocks that this process has locked.
-// The locks are held until the process ends.
+// portPool allocates ports from the blocks that this process has locked. The
+// locks are held until the process ends.
 type portPool struct {
 	mu    sync.Mutex
 	locks []*os.File
@@ -33,28 +33,28 @@
 
 var ports portPool
 
-// FreeAddresses returns n addresses with the IP. Their ports belong to this
-// process until it ends.
+// FreeAddresses returns n free addresses with the given IP. Their ports are
+// reserved for this process until it ends.
 func FreeAddresses(ip string, n int) ([]string, error) {
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
 	var out []string
 	for len(out) < n {
-		port, err := ports.take()
+		port, err := ports.takePort()
 		if err != nil {
 			return nil, err
 		}
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
-		if listens(address) {
+		if canListen(address) {
 			out = append(out, address)
 		}
 	}
 	return out, nil
 }
 
-// listens reports whether the address can be listened on: a process that is
-// not one of ours may have the port.
-func listens(address string) bool {
+// canListen reports whether the address is free: a process that does not use
+// the port locks may have taken the port.
+func canListen(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -62,7 +62,7 @@
 	return l.Close() == nil
 }
 
-func (p *portPool) take() (int, error) {
+func (p *portPool) takePort() (int, error) {
 	for p.next == p.end {
 		if err := p.lockBlock(); err != nil {
 			return 0, err
@@ -73,7 +73,7 @@
 	return port, nil
 }
 
-// lockBlock locks the next block that no other process holds.
+// lockBlock locks the next block that no other process has locked.
 func (p *portPool) lockBlock() error {
 	dir := filepath.Join(os.TempDir(), "coltsfoot-test-ports")
 	if err := os.MkdirAll(dir, 0o777); err != nil {
--- a/test/procs/gangs_test.go
+++ b/test/procs/gangs_test.go
@@ -12,11 +12,12 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// urgentLimit is the bound within which urgent and reclaimed capacity starts.
-const urgentLimit = 3600 * time.Millisecond
+// urgentStartLimit bounds the time until a gang runs on urgent or reclaimed capacity.
+const urgentStartLimit = 3600 * time.Millisecond
 
-// runningOn waits until the job's tasks run and returns its record.
-func runningOn(t *testing.T, h *harness.Harness, id string, tasks int) api.JobRecord {
+// waitRunning waits until the job runs with the given number of tasks and
+// returns its record.
+func waitRunning(t *testing.T, h *harness.Harness, id string, tasks int) api.JobRecord {
 	t.Helper()
 	var record api.JobRecord
 	h.Eventually("job "+id+" runs", 15*time.Second, func() bool {
@@ -27,37 +28,38 @@
 	return record
 }
 
-// The agents of all workers are stopped or killed, one after the other, and
-// started again while a gang runs: the tasks go on in the same attempt.
+// Guards against an agent restart that ends its running tasks: the agents of
+// all workers are stopped or killed, one after the other, and restarted while a
+// gang runs. The tasks must continue in the same attempt.
 func TestWorkerAgentsRestartedUnderAGang(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
 	id := submit(t, h, "long", harness.Gang(2, accelerators, 9*time.Second, false), h.Owner())
-	before := runningOn(t, h, id, 2)
+	before := waitRunning(t, h, id, 2)
 	for i, w := range h.Workers() {
 		if i%2 == 0 {
 			w.Agent.Kill()
-		} else if err := w.Agent.Term(); err != nil {
+		} else if err := w.Agent.Terminate(); err != nil {
 			t.Errorf("stopped agent: %v", err)
 		}
 		h.StartWorkerAgent(w)
 		h.WaitReady()
 	}
 	record := h.AwaitJob(id, jobLimit)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone || record.Attempt != before.Attempt {
 		t.Errorf("job ended %q in attempt %d, it ran in attempt %d: %s", record.Outcome, record.Attempt, before.Attempt, record.Detail)
 	}
 }
 
-// The agent of a gang's member is frozen past the gang's lease: the gang runs
-// again elsewhere, never both at a time, and the agent starts nothing when it
-// wakes.
+// Guards against overlapping attempts: the agent of one worker of a gang is
+// frozen until after the gang's lease has expired. The gang must run again
+// without overlap, and the agent must start nothing when it resumes.
 func TestWorkerAgentFrozenPastTheGangsLease(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
 	id := submit(t, h, "moved", harness.Gang(2, accelerators, 14*time.Second, true), h.Owner())
-	before := runningOn(t, h, id, 2)
+	before := waitRunning(t, h, id, 2)
 	frozen := h.Worker(before.Placements[0].Worker)
 	frozen.Agent.Freeze()
 	h.Eventually("another attempt", 30*time.Second, func() bool {
@@ -66,14 +68,15 @@
 	})
 	frozen.Agent.Thaw()
 	record := h.AwaitJob(id, jobLimit)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone {
 		t.Errorf("job ended %q: %s", record.Outcome, record.Detail)
 	}
 }
 
-// Preemptible work fills all accelerators; the account with the guarantee
-// claims its shape, again and again.
+// Guards against slow reclaims of guaranteed capacity: preemptible jobs use all
+// accelerators, and the account with the guarantee repeatedly submits a gang of
+// its guaranteed shape.
 func TestGuaranteedShapeIsReclaimedInTime(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -93,10 +96,10 @@
 	for n := range 5 {
 		began := time.Now()
 		id := submit(t, h, fmt.Sprintf("claim-%d", n), shape, h.Owner())
-		h.Eventually("the guaranteed gang runs", urgentLimit, func() bool { return h.RunningTasks(id) == 2 })
+		h.Eventually("the guaranteed gang runs", urgentStartLimit, func() bool { return h.RunningTasks(id) == 2 })
 		t.Logf("claim %d runs after %v", n, time.Since(began).Round(time.Millisecond))
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("claim %d ended %q: %s", n, record.Outcome, record.Detail)
 		}
@@ -104,8 +107,9 @@
 	}
 }
 
-// A zone is taken out while gangs run in it and wait for it: no task starts
-// there after the bound, and its gangs go on elsewhere.
+// Guards against tasks that start in a zone that is out: the zone is taken out
+// while gangs run and wait. After inForceLimit no task may start there, and its
+// gangs must continue in the other zone.
 func TestZoneOutMovesGangs(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -122,7 +126,7 @@
 	out := time.Now()
 	for _, id := range ids {
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("job %s ended %q: %s", id, record.Outcome, record.Detail)
 		}
@@ -134,8 +138,9 @@
 	}
 }
 
-// One account cancels a wave of jobs, most of them queued, one running; the job
-// of another account behind them runs soon.
+// Guards against cancelled jobs that delay others: one account cancels many
+// jobs, most of them queued. The job of another account behind them in the
+// queue must end within 10 s.
 func TestCancellationWave(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -154,21 +159,21 @@
 		}
 	}
 	record := h.AwaitJob(id, 10*time.Second)
-	h.CheckJob(record)
+	h.CheckJobOutcome(record)
 	if record.Outcome != api.OutcomeDone {
 		t.Errorf("job behind the wave ended %q: %s", record.Outcome, record.Detail)
 	}
 	for _, job := range wave {
 		record := h.AwaitJob(job, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeCancelled {
 			t.Errorf("cancelled job %s ended %q: %s", job, record.Outcome, record.Detail)
 		}
 	}
 }
 
-// A worker fails every task it starts: the gangs of several jobs end done on
-// the others, and no job is blamed for the worker.
+// Guards against jobs that fail because of a faulty worker: one worker fails
+// every task that it starts. All jobs must end done on the other workers.
 func TestWorkerThatFailsEveryTask(t *testing.T) {
 	t.Parallel()
 	h := gangSystem(t)
@@ -180,7 +185,7 @@
 	}
 	for _, id := range ids {
 		record := h.AwaitJob(id, jobLimit)
-		h.CheckJob(record)
+		h.CheckJobOutcome(record)
 		if record.Outcome != api.OutcomeDone {
 			t.Errorf("job %s ended %q: %s", id, record.Outcome, record.Detail)
 		}
--- a/test/procs/harness/load.go
+++ b/test/procs/harness/load.go
@@ -16,7 +16,7 @@
 	"github.com/juju/errors"
 )
 
-// Profile is the profile that SetProfile creates and requests use.
+// Profile is the name of the profile that requests and jobs use.
 const Profile = "survey"
 
 const (
@@ -24,7 +24,7 @@
 	retryPause     = 50 * time.Millisecond
 )
 
-// SetProfile creates a profile and waits until it is in force everywhere.
+// SetProfile creates a profile and waits until it is in force in all processes.
 func (h *Harness) SetProfile(p api.Profile) {
 	h.t.Helper()
 	h.Eventually("profile "+p.Name+" accepted", callTimeout, func() bool {
@@ -35,9 +35,10 @@
 	h.WaitInForce(p.Version, callTimeout)
 }
 
-// WaitInForce waits until all processes that run have the configuration of the
-// version or a newer one, and returns how long that took. The entry that is
-// asked may not know the version or all the others yet, so both are checked.
+// WaitInForce waits until all running processes have the configuration of the
+// given version or a newer one, and returns the time that took. It checks the
+// version and the number of processes, because the entry that answers may not
+// know the version or all other processes yet.
 func (h *Harness) WaitInForce(version uint64, limit time.Duration) time.Duration {
 	h.t.Helper()
 	running := len(h.running())
@@ -47,7 +48,7 @@
 	})
 }
 
-// Request is one request of a caller and how it ended.
+// Request is a request of a caller with its result.
 type Request struct {
 	Tag        string
 	Idempotent bool
@@ -60,8 +61,8 @@
 	Took    time.Duration
 }
 
-// Do sends the request with its tag as Idempotency-Key, the first time to the
-// first client. A call without an answer is repeated, to the clients in turn.
+// Do sends the request with its tag as Idempotency-Key. It repeats calls that
+// got no answer, through the clients in turn, starting with the first.
 func (r *Request) Do(ctx context.Context, clients ...*client.Client) {
 	began := time.Now()
 	defer func() { r.Took = time.Since(began) }()
@@ -80,15 +81,16 @@
 		})
 		r.Err = err
 		if !errors.Is(err, client.ErrUnreachable) && !errors.Is(err, client.ErrNoResponse) {
-			r.finish(answer, body)
+			r.recordAnswer(answer, body)
 			return
 		}
 		time.Sleep(retryPause)
 	}
 }
 
-// finish takes in the entry's answer, which must be complete and this request's.
-func (r *Request) finish(answer client.Response, body []byte) {
+// recordAnswer records the answer of an entry and sets Err if it is incomplete
+// or belongs to another request.
+func (r *Request) recordAnswer(answer client.Response, body []byte) {
 	var problem *client.ProblemError
 	if errors.As(r.Err, &problem) {
 		r.Outcome = problem.Outcome
@@ -107,8 +109,8 @@
 	}
 }
 
-// Load sends requests through the balancer from a number of callers until it
-// is stopped.
+// Load sends requests through the balancer from several concurrent callers
+// until Stop.
 type Load struct {
 	h      *Harness
 	name   string
@@ -123,21 +125,21 @@
 // StartLoad starts the callers. Every second request is idempotent.
 func (h *Harness) StartLoad(callers int, body standin.MinionCall) *Load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{h: h, name: fmt.Sprintf("load-%d", h.loads.Add(1)), cancel: cancel}
+	l := &Load{h: h, name: fmt.Sprintf("load-%d", h.loadCount.Add(1)), cancel: cancel}
 	for range callers {
-		l.done.Go(func() { l.call(ctx, body) })
+		l.done.Go(func() { l.sendRequests(ctx, body) })
 	}
 	h.t.Cleanup(cancel)
 	return l
 }
 
-func (l *Load) call(ctx context.Context, body standin.MinionCall) {
+func (l *Load) sendRequests(ctx context.Context, body standin.MinionCall) {
 	for ctx.Err() == nil {
 		n := l.count.Add(1)
 		r := &Request{Tag: fmt.Sprintf("%s-%d", l.name, n), Idempotent: n%2 == 0, Body: body}
-		// A request that has begun is brought to its end after the load's.
-		patient, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*requestTimeout)
-		r.Do(patient, l.h.Client())
+		// A request in progress may still finish after the load has been stopped.
+		requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*requestTimeout)
+		r.Do(requestCtx, l.h.Client())
 		cancel()
 		l.mu.Lock()
 		l.requests = append(l.requests, r)
@@ -145,14 +147,14 @@
 	}
 }
 
-// Count returns the number of requests that have ended.
+// Count returns the number of finished requests.
 func (l *Load) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.requests)
 }
 
-// Stop ends the load and returns all requests.
+// Stop stops the load, waits for requests in progress and returns all requests.
 func (l *Load) Stop() []*Request {
 	l.cancel()
 	l.done.Wait()
@@ -175,12 +177,12 @@
 			parts = append(parts, fmt.Sprintf("%d %q", counts[o], o))
 		}
 	}
-	return fmt.Sprintf("%d requests: %s; %d called again", len(requests), strings.Join(parts, ", "), retried)
+	return fmt.Sprintf("%d requests: %s; %d retried", len(requests), strings.Join(parts, ", "), retried)
 }
 
-// CheckTrue fails the test for each request whose answer is not true of what
-// was executed, or that has no answer.
-func (h *Harness) CheckTrue(requests []*Request) {
+// CheckOutcomes fails the test for each request that has no answer or whose
+// outcome contradicts what the minions have executed.
+func (h *Harness) CheckOutcomes(requests []*Request) {
 	h.t.Helper()
 	executions := h.Executions()
 	for _, r := range requests {
@@ -191,16 +193,16 @@
 		case r.Outcome == api.OutcomeDone && r.Err != nil:
 			h.t.Errorf("%s: %v", r.Tag, r.Err)
 		case r.Outcome == api.OutcomeDone && n == 0:
-			h.t.Errorf("%s is answered done and was not executed", r.Tag)
+			h.t.Errorf("%s was answered done but not executed", r.Tag)
 		case r.Outcome == api.OutcomeNotRun && n > 0:
-			h.t.Errorf("%s is answered not-run and was executed %d times: %v", r.Tag, n, r.Err)
+			h.t.Errorf("%s was answered not-run but executed %d times: %v", r.Tag, n, r.Err)
 		case !r.Idempotent && n > 1:
-			h.t.Errorf("%s is not idempotent and was executed %d times", r.Tag, n)
+			h.t.Errorf("%s is not idempotent but was executed %d times", r.Tag, n)
 		}
 	}
 }
 
-// CheckAllDone fails the test for each request that was not done.
+// CheckAllDone fails the test for each request without the outcome done.
 func (h *Harness) CheckAllDone(requests []*Request) {
 	h.t.Helper()
 	for _, r := range requests {
--- a/test/procs/keys_test.go
+++ b/test/procs/keys_test.go
@@ -11,19 +11,20 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// A caller loses its entry while its request is executed, and the table goes
-// down before it comes back with the same key: the other entry cannot know of
-// the execution and must not say that the request has not run.
+// Guards against a false not-run: the table goes down after a request has been
+// executed through one entry, and the caller, which has lost that entry, repeats
+// the key at the other one. The other entry can't know of the execution, so it
+// must not answer not-run.
 func TestSameKeyWhileTheTableIsDown(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	first := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 300}}
-	done := start(t, first, h, entries[0])
-	executing(h, minions, first.Tag)
-	await(t, "the first call", done)
+	done := startRequest(t, first, h, entries[0])
+	waitExecuting(h, minions, first.Tag)
+	waitForEnd(t, "the first call", done)
 	h.Table.Set(standin.FaultSettings{Down: true})
 	again := &harness.Request{Tag: first.Tag, Body: first.Body}
-	await(t, "the second call", start(t, again, h, entries[1]))
+	waitForEnd(t, "the second call", startRequest(t, again, h, entries[1]))
 	t.Logf("first %q, again %q: %v", first.Outcome, again.Outcome, again.Err)
 	if again.Outcome == api.OutcomeNotRun {
 		t.Errorf("%s is answered not-run although it has run", again.Tag)
@@ -31,20 +32,21 @@
 	h.Table.Set(standin.FaultSettings{})
 	h.Eventually("the answer, once the table is back", 20*time.Second, func() bool {
 		last := &harness.Request{Tag: first.Tag, Body: first.Body}
-		await(t, "a further call", start(t, last, h, entries[1]))
+		waitForEnd(t, "a further call", startRequest(t, last, h, entries[1]))
 		return last.Outcome == api.OutcomeDone && last.Answer.RequestID == first.Answer.RequestID
 	})
-	h.CheckTrue([]*harness.Request{first})
+	h.CheckOutcomes([]*harness.Request{first})
 }
 
-// An entry whose queue is full refuses a key that another entry has executed:
-// the refusal must not say that the request has not run.
+// Guards against a false not-run: an entry with a full queue refuses a key whose
+// request has been executed through another entry. The refusal must not be
+// not-run.
 func TestSameKeyAtAFullEntry(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	h.SetProfile(api.Profile{Name: harness.Profile, ClientAccount: "county", MaxQueue: 1})
 	first := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 100}}
-	await(t, "the first call", start(t, first, h, entries[0]))
+	waitForEnd(t, "the first call", startRequest(t, first, h, entries[0]))
 	var done sync.WaitGroup
 	stop := make(chan struct{})
 	for n := range 40 {
@@ -59,7 +61,7 @@
 	})
 	for range 20 {
 		again := &harness.Request{Tag: first.Tag, Body: first.Body}
-		await(t, "the second call", start(t, again, h, entries[1]))
+		waitForEnd(t, "the second call", startRequest(t, again, h, entries[1]))
 		if again.Outcome == api.OutcomeNotRun {
 			t.Errorf("%s is answered not-run although it has run: %v", again.Tag, again.Err)
 		}
@@ -68,7 +70,7 @@
 	done.Wait()
 }
 
-// flood repeats requests at an entry until it is told to stop.
+// flood sends requests to an entry until stop is closed.
 func flood(t *testing.T, h *harness.Harness, e *harness.Entry, caller int, stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
--- a/test/procs/requests_test.go
+++ b/test/procs/requests_test.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// requestSystem starts two entries and a minion in each of three zones.
+// requestSystem starts two entries and one minion in each of three zones.
 func requestSystem(t *testing.T) (*harness.Harness, []*harness.Entry, []*harness.Minion) {
 	t.Helper()
 	h := harness.New(t)
@@ -25,23 +25,24 @@
 	return h, entries, minions
 }
 
-// executing waits until the tag runs on a minion and returns that minion.
-func executing(h *harness.Harness, minions []*harness.Minion, tag string) *harness.Minion {
-	var at *harness.Minion
+// waitExecuting waits until a minion has started the request with the tag and
+// returns that minion.
+func waitExecuting(h *harness.Harness, minions []*harness.Minion, tag string) *harness.Minion {
+	var found *harness.Minion
 	h.Eventually(tag+" is executed", 5*time.Second, func() bool {
 		for _, m := range minions {
 			if m.Stats().Tags[tag] > 0 {
-				at = m
+				found = m
 			}
 		}
-		return at != nil
+		return found != nil
 	})
-	return at
+	return found
 }
 
-// start runs a request in the background and returns a channel that is closed
-// at its end.
-func start(t *testing.T, r *harness.Request, h *harness.Harness, entries ...*harness.Entry) <-chan struct{} {
+// startRequest sends a request in the background and returns a channel that is
+// closed when the request has ended.
+func startRequest(t *testing.T, r *harness.Request, h *harness.Harness, entries ...*harness.Entry) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -54,56 +55,57 @@
 	return done
 }
 
-func await(t *testing.T, what string, done <-chan struct{}) {
+func waitForEnd(t *testing.T, what string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(25 * time.Second):
-		t.Fatalf("%s does not end", what)
+		t.Fatalf("%s did not end within 25 s", what)
 	}
 }
 
-// An entry is killed while its request is executed; the caller comes back with
-// the same key through the other entry.
+// Guards against a lost answer: an entry is killed while its request is executed,
+// and the caller repeats the key through the other entry.
 func TestEntryKilledInMidRequest(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	r := &harness.Request{Tag: "consent", Body: standin.MinionCall{SleepMS: 1500, Size: 1000}}
-	done := start(t, r, h, entries[0], entries[1])
-	executing(h, minions, r.Tag)
+	done := startRequest(t, r, h, entries[0], entries[1])
+	waitExecuting(h, minions, r.Tag)
 	entries[0].Kill()
-	await(t, "the request", done)
+	waitForEnd(t, "the request", done)
 	t.Logf("%q after %d calls and %v: %v", r.Outcome, r.Calls, r.Took, r.Err)
-	h.CheckTrue([]*harness.Request{r})
+	h.CheckOutcomes([]*harness.Request{r})
 	h.CheckAllDone([]*harness.Request{r})
 }
 
-// An agent is frozen longer than any permission lasts while it executes a
-// request, and woken.
+// Guards against starts after a permission has expired: an agent is frozen while
+// it executes a request, for longer than any permission to start lasts, and
+// resumed.
 func TestAgentFrozenPastItsPermission(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	running := &harness.Request{Tag: "running", Body: standin.MinionCall{SleepMS: 500}}
-	done := start(t, running, h, entries[0])
-	at := executing(h, minions, running.Tag)
-	at.Agent.Freeze()
-	// These reach the frozen agent at first, or pass it by.
+	done := startRequest(t, running, h, entries[0])
+	minion := waitExecuting(h, minions, running.Tag)
+	minion.Agent.Freeze()
+	// Some of these go to the frozen agent first, the others to other agents.
 	var queued []*harness.Request
 	var ends []<-chan struct{}
 	for i := range 12 {
 		r := &harness.Request{Tag: fmt.Sprintf("queued-%d", i), Idempotent: i%2 == 0, Body: standin.MinionCall{SleepMS: 50}}
 		queued = append(queued, r)
-		ends = append(ends, start(t, r, h, entries[i%2]))
+		ends = append(ends, startRequest(t, r, h, entries[i%2]))
 	}
 	time.Sleep(4 * time.Second)
-	at.Agent.Thaw()
-	await(t, "the running request", done)
+	minion.Agent.Thaw()
+	waitForEnd(t, "the running request", done)
 	for _, end := range ends {
-		await(t, "a queued request", end)
+		waitForEnd(t, "a queued request", end)
 	}
 	all := append(queued, running)
 	t.Log(harness.Summary(all))
-	h.CheckTrue(all)
+	h.CheckOutcomes(all)
 	for _, r := range all {
 		if r.Idempotent && r.Outcome != api.OutcomeDone {
 			t.Errorf("idempotent %s ended %q: %v", r.Tag, r.Outcome, r.Err)
@@ -111,25 +113,27 @@
 	}
 }
 
-// The connections between the agents and the entries go silent while requests
-// are executed; new connections work.
+// Guards against requests that hang on a stalled connection: the connections
+// between the agents and an entry stop forwarding without being closed while a
+// request is executed. New connections work.
 func TestSilentConnection(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	r := &harness.Request{Tag: "silent", Body: standin.MinionCall{SleepMS: 1000, Size: 100}}
-	done := start(t, r, h, entries[0])
-	executing(h, minions, r.Tag)
-	if n := entries[0].Relay.Silence(); n == 0 {
+	done := startRequest(t, r, h, entries[0])
+	waitExecuting(h, minions, r.Tag)
+	if n := entries[0].Relay.Stall(); n == 0 {
 		t.Fatal("no connection to silence")
 	}
-	await(t, "the request", done)
+	waitForEnd(t, "the request", done)
 	t.Logf("%q after %v: %v", r.Outcome, r.Took, r.Err)
-	h.CheckTrue([]*harness.Request{r})
+	h.CheckOutcomes([]*harness.Request{r})
 	h.CheckAllDone([]*harness.Request{r})
 }
 
-// All entries and agents are restarted one after the other under a load of
-// short requests and of such that take longer than any notice of a stop.
+// Guards against requests that fail during a rolling restart: all entries and
+// agents are restarted one after the other, under a load of short requests and
+// of requests that take longer than the notice of any planned stop.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -139,13 +143,13 @@
 	for i, e := range entries {
 		next := h.StartEntry(fmt.Sprintf("next-%d", i), e.Zone)
 		h.WaitReady()
-		if err := e.Term(); err != nil {
+		if err := e.Terminate(); err != nil {
 			t.Error(err)
 		}
 		entries[i] = next
 	}
 	for _, m := range minions {
-		if err := m.Agent.Term(); err != nil {
+		if err := m.Agent.Terminate(); err != nil {
 			t.Error(err)
 		}
 		h.StartMinionAgent(m)
@@ -155,12 +159,13 @@
 	h.Eventually("load goes on", 5*time.Second, func() bool { return load.Count() > count+50 })
 	requests := append(load.Stop(), long.Stop()...)
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	h.CheckAllDone(requests)
 }
 
-// One minion loses a third of its answers after it has run the calls, and the
-// connections between agents and entries are cut again and again.
+// Guards against false outcomes when answers are lost: one minion drops a third
+// of its answers after it has executed the calls, and the connections between
+// agents and entries are cut repeatedly.
 func TestLostAnswersAndCutLinks(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -172,7 +177,7 @@
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	for _, r := range requests {
 		if r.Idempotent && r.Outcome != api.OutcomeDone {
 			t.Errorf("idempotent %s ended %q after %v: %v", r.Tag, r.Outcome, r.Took, r.Err)
@@ -180,7 +185,8 @@
 	}
 }
 
-// Signals reach only what the harness started, and all of it ends.
+// Guards against processes that outlive their test: the harness must also end a
+// frozen process.
 func TestHarnessReapsItsProcesses(t *testing.T) {
 	var h *harness.Harness
 	var entry *harness.Entry
--- a/test/procs/zones_test.go
+++ b/test/procs/zones_test.go
@@ -11,13 +11,14 @@
 	"github.com/coltsfootlug/coltsfootlug/test/procs/harness"
 )
 
-// inForceLimit is the bound for a configuration change to be in force everywhere.
+// inForceLimit bounds the time until a configuration change is in force in all
+// processes.
 const inForceLimit = 3 * time.Second
 
-// leaveLimit is the bound after which a leaving endpoint gets nothing new.
+// leaveLimit bounds the time for which a leaving endpoint still gets new calls.
 const leaveLimit = 2 * time.Second
 
-// putZone changes zone z3 and returns its new version.
+// putZone sets the state of zone z3 and returns its new version.
 func putZone(t *testing.T, e *harness.Entry, h *harness.Harness, state api.ZoneState) uint64 {
 	t.Helper()
 	zone, err := h.ClientOf(e).PutZone(context.Background(), "z3", state, client.AnyVersion)
@@ -27,8 +28,8 @@
 	return zone.Version
 }
 
-// executed returns how many calls a minion has started.
-func executed(m *harness.Minion) int {
+// executionCount returns the number of calls that a minion has started.
+func executionCount(m *harness.Minion) int {
 	sum := 0
 	for _, n := range m.Stats().Executions {
 		sum += n
@@ -36,23 +37,23 @@
 	return sum
 }
 
-// checkNoStarts fails if the minion starts anything during the given time.
+// checkNoStarts fails the test if the minion starts a call within d.
 func checkNoStarts(t *testing.T, m *harness.Minion, d time.Duration) {
 	t.Helper()
-	before := executed(m)
+	before := executionCount(m)
 	time.Sleep(d)
-	if n := executed(m) - before; n > 0 {
+	if n := executionCount(m) - before; n > 0 {
 		t.Errorf("%s started %d calls that it must not start", m.ID, n)
 	}
 }
 
-// A zone is taken out through one entry while the other is cut from the table;
-// load goes through both.
+// Guards against starts in a zone that is out: the zone is taken out through one
+// entry while the other is cut from the table, under load through both.
 func TestZoneOutWhileAnEntryIsCutFromTheTable(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	load := h.StartLoad(8, standin.MinionCall{SleepMS: 5})
-	h.Eventually("work in z3", 10*time.Second, func() bool { return executed(minions[2]) > 0 })
+	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 0 })
 	entries[0].CutTable(true)
 	time.Sleep(time.Second)
 	putZone(t, entries[1], h, api.ZoneOut)
@@ -63,16 +64,17 @@
 		_, err := h.ClientOf(entries[0]).PutZone(context.Background(), "z3", api.ZoneIn, client.AnyVersion)
 		return err == nil
 	})
-	before := executed(minions[2])
-	h.Eventually("work in z3 again", 10*time.Second, func() bool { return executed(minions[2]) > before })
+	before := executionCount(minions[2])
+	h.Eventually("work in z3 again", 10*time.Second, func() bool { return executionCount(minions[2]) > before })
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 }
 
-// The zone is out when the table fails and every entry and agent is killed:
-// what starts again runs nothing without a configuration, and the zone is
-// still out when the table is back.
+// Guards against a restart that forgets the zone's state: the zone is out when
+// the table fails and every entry and agent is killed. Restarted processes must
+// run nothing without a configuration, and the zone must still be out when the
+// table is back.
 func TestZoneStaysOutOverARestartOfEverything(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
@@ -81,7 +83,7 @@
 	for _, p := range h.Running() {
 		p.Kill()
 	}
-	before := []int{executed(minions[0]), executed(minions[1]), executed(minions[2])}
+	before := []int{executionCount(minions[0]), executionCount(minions[1]), executionCount(minions[2])}
 	entry := h.StartEntry("e3", "z1")
 	for _, m := range minions {
 		h.StartMinionAgent(m)
@@ -98,52 +100,54 @@
 		t.Errorf("outcome %q without a configuration, want not-run", r.Outcome)
 	}
 	for i, m := range minions {
-		if executed(m) != before[i] {
+		if executionCount(m) != before[i] {
 			t.Errorf("%s started calls without a configuration", m.ID)
 		}
 	}
 	h.Table.Set(standin.FaultSettings{})
 	h.WaitReady()
 	load := h.StartLoad(4, standin.MinionCall{SleepMS: 5})
-	h.Eventually("work goes on", 20*time.Second, func() bool { return executed(minions[0]) > before[0] })
+	h.Eventually("work goes on", 20*time.Second, func() bool { return executionCount(minions[0]) > before[0] })
 	checkNoStarts(t, minions[2], 2*time.Second)
-	h.CheckTrue(load.Stop())
-	if executed(minions[2]) != before[2] {
+	h.CheckOutcomes(load.Stop())
+	if executionCount(minions[2]) != before[2] {
 		t.Errorf("%s started calls although its zone is out", minions[2].ID)
 	}
 }
 
-// The process that applied the change is frozen over it: it wakes with the old
-// version and a full queue, and starts nothing in the zone.
+// Guards against starts on an old configuration: the agent of a minion in the
+// zone is frozen while the zone is taken out. It resumes with the old version and
+// a full queue, and must start nothing.
 func TestAgentFrozenOverAZoneChange(t *testing.T) {
 	t.Parallel()
 	h, entries, minions := requestSystem(t)
 	load := h.StartLoad(8, standin.MinionCall{SleepMS: 5})
-	h.Eventually("work in z3", 10*time.Second, func() bool { return executed(minions[2]) > 0 })
+	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 0 })
 	minions[2].Agent.Freeze()
 	putZone(t, entries[0], h, api.ZoneOut)
 	time.Sleep(inForceLimit)
-	before := executed(minions[2])
+	before := executionCount(minions[2])
 	minions[2].Agent.Thaw()
 	time.Sleep(2 * time.Second)
-	if n := executed(minions[2]) - before; n > 0 {
+	if n := executionCount(minions[2]) - before; n > 0 {
 		t.Errorf("%s started %d calls after its agent woke, although its zone is out", minions[2].ID, n)
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 }
 
-// A minion's agent is told to stop under load: it gets nothing new after the
-// bound and cuts nothing off.
+// Guards against lost calls in a planned stop: a minion's agent is stopped under
+// load. After leaveLimit it must get no new calls, and calls in progress must
+// finish.
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	h, _, minions := requestSystem(t)
-	// The calls last longer than the notice that a stopping agent gives.
+	// The calls take longer than the notice that an agent gives before it stops.
 	load := h.StartLoad(12, standin.MinionCall{SleepMS: 1500})
-	h.Eventually("work in z3", 10*time.Second, func() bool { return executed(minions[2]) > 2 })
+	h.Eventually("work in z3", 10*time.Second, func() bool { return executionCount(minions[2]) > 2 })
 	exit := make(chan error, 1)
-	go func() { exit <- minions[2].Agent.Term() }()
+	go func() { exit <- minions[2].Agent.Terminate() }()
 	time.Sleep(leaveLimit)
 	checkNoStarts(t, minions[2], 2*time.Second)
 	if err := <-exit; err != nil {
@@ -151,6 +155,6 @@
 	}
 	requests := load.Stop()
 	t.Log(harness.Summary(requests))
-	h.CheckTrue(requests)
+	h.CheckOutcomes(requests)
 	h.CheckAllDone(requests)
 }
