--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -125,7 +125,7 @@
 }
 
 func hostedPolicies(store *platform.Store, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *policy.Watcher {
-	return policy.NewWatcher(platform.NewOperator(store), policy.Limits{RevocationTime: s.KeyEnd, ApplyTime: s.ApplyTime}, c, registry, log)
+	return policy.NewWatcher(platform.NewPolicySource(store), policy.Limits{RevocationTime: s.KeyEnd, ApplyTime: s.ApplyTime}, c, registry, log)
 }
 
 func hostedOwner(l *ledger.Client, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -260,11 +260,11 @@
 	if k.worker == nil || k.worker.Incarnation() != t.incarnation {
 		return
 	}
-	if list.Born != 0 && list.Born != t.born {
-		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker has been restarted")
+	if list.StartUnixMillis != 0 && list.StartUnixMillis != t.born {
+		k.log.Info().Str("worker", t.instance).Int64("born", list.StartUnixMillis).Msg("worker has been restarted")
 		k.restart()
 		info := *k.worker
-		info.StartUnixMillis = list.Born
+		info.StartUnixMillis = list.StartUnixMillis
 		k.worker, k.number = &info, 0
 	}
 	now := k.clock()
--- a/internal/agent/keeper/orders.go
+++ b/internal/agent/keeper/orders.go
@@ -153,7 +153,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		_, err := k.runner.Stop(callCtx, t.instance, external.StopRun{Task: ref.task, Run: ref.run, Epoch: t.epoch})
 		cancel()
-		if errors.Is(err, external.ErrRunEpoch) || errors.Is(err, external.ErrRunOtherOne) {
+		if errors.Is(err, external.ErrRunStaleEpoch) || errors.Is(err, external.ErrRunWrongInstance) {
 			return // the next owner, or the new incarnation, settles it
 		}
 		if err == nil && k.hold(ctx, 0) == nil {
--- a/internal/agent/keeper/session.go
+++ b/internal/agent/keeper/session.go
@@ -247,7 +247,7 @@
 	for ctx.Err() == nil && !k.current() {
 		if err := k.hold(ctx, 0); err == nil {
 			return
-		} else if errors.Is(err, external.ErrRunEpoch) {
+		} else if errors.Is(err, external.ErrRunStaleEpoch) {
 			return
 		}
 		kernel.Sleep(ctx, holdRetry)
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -65,9 +65,9 @@
 // ErrHistoryGone says that the table no longer tells what has changed since a version.
 const ErrHistoryGone = errors.ConstError("history is gone")
 
-// Feeder is a table that tells what has changed. All its rows share one
+// ChangeFeed is a table that tells what has changed. All its rows share one
 // counter of versions.
-type Feeder interface {
+type ChangeFeed interface {
 	// Feed returns the rows with the prefix that were written after a version,
 	// in order, as soon as there is one or after wait, and the version up to
 	// which that is all. It may end with ErrHistoryGone.
--- a/internal/external/runner.go
+++ b/internal/external/runner.go
@@ -9,16 +9,16 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// Refusals of a runner: it has done nothing, and for ErrRunOld and
+// Refusals of a runner: it has done nothing, and for ErrRunEnded and
 // ErrRunInvalid it never will.
 const (
-	ErrRunEpoch    = errors.ConstError("a higher epoch has been seen")
-	ErrRunOld      = errors.ConstError("the run, or a later one, has ended or was stopped there")
-	ErrRunLate     = errors.ConstError("the deadline has passed")
-	ErrRunNoRoom   = errors.ConstError("no room")
-	ErrRunBusy     = errors.ConstError("worker is not healthy")
-	ErrRunInvalid  = errors.ConstError("the worker does not take the order")
-	ErrRunOtherOne = errors.ConstError("another incarnation answers")
+	ErrRunStaleEpoch      = errors.ConstError("a higher epoch has been seen")
+	ErrRunEnded           = errors.ConstError("the run, or a later one, has ended or was stopped there")
+	ErrRunDeadlinePassed  = errors.ConstError("the deadline has passed")
+	ErrRunNoCapacity      = errors.ConstError("no room")
+	ErrRunWorkerUnhealthy = errors.ConstError("worker is not healthy")
+	ErrRunInvalid         = errors.ConstError("the worker does not take the order")
+	ErrRunWrongInstance   = errors.ConstError("another incarnation answers")
 )
 
 // StartRun orders a run. Deadline is on the worker's clock; it extends the
@@ -52,11 +52,11 @@
 type RunList struct {
 	// Clock is the worker's clock when it answered.
 	Clock time.Duration
-	// Born is when the worker started, in milliseconds since 1970; 0 if it does
+	// StartUnixMillis is when the worker started, in milliseconds since 1970; 0 if it does
 	// not say.
-	Born    int64
-	Running []graph.RunState
-	Ended   []graph.RunEnd
+	StartUnixMillis int64
+	Running         []graph.RunState
+	Ended           []graph.RunEnd
 }
 
 // Runner is a worker that runs tasks under one lease, and obeys only the
--- a/internal/ledger/feed.go
+++ b/internal/ledger/feed.go
@@ -17,7 +17,7 @@
 // the version up to which they are complete. It waits up to wait for such a row.
 // Deleted rows have version 0. The table must implement external.Feeder.
 func (c *Client) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Row, uint64, error) {
-	feeder, ok := c.table.(external.Feeder)
+	feeder, ok := c.table.(external.ChangeFeed)
 	if !ok {
 		return nil, 0, errors.NotSupportedf("feed of table %T", c.table)
 	}
@@ -41,7 +41,7 @@
 // Newest returns the latest version of the table. A feed continues from it if the
 // history that the feed needs is gone.
 func (c *Client) Newest(ctx context.Context) (uint64, error) {
-	feeder, ok := c.table.(external.Feeder)
+	feeder, ok := c.table.(external.ChangeFeed)
 	if !ok {
 		return 0, errors.NotSupportedf("feed of table %T", c.table)
 	}
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -159,15 +159,15 @@
 		r.lapse()
 		switch run := r.runs[o.Task]; {
 		case r.fenced(o.Epoch):
-			return external.ErrRunEpoch
+			return external.ErrRunStaleEpoch
 		case r.faults.Refuse:
-			return external.ErrRunBusy
+			return external.ErrRunWorkerUnhealthy
 		case run != nil && run.run == o.Run:
 			return nil
 		case run != nil || r.highest[o.Task] >= o.Run:
-			return external.ErrRunOld
+			return external.ErrRunEnded
 		case r.clock() > o.Deadline:
-			return external.ErrRunLate
+			return external.ErrRunDeadlinePassed
 		}
 		r.extend(o.Deadline)
 		r.begin(o)
@@ -214,7 +214,7 @@
 	return r.call(ctx, instance, func() error {
 		r.lapse()
 		if r.fenced(o.Epoch) {
-			return external.ErrRunEpoch
+			return external.ErrRunStaleEpoch
 		}
 		r.highest[o.Task] = max(r.highest[o.Task], o.Run)
 		if run := r.runs[o.Task]; run != nil && run.run == o.Run {
@@ -237,7 +237,7 @@
 	r.lapse()
 	if r.fenced(o.Epoch) {
 		r.mu.Unlock()
-		return external.RunList{}, external.ErrRunEpoch
+		return external.RunList{}, external.ErrRunStaleEpoch
 	}
 	r.extend(o.Deadline)
 	r.seen = max(r.seen, o.Seen)
@@ -268,7 +268,7 @@
 }
 
 func (r *Runner) list() external.RunList {
-	out := external.RunList{Clock: r.clock(), Born: r.born, Ended: append([]graph.RunEnd(nil), r.ended...)}
+	out := external.RunList{Clock: r.clock(), StartUnixMillis: r.born, Ended: append([]graph.RunEnd(nil), r.ended...)}
 	for task, run := range r.runs {
 		percent := int(100 * time.Since(run.began) / run.work)
 		out.Running = append(out.Running, graph.RunState{Task: task, Run: run.run, Checkpoint: run.saved, Percent: min(percent, 99)})
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -47,8 +47,8 @@
 }
 
 var (
-	_ external.Table  = (*Table)(nil)
-	_ external.Feeder = (*Table)(nil)
+	_ external.Table      = (*Table)(nil)
+	_ external.ChangeFeed = (*Table)(nil)
 )
 
 // NewTable returns an empty table.
