--- a/internal/external/client.go
+++ b/internal/external/client.go
@@ -31,21 +31,21 @@
 
 // client sends requests to one platform service. It never retries.
 type client struct {
-	service string
-	base    string
-	timeout time.Duration
-	http    *fasthttp.HostClient
-	guarded *guardedLanes
+	service     string
+	base        string
+	timeout     time.Duration
+	http        *fasthttp.HostClient
+	guardedPool *guardedClientPool
 }
 
 func newClient(service, url string, timeout time.Duration) *client {
 	address := strings.TrimPrefix(strings.TrimRight(url, "/"), "http://")
 	return &client{
-		service: service,
-		base:    "http://" + address,
-		timeout: timeout,
-		http:    NewHostClient(address, maxConnsPerClient),
-		guarded: &guardedLanes{address: address},
+		service:     service,
+		base:        "http://" + address,
+		timeout:     timeout,
+		http:        NewHostClient(address, maxConnsPerClient),
+		guardedPool: &guardedClientPool{address: address},
 	}
 }
 
@@ -77,19 +77,19 @@
 // do sends req and reads the head of its answer, at least, before the earlier
 // of ctx's deadline and the client's timeout. The caller calls done when it has
 // read the body of resp.
-func (c *client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (done func(), err error) {
+func (c *client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (release func(), err error) {
 	startBy, ok := StartBy(ctx)
 	if !ok {
 		return func() {}, c.doWith(ctx, c.http, req, resp)
 	}
-	lane, err := c.guarded.acquire(startBy)
+	guarded, err := c.guardedPool.acquire(startBy)
 	if err != nil {
 		return func() {}, err
 	}
-	return func() { c.guarded.release(lane) }, c.doWith(ctx, lane.http, req, resp)
+	return func() { c.guardedPool.release(guarded) }, c.doWith(ctx, guarded.http, req, resp)
 }
 
-func (c *client) doWith(ctx context.Context, host *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) error {
+func (c *client) doWith(ctx context.Context, httpClient *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) error {
 	if err := ctx.Err(); err != nil {
 		return &notSentError{err}
 	}
@@ -97,7 +97,7 @@
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	err := host.DoDeadline(req, resp, deadline)
+	err := httpClient.DoDeadline(req, resp, deadline)
 	if err == fasthttp.ErrNoFreeConns {
 		return &notSentError{err}
 	}
@@ -114,8 +114,8 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI(c.base + path)
 	req.SetBodyRaw(body)
-	done, err := c.do(ctx, req, resp)
-	defer done()
+	release, err := c.do(ctx, req, resp)
+	defer release()
 	if err != nil {
 		return nil, errors.WithType(errors.Annotatef(err, "%s: %s %s", c.service, method, path), ErrUnavailable)
 	}
@@ -134,11 +134,11 @@
 	if err != nil {
 		return errors.Annotatef(err, "%s: %s", c.service, path)
 	}
-	answer, err := c.exchange(ctx, fasthttp.MethodPost, path, body)
+	respBody, err := c.exchange(ctx, fasthttp.MethodPost, path, body)
 	if err != nil || out == nil {
 		return err
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
+	if err := json.Unmarshal(respBody, out); err != nil {
 		return errors.WithType(errors.Annotatef(err, "%s: %s: answer", c.service, path), ErrUnavailable)
 	}
 	return nil
--- a/internal/external/guarded.go
+++ b/internal/external/guarded.go
@@ -29,12 +29,12 @@
 	return t, ok
 }
 
-// errLapsed says that a guarded call came too late.
-const errLapsed = errors.ConstError("permission to start has lapsed before the call")
+// errPermitLapsed says that a guarded call came too late.
+const errPermitLapsed = errors.ConstError("permission to start has lapsed before the call")
 
-// guardedLane is one connection whose writes are guarded. It serves one call
+// guardedClient is one connection whose writes are guarded. It serves one call
 // at a time.
-type guardedLane struct {
+type guardedClient struct {
 	http    *fasthttp.HostClient
 	startBy time.Time
 	sent    bool
@@ -43,28 +43,28 @@
 // guardedConn refuses the first write of a call after the lane's time.
 type guardedConn struct {
 	net.Conn
-	lane *guardedLane
+	client *guardedClient
 }
 
 func (c *guardedConn) Write(b []byte) (int, error) {
-	if !c.lane.sent && time.Now().After(c.lane.startBy) {
-		return 0, &notSentError{errLapsed}
+	if !c.client.sent && time.Now().After(c.client.startBy) {
+		return 0, &notSentError{errPermitLapsed}
 	}
-	c.lane.sent = true
+	c.client.sent = true
 	return c.Conn.Write(b)
 }
 
-// guardedLanes keeps the idle lanes of a client; the one used last is used next.
-type guardedLanes struct {
+// guardedClientPool keeps the idle lanes of a client; the one used last is used next.
+type guardedClientPool struct {
 	address string
 	stream  bool // of response bodies
 
 	mu    sync.Mutex
-	idle  []*guardedLane
+	idle  []*guardedClient
 	inUse int
 }
 
-func (g *guardedLanes) acquire(startBy time.Time) (*guardedLane, error) {
+func (g *guardedClientPool) acquire(startBy time.Time) (*guardedClient, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inUse >= maxGuardedCalls {
@@ -72,27 +72,27 @@
 	}
 	g.inUse++
 	if n := len(g.idle); n > 0 {
-		lane := g.idle[n-1]
+		guarded := g.idle[n-1]
 		g.idle = g.idle[:n-1]
-		lane.startBy, lane.sent = startBy, false
-		return lane, nil
+		guarded.startBy, guarded.sent = startBy, false
+		return guarded, nil
 	}
-	lane := &guardedLane{startBy: startBy}
-	lane.http = NewHostClient(g.address, 1)
-	lane.http.StreamResponseBody = g.stream
-	lane.http.Dial = func(address string) (net.Conn, error) {
+	guarded := &guardedClient{startBy: startBy}
+	guarded.http = NewHostClient(g.address, 1)
+	guarded.http.StreamResponseBody = g.stream
+	guarded.http.Dial = func(address string) (net.Conn, error) {
 		conn, err := dial(address)
 		if err != nil {
 			return nil, err
 		}
-		return &guardedConn{conn, lane}, nil
+		return &guardedConn{conn, guarded}, nil
 	}
-	return lane, nil
+	return guarded, nil
 }
 
-func (g *guardedLanes) release(lane *guardedLane) {
+func (g *guardedClientPool) release(guarded *guardedClient) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inUse--
-	g.idle = append(g.idle, lane)
+	g.idle = append(g.idle, guarded)
 }
--- a/internal/external/minion.go
+++ b/internal/external/minion.go
@@ -19,7 +19,7 @@
 	// A streamed body keeps the announced length, which tells a complete
 	// answer from one that was cut short.
 	c.http.StreamResponseBody = true
-	c.guarded.stream = true
+	c.guardedPool.stream = true
 	return minionClient{c}
 }
 
@@ -38,8 +38,8 @@
 	req.Header.Set(HeaderRequestID, call.RequestID)
 	req.Header.Set(HeaderAttempt, strconv.FormatUint(uint64(call.Attempt), 10))
 	req.SetBodyRaw(call.Body)
-	done, err := c.do(ctx, req, resp)
-	defer done()
+	release, err := c.do(ctx, req, resp)
+	defer release()
 	defer fasthttp.ReleaseResponse(resp) // before done: it frees the connection
 	if err != nil {
 		return MinionReply{}, callError(err)
--- a/internal/external/worker.go
+++ b/internal/external/worker.go
@@ -31,7 +31,7 @@
 }
 
 func (c workerClient) Checkpoint(ctx context.Context, id string) (TaskStatus, error) {
-	return c.task(ctx, PathWorkerCheckpoint, id)
+	return c.postTask(ctx, PathWorkerCheckpoint, id)
 }
 
 func (c workerClient) Throttle(ctx context.Context, id string, limit api.Resources) error {
@@ -39,7 +39,7 @@
 }
 
 func (c workerClient) Stop(ctx context.Context, id string) (TaskStatus, error) {
-	return c.task(ctx, PathWorkerStop, id)
+	return c.postTask(ctx, PathWorkerStop, id)
 }
 
 func (c workerClient) List(ctx context.Context) ([]TaskStatus, error) {
@@ -48,7 +48,7 @@
 	return reply.Tasks, err
 }
 
-func (c workerClient) task(ctx context.Context, path, id string) (TaskStatus, error) {
+func (c workerClient) postTask(ctx context.Context, path, id string) (TaskStatus, error) {
 	var status TaskStatus
 	err := c.post(ctx, path, TaskRequest{ID: id}, &status)
 	return status, err
