--- a/internal/external/client.go
+++ b/internal/external/client.go
@@ -12,17 +12,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Bounds of one client.
+// Limits of one client.
 const (
 	maxConnsPerClient = 64
-	// maxIdleConnDuration is shorter than the time after which servers close
-	// idle connections: a call on one that is being closed may have been sent.
+	// maxIdleConnDuration is shorter than the servers' idle timeout: if a server
+	// closes a connection during a call, the client cannot tell whether the
+	// request was received.
 	maxIdleConnDuration = time.Second
 	maxResponseBytes    = 64 << 20
 	connectTimeout      = time.Second
 )
 
-// notSentError marks a failure before the first byte of a request was written.
+// notSentError wraps an error that occurred before the first byte of the request
+// was written.
 type notSentError struct{ cause error }
 
 func (e *notSentError) Error() string { return e.cause.Error() }
@@ -49,7 +51,7 @@
 	}
 }
 
-// NewHostClient returns an HTTP client of one address that never retries.
+// NewHostClient returns an HTTP client for one address. It never retries.
 func NewHostClient(address string, maxConns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -74,9 +76,9 @@
 	return conn, nil
 }
 
-// do sends req and reads the head of its answer, at least, before the earlier
-// of ctx's deadline and the client's timeout. The caller calls done when it has
-// read the body of resp.
+// do sends req and reads at least the header of the response, within the earlier
+// of ctx's deadline and the client's timeout. The caller must call release after
+// it has read the body of resp.
 func (c *client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (release func(), err error) {
 	startBy, ok := StartBy(ctx)
 	if !ok {
@@ -104,8 +106,9 @@
 	return err
 }
 
-// exchange sends one request and returns a copy of the response's body.
-// An answer that is neither 2xx nor 404 counts as no answer.
+// exchange sends one request and returns a copy of the response body. It returns
+// ErrNotFound for status 404 and ErrUnavailable for any other status that is
+// not 2xx.
 func (c *client) exchange(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -128,7 +131,7 @@
 	return bytes.Clone(resp.Body()), nil
 }
 
-// post sends in as JSON and decodes the answer into out, which may be nil.
+// post sends in as JSON and decodes the response into out, which may be nil.
 func (c *client) post(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -1,5 +1,5 @@
-// Package external holds the interfaces to the services outside of coltsfootlug (table,
-// object store, workers, minions) and thin HTTP clients for them.
+// Package external defines the interfaces to services outside of coltsfootlug
+// (table, object store, workers, minions) and thin HTTP clients for them.
 package external
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/juju/errors"
 )
 
-// ErrUnavailable says that the service gave no answer. A write may or may not
-// have taken effect.
+// ErrUnavailable means that the service gave no usable response. A write may or
+// may not have taken effect.
 const ErrUnavailable = errors.ConstError("platform service unavailable")
 
-// ErrRefused says that the service refused the call at once: nothing was done,
-// and nothing of the call will be done later. It is an ErrUnavailable as well.
+// ErrRefused means that the service rejected the call without executing it, now
+// or later. It counts as an ErrUnavailable as well.
 const ErrRefused = errors.ConstError("platform service refused the call")
 
-// ErrNotFound says that the named object or task does not exist.
+// ErrNotFound means that the named object or task does not exist.
 const ErrNotFound = errors.ConstError("not found")
 
 // Row is one row of the table. Version grows by one with each write of the
@@ -30,7 +30,8 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Cond requires that Key has Version at commit; 0 requires its absence.
+// Cond is a precondition: Key must have Version at commit; 0 means that the key
+// must be absent.
 type Cond struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -44,9 +45,9 @@
 	Deletes []string `json:"deletes,omitempty"`
 }
 
-// TxnResult tells whether the transaction committed. Rows holds, after a
-// commit, the written rows with their new versions, without values; after a
-// failed condition, the current rows of all conditions, with values.
+// TxnResult is the result of a transaction. After a commit, Rows holds the written
+// rows with their new versions and without values. After a failed condition, it
+// holds the current rows of all conditions, with values.
 type TxnResult struct {
 	Committed bool  `json:"committed"`
 	Rows      []Row `json:"rows"`
@@ -54,7 +55,7 @@
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Get returns a row for each key, in order; absent ones have Version 0.
+	// Get returns a row for each key, in order; absent rows have Version 0.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
 	// Scan returns up to limit rows with the prefix and keys above after, in order of key.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
@@ -62,17 +63,18 @@
 	Commit(ctx context.Context, txn Txn) (TxnResult, error)
 }
 
-// ErrHistoryGone says that the table no longer tells what has changed since a version.
+// ErrHistoryGone means that the table has discarded the changes since the
+// requested version.
 const ErrHistoryGone = errors.ConstError("history is gone")
 
-// ChangeFeed is a table that tells what has changed. All its rows share one
-// counter of versions.
+// ChangeFeed is a table that reports its changes. All its rows share one version
+// counter.
 type ChangeFeed interface {
-	// Feed returns the rows with the prefix that were written after a version,
-	// in order, as soon as there is one or after wait, and the version up to
-	// which that is all. It may end with ErrHistoryGone.
+	// Feed returns the rows with the prefix that were written after a version, in
+	// order, and the version up to which the result is complete. It returns as
+	// soon as there is a row, or after wait. It may return ErrHistoryGone.
 	Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Row, uint64, error)
-	// Newest returns the version that the table has reached.
+	// Newest returns the table's current version.
 	Newest(ctx context.Context) (uint64, error)
 }
 
@@ -95,36 +97,36 @@
 	TaskCheckpointed TaskState = "checkpointed"
 )
 
-// Task is what a worker runs. ID is unique for each attempt; a worker that
-// knows the ID already returns its state and starts nothing.
+// Task is a task to run on a worker. ID is unique for each attempt; a worker that
+// already knows the ID returns the task's state and starts nothing.
 type Task struct {
 	ID        string          `json:"id"`
 	Resources api.Resources   `json:"resources"`
 	Payload   json.RawMessage `json:"payload,omitempty"`
-	// Checkpoint is the object store key to resume from, CheckpointTo the one
-	// under which a checkpoint of this task is saved.
+	// Checkpoint is the object store key to resume from. CheckpointTo is the key
+	// for new checkpoints of this task.
 	Checkpoint   string `json:"checkpoint,omitempty"`
 	CheckpointTo string `json:"checkpoint_to,omitempty"`
 	LeaseMS      int64  `json:"lease_ms"`
 }
 
-// TaskStatus is a worker's report on one task. Usage lags behind.
+// TaskStatus is a worker's report on one task. Usage may be out of date.
 type TaskStatus struct {
 	ID         string    `json:"id"`
 	State      TaskState `json:"state"`
 	ProgressMS int64     `json:"progress_ms"`
-	// Resources is what the task was started with.
+	// Resources are the resources that the task was started with.
 	Resources  api.Resources   `json:"resources"`
 	Usage      api.Resources   `json:"usage"`
 	Output     json.RawMessage `json:"output,omitempty"`
 	Checkpoint string          `json:"checkpoint,omitempty"`
 	Detail     string          `json:"detail,omitempty"`
-	// WorkerFault is set when the failure is the worker's and not the task's.
+	// WorkerFault is set if the worker, not the task, caused the failure.
 	WorkerFault bool `json:"worker_fault,omitempty"`
 }
 
-// Worker is a machine's interface for tasks. A task stops by itself when its
-// lease lapses.
+// Worker is the task interface of a host. A task stops by itself when its lease
+// expires.
 type Worker interface {
 	Start(ctx context.Context, task Task) (TaskStatus, error)
 	Renew(ctx context.Context, ids []string, leaseMS int64) error
@@ -142,18 +144,18 @@
 	Body        []byte
 }
 
-// MinionReply is a minion's complete answer.
+// MinionReply is a minion's complete response.
 type MinionReply struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// ErrNotSent says that the minion was not reached, so the call has not run.
+// ErrNotSent means that the call did not reach the minion and has not run.
 const ErrNotSent = errors.ConstError("minion not reached")
 
-// Minion is the interface of one service process. An error other than
-// ErrNotSent leaves open whether the call ran.
+// Minion is the interface of one service process. After an error other than
+// ErrNotSent, the call may or may not have run.
 type Minion interface {
 	Call(ctx context.Context, req MinionRequest) (MinionReply, error)
 	// Healthy returns nil when the minion can take calls.
--- a/internal/external/guarded.go
+++ b/internal/external/guarded.go
@@ -10,37 +10,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxGuardedCalls bounds the guarded calls of one client in progress.
+// maxGuardedCalls is the maximum number of concurrent guarded calls of a client.
 const maxGuardedCalls = 1024
 
 type startByKey struct{}
 
-// WithStartBy returns a context whose calls send their first byte before t or
-// not at all; a call that comes too late fails as one that was not sent. The
-// time is looked at directly before the write, so that a process which was
-// paused after its decision has no effect when it wakes.
+// WithStartBy returns a context whose calls are sent before t or not at all. A
+// call after t fails with an error that marks it as not sent. The clock is
+// checked immediately before the first write, so that a process that was paused
+// after its decision to call sends nothing when it resumes.
 func WithStartBy(ctx context.Context, t time.Time) context.Context {
 	return context.WithValue(ctx, startByKey{}, t)
 }
 
-// StartBy returns the time that WithStartBy has set.
+// StartBy returns the time set by WithStartBy.
 func StartBy(ctx context.Context) (t time.Time, ok bool) {
 	t, ok = ctx.Value(startByKey{}).(time.Time)
 	return t, ok
 }
 
-// errPermitLapsed says that a guarded call came too late.
+// errPermitLapsed is the cause of a guarded call that was not sent because its
+// start time limit had passed.
 const errPermitLapsed = errors.ConstError("permission to start has lapsed before the call")
 
-// guardedClient is one connection whose writes are guarded. It serves one call
-// at a time.
+// guardedClient is an HTTP client with one connection whose writes are guarded.
+// It serves one call at a time.
 type guardedClient struct {
 	http    *fasthttp.HostClient
 	startBy time.Time
 	sent    bool
 }
 
-// guardedConn refuses the first write of a call after the lane's time.
+// guardedConn rejects the first write of a call after the client's startBy.
 type guardedConn struct {
 	net.Conn
 	client *guardedClient
@@ -54,10 +55,11 @@
 	return c.Conn.Write(b)
 }
 
-// guardedClientPool keeps the idle lanes of a client; the one used last is used next.
+// guardedClientPool holds the guarded clients of one address. Idle clients are
+// reused in last-in, first-out order.
 type guardedClientPool struct {
 	address string
-	stream  bool // of response bodies
+	stream  bool // whether response bodies are streamed
 
 	mu    sync.Mutex
 	idle  []*guardedClient
--- a/internal/external/messages.go
+++ b/internal/external/messages.go
@@ -2,7 +2,7 @@
 
 import "github.com/coltsfootlug/coltsfootlug/internal/api"
 
-// The paths of the HTTP interfaces. Every service also answers on PathHealth.
+// Paths of the HTTP interfaces. Every service also serves PathHealth.
 const (
 	PathHealth           = "/health"
 	PathTableGet         = "/table/get"
@@ -18,7 +18,7 @@
 	PathMinionCall       = "/call"
 )
 
-// Headers of a call of a minion.
+// Headers of a call to a minion.
 const (
 	HeaderRequestID = "Request-Id"
 	HeaderAttempt   = "Request-Attempt"
@@ -36,7 +36,7 @@
 	Limit  int    `json:"limit"`
 }
 
-// RowsReply answers PathTableGet and PathTableScan.
+// RowsReply is the response to PathTableGet and PathTableScan.
 type RowsReply struct {
 	Rows []Row `json:"rows"`
 }
@@ -48,13 +48,13 @@
 }
 
 // TaskRequest is the body of PathWorkerCheckpoint, PathWorkerStop and
-// PathWorkerThrottle; Limit is used by the last one alone.
+// PathWorkerThrottle. Limit is used by PathWorkerThrottle only.
 type TaskRequest struct {
 	ID    string        `json:"id"`
 	Limit api.Resources `json:"limit"`
 }
 
-// ListReply answers PathWorkerList.
+// ListReply is the response to PathWorkerList.
 type ListReply struct {
 	Tasks []TaskStatus `json:"tasks"`
 }
--- a/internal/external/minion.go
+++ b/internal/external/minion.go
@@ -16,8 +16,8 @@
 // earlier of its context's deadline and timeout.
 func NewMinionClient(url string, timeout time.Duration) Minion {
 	c := newClient("minion", url, timeout)
-	// A streamed body keeps the announced length, which tells a complete
-	// answer from one that was cut short.
+	// A streamed body keeps the Content-Length, which distinguishes a complete
+	// response from a truncated one.
 	c.http.StreamResponseBody = true
 	c.guardedPool.stream = true
 	return minionClient{c}
@@ -40,7 +40,7 @@
 	req.SetBodyRaw(call.Body)
 	release, err := c.do(ctx, req, resp)
 	defer release()
-	defer fasthttp.ReleaseResponse(resp) // before done: it frees the connection
+	defer fasthttp.ReleaseResponse(resp) // must run before release, which frees the connection
 	if err != nil {
 		return MinionReply{}, callError(err)
 	}
@@ -55,7 +55,8 @@
 	}, nil
 }
 
-// callError keeps apart the calls that have certainly not reached the minion.
+// callError returns ErrNotSent for calls that certainly did not reach the minion,
+// and ErrUnavailable for all others.
 func callError(err error) error {
 	var notSent *notSentError
 	if errors.As(err, &notSent) {
@@ -64,9 +65,9 @@
 	return errors.WithType(errors.Annotate(err, "calling minion"), ErrUnavailable)
 }
 
-// completeBody reads the body and refuses one whose end is not certain: an
-// answer that is neither chunked nor has a length ends wherever its connection
-// does.
+// completeBody reads the body and returns an error unless it is certainly
+// complete. A response that is neither chunked nor has a length ends when the
+// connection closes, so truncation cannot be detected.
 func completeBody(resp *fasthttp.Response) ([]byte, error) {
 	length := resp.Header.ContentLength()
 	if length < -1 {
--- a/internal/external/runner.go
+++ b/internal/external/runner.go
@@ -9,8 +9,8 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/graph"
 )
 
-// Refusals of a runner: it has done nothing, and for ErrRunEnded and
-// ErrRunInvalid it never will.
+// Errors for orders that a runner rejects without executing them. ErrRunEnded and
+// ErrRunInvalid are permanent: the same order will never be accepted.
 const (
 	ErrRunStaleEpoch      = errors.ConstError("a higher epoch has been seen")
 	ErrRunEnded           = errors.ConstError("the run, or a later one, has ended or was stopped there")
@@ -21,8 +21,9 @@
 	ErrRunWrongInstance   = errors.ConstError("another incarnation answers")
 )
 
-// StartRun orders a run. Deadline is on the worker's clock; it extends the
-// lease of all that the worker runs, and a start that comes later is refused.
+// StartRun is the order to start a run. Deadline is on the worker's clock; it
+// extends the lease of everything that the worker runs. An order that arrives
+// after Deadline is rejected.
 type StartRun struct {
 	Task       graph.TaskID
 	Run        uint64
@@ -32,15 +33,17 @@
 	Epoch      uint64
 }
 
-// StopRun orders the end of a run; one that has not begun never will.
+// StopRun is the order to stop a run. A run that has not started yet will not
+// start later.
 type StopRun struct {
 	Task  graph.TaskID
 	Run   uint64
 	Epoch uint64
 }
 
-// HoldRuns extends the lease to Deadline (0 leaves it), lets the worker forget
-// its ends up to Seen, and waits up to Wait for a further end.
+// HoldRuns is the order to extend the lease to Deadline (0 leaves it unchanged).
+// It acknowledges the ended runs up to number Seen, which the worker may then
+// forget, and waits up to Wait for another run to end.
 type HoldRuns struct {
 	Epoch    uint64
 	Seen     uint64
@@ -48,21 +51,22 @@
 	Wait     time.Duration
 }
 
-// RunList is what a worker runs and which ends it has not been allowed to forget.
+// RunList lists a worker's running runs and its ended runs that have not been
+// acknowledged.
 type RunList struct {
-	// Clock is the worker's clock when it answered.
+	// Clock is the worker's clock at the time of the response.
 	Clock time.Duration
-	// StartUnixMillis is when the worker started, in milliseconds since 1970; 0 if it does
-	// not say.
+	// StartUnixMillis is the worker's start time in milliseconds since 1970; 0
+	// if the worker does not report it.
 	StartUnixMillis int64
 	Running         []graph.RunState
 	Ended           []graph.RunEnd
 }
 
-// Runner is a worker that runs tasks under one lease, and obeys only the
-// highest epoch that it has seen. Instance names the incarnation that a call is
-// meant for. An error other than the refusals leaves open whether the call has
-// taken, or will take, effect.
+// Runner is a worker that runs tasks under one lease. It accepts only orders of
+// the highest epoch it has seen. instance is the incarnation that the call is
+// meant for. After an error that is not one of the ErrRun errors, the call may
+// have taken effect or may still do so.
 type Runner interface {
 	Start(ctx context.Context, instance string, order StartRun) (clock time.Duration, err error)
 	Stop(ctx context.Context, instance string, order StopRun) (clock time.Duration, err error)
--- a/internal/ledger/feed.go
+++ b/internal/ledger/feed.go
@@ -15,7 +15,7 @@
 
 // Feed returns the rows with the prefix that were written after version after, and
 // the version up to which they are complete. It waits up to wait for such a row.
-// Deleted rows have version 0. The table must implement external.Feeder.
+// Deleted rows have version 0. The table must implement external.ChangeFeed.
 func (c *Client) Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Row, uint64, error) {
 	feeder, ok := c.table.(external.ChangeFeed)
 	if !ok {
