--- a/internal/agent/keeper/finder.go
+++ b/internal/agent/keeper/finder.go
@@ -15,73 +15,74 @@
 )
 
 const (
-	// locateTimeout bounds one round of questions to all known entries.
+	// locateTimeout bounds one round of Locate calls to all known entries.
 	locateTimeout = 400 * time.Millisecond
-	// lateReplies is how long the others may take once one entry has named an
-	// owner: a host that is gone answers nothing.
-	lateReplies = 30 * time.Millisecond
-	// rowTimeout bounds one read of the ownership's row.
-	rowTimeout = 600 * time.Millisecond
-	// rowInterval is the least time between two reads of it.
-	rowInterval = time.Second
-	// maxEntries bounds the entries that are remembered.
+	// lateReplyTimeout is how long to wait for the other replies once one entry
+	// has named an owner: a dead host never replies.
+	lateReplyTimeout = 30 * time.Millisecond
+	// rowReadTimeout bounds one read of the ownership row.
+	rowReadTimeout = 600 * time.Millisecond
+	// rowReadInterval is the minimum time between two reads of the ownership row.
+	rowReadInterval = time.Second
+	// maxEntries is the maximum number of remembered entries.
 	maxEntries = 16
 )
 
-// Rows reads rows of the table.
-type Rows interface {
+// RowReader reads rows of the table.
+type RowReader interface {
 	Get(ctx context.Context, cause ledger.Cause, keys ...string) ([]ledger.Row, error)
 }
 
-// Finder finds the entry that owns scheduling: it asks the entries that it
-// knows and, if none of them tells, reads the row of the ownership.
-type Finder struct {
-	pool  rpc.Pool
-	rows  Rows
-	key   string
-	clock func() time.Duration
-	log   zerolog.Logger
-
-	mu      sync.Mutex
-	entries []string // addresses, the last owner first
-	epoch   uint64   // of the ownership that was found last
-	readAt  time.Duration
-	read    bool
+// OwnerFinder finds the entry that owns scheduling. It asks the known entries and,
+// if none of them names an owner, reads the ownership row from the table.
+type OwnerFinder struct {
+	pool   rpc.Pool
+	rows   RowReader
+	rowKey string
+	clock  func() time.Duration
+	log    zerolog.Logger
+
+	mu        sync.Mutex
+	entries   []string // addresses, starting with the last owner
+	lastEpoch uint64   // epoch of the owner found last
+	rowReadAt time.Duration
+	rowRead   bool
 }
 
-// NewFinder returns a finder that knows some addresses to begin with.
-func NewFinder(rows Rows, cell string, entries []string, clock func() time.Duration, log zerolog.Logger) *Finder {
-	return &Finder{rows: rows, key: owner.RowKey(cell), entries: entries, clock: clock, log: log}
+// NewOwnerFinder returns a finder with the initial addresses of entries.
+func NewOwnerFinder(rows RowReader, cell string, entries []string, clock func() time.Duration, log zerolog.Logger) *OwnerFinder {
+	return &OwnerFinder{rows: rows, rowKey: owner.RowKey(cell), entries: entries, clock: clock, log: log}
 }
 
-// Find returns a client of the owner and its address, nil if there is none now.
-func (f *Finder) Find(ctx context.Context) (rpc.FleetClient, string) {
-	owner := f.ask(ctx, "")
-	if owner == nil {
-		owner = f.readRow(ctx)
+// Find returns a client of the owner and its address, nil if no owner is known.
+func (f *OwnerFinder) Find(ctx context.Context) (rpc.FleetClient, string) {
+	located := f.locateAll(ctx, "")
+	if located == nil {
+		located = f.readOwnerRow(ctx)
 	}
-	if owner == nil {
+	if located == nil {
 		return nil, ""
 	}
-	f.remember(owner)
-	return f.client(owner.OwnerAddress), owner.OwnerAddress
+	f.rememberOwner(located)
+	return f.client(located.OwnerAddress), located.OwnerAddress
 }
 
-// Successor returns the address of an owner with a higher epoch than the one that
-// was found last, as the entries besides it know; empty if they know of none.
-func (f *Finder) Successor(ctx context.Context, present string) string {
-	owner := f.ask(ctx, present)
+// Successor returns the address of an owner with a higher epoch than the one found
+// last. It asks the entries other than currentOwner; the result is empty if none of
+// them knows such an owner.
+func (f *OwnerFinder) Successor(ctx context.Context, currentOwner string) string {
+	located := f.locateAll(ctx, currentOwner)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if owner == nil || owner.OwnerAddress == present || owner.Epoch <= f.epoch {
+	if located == nil || located.OwnerAddress == currentOwner || located.Epoch <= f.lastEpoch {
 		return ""
 	}
-	return owner.OwnerAddress
+	return located.OwnerAddress
 }
 
-// ask asks all known entries but one at once and takes the answer with the
-// highest epoch, nil if none names an owner.
-func (f *Finder) ask(ctx context.Context, except string) *rpc.LocateReply {
+// locateAll asks all known entries except one concurrently and returns the reply
+// with the highest epoch, nil if no reply names an owner.
+func (f *OwnerFinder) locateAll(ctx context.Context, except string) *rpc.LocateReply {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	f.mu.Lock()
@@ -91,12 +92,12 @@
 	for _, e := range entries {
 		go func() { replies <- f.locate(ctx, e) }()
 	}
-	return newest(replies, len(entries))
+	return highestEpochReply(replies, len(entries))
 }
 
-// newest returns the answer with the highest epoch among up to n. Once one
-// names an owner, those that are still missing have lateReplies.
-func newest(replies <-chan *rpc.LocateReply, n int) (best *rpc.LocateReply) {
+// highestEpochReply returns the reply with the highest epoch among up to n. Once
+// one reply names an owner, the outstanding ones have lateReplyTimeout to arrive.
+func highestEpochReply(replies <-chan *rpc.LocateReply, n int) (best *rpc.LocateReply) {
 	var late <-chan time.Time
 	for range n {
 		select {
@@ -108,7 +109,7 @@
 				best = r
 			}
 			if late == nil {
-				late = time.After(lateReplies)
+				late = time.After(lateReplyTimeout)
 			}
 		case <-late:
 			return best
@@ -117,61 +118,62 @@
 	return best
 }
 
-func (f *Finder) locate(ctx context.Context, address string) *rpc.LocateReply {
+func (f *OwnerFinder) locate(ctx context.Context, address string) *rpc.LocateReply {
 	client := f.client(address)
 	if client == nil {
 		return nil
 	}
 	reply, err := client.Locate(ctx, &rpc.LocateRequest{})
 	if err != nil {
-		return nil // it is asked again in the next round
+		return nil // asked again in the next round
 	}
 	return reply
 }
 
-func (f *Finder) client(address string) rpc.FleetClient {
+func (f *OwnerFinder) client(address string) rpc.FleetClient {
 	client, err := f.pool.Fleet(address)
 	if err != nil {
-		f.log.Error().Err(err).Str("entry", address).Msg("address cannot be dialled")
+		f.log.Error().Err(err).Str("entry", address).Msg("failed to create gRPC client for entry address")
 		return nil
 	}
 	return client
 }
 
-func (f *Finder) remember(owner *rpc.LocateReply) {
+func (f *OwnerFinder) rememberOwner(located *rpc.LocateReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.epoch = owner.Epoch
-	entries := []string{owner.OwnerAddress}
+	f.lastEpoch = located.Epoch
+	entries := []string{located.OwnerAddress}
 	for _, e := range f.entries {
-		if e != owner.OwnerAddress && len(entries) < maxEntries {
+		if e != located.OwnerAddress && len(entries) < maxEntries {
 			entries = append(entries, e)
 		}
 	}
 	f.entries = entries
 }
 
-// readRow reads the owner from the table, nil if it names none.
-func (f *Finder) readRow(ctx context.Context) *rpc.LocateReply {
+// readOwnerRow reads the owner from the table. It returns nil if the row names no
+// owner, cannot be read or was read less than rowReadInterval ago.
+func (f *OwnerFinder) readOwnerRow(ctx context.Context) *rpc.LocateReply {
 	f.mu.Lock()
-	due := !f.read || f.clock()-f.readAt >= rowInterval
+	due := !f.rowRead || f.clock()-f.rowReadAt >= rowReadInterval
 	if due {
-		f.read, f.readAt = true, f.clock()
+		f.rowRead, f.rowReadAt = true, f.clock()
 	}
 	f.mu.Unlock()
 	if !due {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, rowReadTimeout)
 	defer cancel()
-	rows, err := f.rows.Get(ctx, ledger.CauseOwner, f.key)
+	rows, err := f.rows.Get(ctx, ledger.CauseOwner, f.rowKey)
 	if err != nil || rows[0].Version == 0 {
-		f.log.Info().Err(err).Msg("no entry tells who owns scheduling, nor does the table")
+		f.log.Info().Err(err).Msg("no owner found: no entry names one and the ownership row is missing or unreadable")
 		return nil
 	}
 	var row owner.Row
 	if err := json.Unmarshal(rows[0].Data, &row); err != nil {
-		f.log.Error().Err(err).Str("row", f.key).Msg("row cannot be read")
+		f.log.Error().Err(err).Str("row", f.rowKey).Msg("failed to decode ownership row")
 		return nil
 	}
 	if row.Addr == "" {
--- a/internal/entry/graphs/peers.go
+++ b/internal/entry/graphs/server.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// askTimeout bounds one question to the owner.
-	askTimeout = 400 * time.Millisecond
-	// keepaliveTime and keepaliveTimeout find connections that have gone silent.
+	// ownerQueryTimeout bounds one query to the owner.
+	ownerQueryTimeout = 400 * time.Millisecond
+	// keepaliveTime and keepaliveTimeout detect dead connections.
 	keepaliveTime    = 2 * time.Second
 	keepaliveTimeout = time.Second
 )
@@ -32,7 +32,7 @@
 	front     *Front
 	handover  *Handover
 	server    *grpc.Server
-	served    sync.WaitGroup
+	serving   sync.WaitGroup
 }
 
 // NewServer returns a server that does not listen yet.
@@ -51,9 +51,9 @@
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}))
 	rpc.RegisterFleetServer(s.server, s)
-	s.served.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer s.served.Done()
+		defer s.serving.Done()
 		// Serve returns an error only when the listener is closed.
 		_ = s.server.Serve(listener)
 	}()
@@ -63,11 +63,11 @@
 // Stop ends all connections.
 func (s *Server) Stop(context.Context) error {
 	s.server.Stop()
-	s.served.Wait()
+	s.serving.Wait()
 	return nil
 }
 
-// Locate tells which entry owns scheduling.
+// Locate returns the address and epoch of the entry that owns scheduling.
 func (s *Server) Locate(context.Context, *rpc.LocateRequest) (*rpc.LocateReply, error) {
 	a := s.owner.Current()
 	return &rpc.LocateReply{OwnerAddress: a.OwnerAddr, Epoch: a.Epoch}, nil
@@ -75,69 +75,73 @@
 
 // Attend serves the agent of one worker.
 func (s *Server) Attend(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
-	return s.scheduler.Attend(stream)
+	return s.scheduler.ServeAgent(stream)
 }
 
-// JobStatus answers for a job.
+// JobStatus returns the state of a job, if this entry knows it as the owner.
 func (s *Server) JobStatus(_ context.Context, r *rpc.JobStatusRequest) (*rpc.JobStatusReply, error) {
-	state, known := s.scheduler.Status(graph.JobID(r.Job))
+	state, known := s.scheduler.JobState(graph.JobID(r.Job))
 	return &rpc.JobStatusReply{Known: known, State: string(state)}, nil
 }
 
-// PendingJobs answers for a queue.
+// PendingJobs returns the number of a queue's pending jobs. It fails on entries
+// that don't own scheduling.
 func (s *Server) PendingJobs(_ context.Context, r *rpc.PendingJobsRequest) (*rpc.PendingJobsReply, error) {
-	n, known := s.scheduler.Pending(r.Queue)
+	n, known := s.scheduler.PendingJobs(r.Queue)
 	if !known {
 		return nil, errNotOwner
 	}
 	return &rpc.PendingJobsReply{Pending: int64(n)}, nil
 }
 
-// Relay serves a request that another entry's caller has made.
+// Relay serves a caller request forwarded by another entry.
 func (s *Server) Relay(_ context.Context, r *rpc.RelayRequest) (*rpc.RelayReply, error) {
 	return serveRelayed(s.front, r)
 }
 
-// HandOver tells an owner without the table whether this entry has it.
+// HandOver tells an owner that has lost the table whether this entry can take
+// over.
 func (s *Server) HandOver(ctx context.Context, r *rpc.HandOverRequest) (*rpc.HandOverReply, error) {
-	return s.handover.serve(ctx, r), nil
+	return s.handover.handleHandOver(ctx, r), nil
 }
 
-// Router asks the owner, in this process or in another entry.
-type Router struct {
+// OwnerClient queries the owner, in this process or over gRPC in another entry.
+type OwnerClient struct {
 	scheduler *Scheduler
 	owner     Ownership
 	pool      rpc.Pool
 }
 
-var _ Owner = (*Router)(nil)
+var _ OwnerQuerier = (*OwnerClient)(nil)
 
-// NewRouter returns a router without connections.
-func NewRouter(s *Scheduler, o Ownership) *Router { return &Router{scheduler: s, owner: o} }
+// NewOwnerClient returns a client without connections.
+func NewOwnerClient(s *Scheduler, o Ownership) *OwnerClient {
+	return &OwnerClient{scheduler: s, owner: o}
+}
 
-// remote returns a client of the owner in another process, nil if there is none.
-func (r *Router) remote() rpc.FleetClient {
+// remoteOwner returns a client of the owner in another process, or nil.
+func (r *OwnerClient) remoteOwner() rpc.FleetClient {
 	a := r.owner.Current()
 	if a.Owner || a.OwnerAddr == "" {
 		return nil
 	}
 	client, err := r.pool.Fleet(a.OwnerAddr)
 	if err != nil {
-		return nil // an address that cannot be dialled is as good as none
+		return nil // treated like an unknown owner
 	}
 	return client
 }
 
-// Status asks for a job's state.
-func (r *Router) Status(ctx context.Context, id graph.JobID) (graph.State, bool) {
-	if state, known := r.scheduler.Status(id); known {
+// JobState returns a job's state as the owner knows it.
+func (r *OwnerClient) JobState(ctx context.Context, id graph.JobID) (graph.State, bool) {
+	if state, known := r.scheduler.JobState(id); known {
 		return state, true
 	}
-	client := r.remote()
+	client := r.remoteOwner()
 	if client == nil {
 		return "", false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerQueryTimeout)
 	defer cancel()
 	reply, err := client.JobStatus(ctx, &rpc.JobStatusRequest{Job: string(id)})
 	if err != nil || !reply.Known {
@@ -146,16 +150,16 @@
 	return graph.State(reply.State), true
 }
 
-// Pending asks for a queue's length.
-func (r *Router) Pending(ctx context.Context, queue string) (int, bool) {
-	if n, known := r.scheduler.Pending(queue); known {
+// PendingJobs returns the number of a queue's pending jobs.
+func (r *OwnerClient) PendingJobs(ctx context.Context, queue string) (int, bool) {
+	if n, known := r.scheduler.PendingJobs(queue); known {
 		return n, true
 	}
-	client := r.remote()
+	client := r.remoteOwner()
 	if client == nil {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerQueryTimeout)
 	defer cancel()
 	reply, err := client.PendingJobs(ctx, &rpc.PendingJobsRequest{Queue: queue})
 	if err != nil {
--- /dev/null
+++ b/internal/entry/graphs/session.go
@@ -0,0 +1,176 @@
+package graphs
+
+import (
+	"sync"
+
+	"github.com/google/uuid"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"github.com/coltsfootlug/coltsfootlug/internal/graph/plan"
+	"github.com/coltsfootlug/coltsfootlug/internal/rpc"
+)
+
+// session is one connection of a worker's agent.
+type session struct {
+	id string
+
+	mu            sync.Mutex
+	pendingOrders []*rpc.WorkerOrders // one element per addressed worker incarnation
+	ready         chan struct{}
+	done          chan struct{}
+	closed        bool
+}
+
+func newSession() *session {
+	return &session{id: uuid.NewString(), ready: make(chan struct{}, 1), done: make(chan struct{})}
+}
+
+// addOrder applies change to the pending orders of a worker incarnation.
+func (s *session) addOrder(token uint64, incarnation string, change func(*rpc.WorkerOrders)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := len(s.pendingOrders)
+	if n == 0 || s.pendingOrders[n-1].Incarnation != incarnation {
+		s.pendingOrders = append(s.pendingOrders, &rpc.WorkerOrders{Epoch: token, Incarnation: incarnation})
+		n++
+	}
+	change(s.pendingOrders[n-1])
+}
+
+// flush wakes the sender if orders are pending.
+func (s *session) flush() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.pendingOrders) == 0 {
+		return
+	}
+	select {
+	case s.ready <- struct{}{}:
+	default:
+	}
+}
+
+func (s *session) takeOrders() []*rpc.WorkerOrders {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := s.pendingOrders
+	s.pendingOrders = nil
+	return out
+}
+
+func (s *session) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closed {
+		s.closed = true
+		close(s.done)
+	}
+}
+
+// errNotOwner tells an agent to locate the owner again.
+var errNotOwner = status.Error(codes.FailedPrecondition, "this entry does not own scheduling")
+
+// ServeAgent exchanges reports and orders with one agent until the connection or
+// the term ends.
+func (s *Scheduler) ServeAgent(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders]) error {
+	t := s.currentTerm()
+	if t == nil || !t.ownsScheduling() {
+		return errNotOwner
+	}
+	sess := newSession()
+	received := make(chan error, 1)
+	go func() { received <- t.receiveReports(stream, sess) }()
+	err := sess.sendLoop(stream, received)
+	t.removeSession(sess)
+	return err
+}
+
+func (s *session) sendLoop(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders], received <-chan error) error {
+	for {
+		select {
+		case err := <-received:
+			return err
+		case <-s.done:
+			return errNotOwner
+		case <-s.ready:
+		}
+		for _, o := range s.takeOrders() {
+			if err := stream.Send(o); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+func (t *term) receiveReports(stream grpc.BidiStreamingServer[rpc.WorkerReport, rpc.WorkerOrders], sess *session) error {
+	for {
+		r, err := stream.Recv()
+		if err != nil {
+			return err
+		}
+		if !t.ownsScheduling() {
+			return errNotOwner
+		}
+		t.setSession(r.Worker, sess)
+		if r.Listed {
+			t.step(plan.WorkerReport{Worker: rpc.WorkerInfoOf(r), Session: sess.id,
+				Running: rpc.RunStatesOf(r.Running), Ended: rpc.RunEndsOf(r.Ended), Absent: absentRuns(r.Absent),
+				Number: r.Beat, WorkerResponsive: r.Answering, WorkerLeft: r.Gone})
+		}
+		t.acknowledgeReport(r, sess)
+	}
+}
+
+// acknowledgeReport answers a report even if there are no orders, so that the
+// agent learns the term's token and that the owner receives its reports.
+func (t *term) acknowledgeReport(r *rpc.WorkerReport, sess *session) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed || !t.ownsScheduling() {
+		return
+	}
+	sess.addOrder(t.token, rpc.WorkerInfoOf(r).Incarnation(), func(*rpc.WorkerOrders) {})
+	sess.flush()
+}
+
+// setSession makes sess the worker's current session and closes the previous one.
+func (t *term) setSession(worker string, sess *session) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	old := t.sessions[worker]
+	if old == sess {
+		return
+	}
+	if old != nil {
+		old.close()
+	}
+	t.sessions[worker] = sess
+	t.log.Info().Str("worker", worker).Str("session", sess.id).Msg("agent connected")
+}
+
+func (t *term) removeSession(sess *session) {
+	worker := ""
+	t.mu.Lock()
+	for w, s := range t.sessions {
+		if s == sess {
+			worker = w
+			delete(t.sessions, w)
+		}
+	}
+	t.mu.Unlock()
+	if worker != "" {
+		t.log.Info().Str("worker", worker).Str("session", sess.id).Msg("agent disconnected")
+		t.step(plan.SessionClosed{Worker: worker, Session: sess.id})
+	}
+}
+
+func absentRuns(in []*rpc.AbsentTask) []plan.RunAbsent {
+	out := make([]plan.RunAbsent, len(in))
+	for i, a := range in {
+		task, run := rpc.TaskOf(a.Ref)
+		out[i] = plan.RunAbsent{Task: task, Run: run, Reason: a.Reason}
+	}
+	return out
+}
--- a/internal/entry/graphs/store.go
+++ b/internal/entry/graphs/store.go
@@ -1,6 +1,6 @@
 // Package graphs is the part of an entry that serves jobs which are graphs of
-// steps: it accepts them, answers for them and, while the entry owns
-// scheduling, drives their decision core with the agents of the workers.
+// steps. It accepts jobs, answers queries about them and, while the entry owns
+// scheduling, connects their decision core with the agents of the workers.
 package graphs
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/ledger"
 )
 
-// The rows. A job has up to three: what the caller asked for, written once by
-// the entry that accepts it; its cancelling, written once by any entry; and its
-// progress, written by the owner alone.
+// Row keys. A job has up to three rows: the request, written once by the entry
+// that accepts it; its cancellation, written once by any entry; and its progress,
+// written only by the owner.
 const (
 	jobsPrefix     = "graph/j/"
 	jobSuffix      = "/job"
 	cancelSuffix   = "/cancel"
 	progressSuffix = "/progress"
-	// fenceKey is written by each new owner before it reads the jobs. All its
-	// writes of progress require it unchanged, so that none of an earlier owner
-	// takes effect after that.
+	// fenceKey is the row that each new owner writes before it reads the jobs.
+	// Each write of progress requires this row to be unchanged, so that no write
+	// of an earlier owner can take effect afterwards.
 	fenceKey = "graph/fence"
 )
 
-// scanPage is the number of rows of one call of a scan.
-const scanPage = 500
+// scanPageRows is the page size of scans.
+const scanPageRows = 500
 
-// Table is the lasting state that jobs live in.
+// Table is the durable storage of jobs.
 type Table interface {
 	ledger.Ledger
 	Feed(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]ledger.Row, uint64, error)
@@ -44,16 +44,16 @@
 // Store reads and writes the rows of jobs.
 type Store struct{ table Table }
 
-// NewStore returns the rows of jobs in a table.
+// NewStore returns a store on a table.
 func NewStore(t Table) *Store { return &Store{t} }
 
 func jobKey(id graph.JobID) string      { return jobsPrefix + string(id) + jobSuffix }
 func cancelKey(id graph.JobID) string   { return jobsPrefix + string(id) + cancelSuffix }
 func progressKey(id graph.JobID) string { return jobsPrefix + string(id) + progressSuffix }
 
-// Accept makes a job durable. A job with the same ID that is there already
-// stands for it.
-func (s *Store) Accept(ctx context.Context, job *graph.Job) error {
+// InsertJob makes a job durable. It succeeds without a write if a job with the same
+// ID exists already.
+func (s *Store) InsertJob(ctx context.Context, job *graph.Job) error {
 	_, err := s.table.Commit(ctx, ledger.CauseJob, ledger.Write{Key: jobKey(job.ID), Data: ledger.Encode(job)})
 	if errors.Is(err, ledger.ErrConflict) {
 		return nil
@@ -61,9 +61,9 @@
 	return errors.Annotatef(err, "accepting job %q", job.ID)
 }
 
-// Cancel makes the cancelling of a job durable; found is false if there is no
-// such job.
-func (s *Store) Cancel(ctx context.Context, id graph.JobID) (found bool, err error) {
+// CancelJob makes the cancellation of a job durable; found is false if the job does
+// not exist.
+func (s *Store) CancelJob(ctx context.Context, id graph.JobID) (found bool, err error) {
 	rows, err := s.table.Get(ctx, ledger.CauseJob, jobKey(id))
 	if err != nil {
 		return false, errors.Annotatef(err, "cancelling job %q", id)
@@ -78,29 +78,30 @@
 	return true, errors.Annotatef(err, "cancelling job %q", id)
 }
 
-// State reads a job's state from its rows; found is false if there is no such job.
-func (s *Store) State(ctx context.Context, id graph.JobID) (state graph.State, found bool, err error) {
-	rows, err := s.table.Scan(ctx, ledger.CauseJob, jobsPrefix+string(id)+"/", "", scanPage)
+// JobState reads a job's state from its rows; found is false if the job does not
+// exist.
+func (s *Store) JobState(ctx context.Context, id graph.JobID) (state graph.State, found bool, err error) {
+	rows, err := s.table.Scan(ctx, ledger.CauseJob, jobsPrefix+string(id)+"/", "", scanPageRows)
 	if err != nil {
 		return "", false, errors.Annotatef(err, "state of job %q", id)
 	}
-	loaded, err := decode(rows)
+	loaded, err := decodeJobs(rows)
 	if err != nil || len(loaded) == 0 || loaded[0].job == nil {
 		return "", false, err
 	}
 	return loaded[0].state(), true, nil
 }
 
-// stored is a job as its rows tell.
-type stored struct {
-	id        graph.JobID
-	job       *graph.Job // nil if only its other rows were read
-	cancelled bool
-	progress  *graph.Progress
-	version   uint64 // of the progress row
+// storedJob is a job decoded from its rows.
+type storedJob struct {
+	id              graph.JobID
+	job             *graph.Job // nil if the job's request row was not among the rows
+	cancelled       bool
+	progress        *graph.Progress
+	progressVersion uint64
 }
 
-func (s *stored) state() graph.State {
+func (s *storedJob) state() graph.State {
 	switch {
 	case s.progress != nil && s.progress.State.Final():
 		return s.progress.State
@@ -113,10 +114,10 @@
 	}
 }
 
-// decode groups rows by job, in order of the first row of each.
-func decode(rows []ledger.Row) ([]*stored, error) {
-	var out []*stored
-	byID := map[graph.JobID]*stored{}
+// decodeJobs groups rows by job, in the order of each job's first row.
+func decodeJobs(rows []ledger.Row) ([]*storedJob, error) {
+	var out []*storedJob
+	byID := map[graph.JobID]*storedJob{}
 	for _, r := range rows {
 		id, kind, ok := splitKey(r.Key)
 		if !ok || r.Version == 0 {
@@ -124,18 +125,18 @@
 		}
 		s := byID[id]
 		if s == nil {
-			s = &stored{id: id}
+			s = &storedJob{id: id}
 			byID[id] = s
 			out = append(out, s)
 		}
-		if err := s.take(id, kind, r); err != nil {
+		if err := s.decodeRow(id, kind, r); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-func (s *stored) take(id graph.JobID, kind string, r ledger.Row) error {
+func (s *storedJob) decodeRow(id graph.JobID, kind string, r ledger.Row) error {
 	switch kind {
 	case jobSuffix:
 		s.job = &graph.Job{}
@@ -146,7 +147,7 @@
 	case cancelSuffix:
 		s.cancelled = true
 	case progressSuffix:
-		s.progress, s.version = &graph.Progress{}, r.Version
+		s.progress, s.progressVersion = &graph.Progress{}, r.Version
 		if err := json.Unmarshal(r.Data, s.progress); err != nil {
 			return errors.Annotatef(err, "row %q", r.Key)
 		}
@@ -166,26 +167,26 @@
 	return graph.JobID(rest[:i]), rest[i:], true
 }
 
-// Load returns all jobs, in order of their IDs.
-func (s *Store) Load(ctx context.Context) ([]*stored, error) {
+// LoadJobs returns all jobs, ordered by ID.
+func (s *Store) LoadJobs(ctx context.Context) ([]*storedJob, error) {
 	var rows []ledger.Row
 	after := ""
 	for {
-		page, err := s.table.Scan(ctx, ledger.CauseRecovery, jobsPrefix, after, scanPage)
+		page, err := s.table.Scan(ctx, ledger.CauseRecovery, jobsPrefix, after, scanPageRows)
 		if err != nil {
 			return nil, errors.Annotate(err, "loading jobs")
 		}
 		rows = append(rows, page...)
-		if len(page) < scanPage {
-			return decode(rows)
+		if len(page) < scanPageRows {
+			return decodeJobs(rows)
 		}
 		after = page[len(page)-1].Key
 	}
 }
 
-// Retention removes jobs that have been final for long, the progress last: its
-// row names the job.
-func (s *Store) Retention() retention.Rule {
+// RetentionRule returns the rule that removes jobs some time after they have
+// become final. The progress row is removed last, because it names the job.
+func (s *Store) RetentionRule() retention.Rule {
 	return retention.Rule{
 		Name:   "graphs",
 		Prefix: jobsPrefix,
@@ -198,13 +199,13 @@
 			if err := json.Unmarshal(data, &p); err != nil {
 				return errors.Trace(err)
 			}
-			return s.remove(ctx, jobKey(p.Job), cancelKey(p.Job))
+			return s.deleteRows(ctx, jobKey(p.Job), cancelKey(p.Job))
 		},
 	}
 }
 
-// remove deletes those of the rows that are there.
-func (s *Store) remove(ctx context.Context, keys ...string) error {
+// deleteRows deletes the given rows, skipping those that do not exist.
+func (s *Store) deleteRows(ctx context.Context, keys ...string) error {
 	for _, key := range keys {
 		rows, err := s.table.Get(ctx, ledger.CauseCleanup, key)
 		if err != nil {
@@ -220,31 +221,31 @@
 	return nil
 }
 
-// fence is the row that an owner writes at the start of each term. Token counts
-// the terms: an owner that has lost its ownership for a moment and found it
-// unclaimed begins another term under the same epoch.
-type fence struct {
+// fenceRow is the row that an owner writes at the start of each term. Token counts
+// terms: an owner that has lost its ownership briefly and regained it without
+// another owner in between begins a new term under the same epoch.
+type fenceRow struct {
 	Epoch uint64 `json:"epoch"`
 	Token uint64 `json:"token"`
 }
 
-// Fence keeps the writes of all earlier terms from taking effect. It returns
-// the term's fencing token and the version of the fence's row.
-func (s *Store) Fence(ctx context.Context, epoch uint64) (token, version uint64, err error) {
+// AdvanceFence prevents the writes of all earlier terms from taking effect. It
+// returns the term's fencing token and the version of the fence row.
+func (s *Store) AdvanceFence(ctx context.Context, epoch uint64) (token, version uint64, err error) {
 	rows, err := s.table.Get(ctx, ledger.CauseOwner, fenceKey)
 	if err != nil {
 		return 0, 0, errors.Annotate(err, "reading the fence")
 	}
-	var present fence
+	var current fenceRow
 	if rows[0].Version > 0 {
-		if err := json.Unmarshal(rows[0].Data, &present); err != nil {
+		if err := json.Unmarshal(rows[0].Data, &current); err != nil {
 			return 0, 0, errors.Annotatef(err, "row %q", fenceKey)
 		}
 	}
-	if present.Epoch > epoch {
-		return 0, 0, errors.Annotatef(ledger.ErrConflict, "epoch %d has been fenced off by %d", epoch, present.Epoch)
+	if current.Epoch > epoch {
+		return 0, 0, errors.Annotatef(ledger.ErrConflict, "epoch %d has been fenced off by %d", epoch, current.Epoch)
 	}
-	next := fence{Epoch: epoch, Token: present.Token + 1}
+	next := fenceRow{Epoch: epoch, Token: current.Token + 1}
 	written, err := s.table.Commit(ctx, ledger.CauseOwner, ledger.Write{Key: fenceKey, Version: rows[0].Version, Data: ledger.Encode(next)})
 	if err != nil {
 		return 0, 0, errors.Annotate(err, "writing the fence")
@@ -252,14 +253,14 @@
 	return next.Token, written[0].Version, nil
 }
 
-// SaveProgress writes a job's progress as long as the fence is unchanged. With
-// ErrConflict it returns the versions of the fence and of the progress row.
-func (s *Store) SaveProgress(ctx context.Context, fenceVersion uint64, id graph.JobID, version uint64, p graph.Progress) (fenceNow, now uint64, err error) {
+// SaveProgress writes a job's progress if the fence row is unchanged. On
+// ErrConflict it returns the current versions of the fence and progress rows.
+func (s *Store) SaveProgress(ctx context.Context, fenceVersion uint64, id graph.JobID, progressVersion uint64, p graph.Progress) (currentFenceVersion, currentProgressVersion uint64, err error) {
 	rows, err := s.table.Commit(ctx, ledger.CauseJob,
-		ledger.Write{Key: progressKey(id), Version: version, Data: ledger.Encode(p)},
+		ledger.Write{Key: progressKey(id), Version: progressVersion, Data: ledger.Encode(p)},
 		ledger.Write{Key: fenceKey, Version: fenceVersion, Check: true})
 	if len(rows) == 2 {
-		now, fenceNow = rows[0].Version, rows[1].Version
+		currentProgressVersion, currentFenceVersion = rows[0].Version, rows[1].Version
 	}
-	return fenceNow, now, errors.Annotatef(err, "saving job %q", id)
+	return currentFenceVersion, currentProgressVersion, errors.Annotatef(err, "saving job %q", id)
 }
--- a/internal/entry/node/notifier.go
+++ b/internal/entry/node/notifier.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	noticeTimeout = time.Second
-	noticeQueue   = 4096
+	noticeTimeout   = time.Second
+	noticeQueueSize = 4096
 )
 
-// Notifier tells the owner of the cell of changed job rows. A notice that gets
-// lost costs only time: the owner scans the active jobs regularly.
+// Notifier notifies the owner of the cell of changed job rows. A lost notice only
+// delays the job, since the owner scans the active jobs periodically.
 type Notifier struct {
 	owner    *owner.Service
-	local    JobNotices
+	local    JobNoticeHandler
 	registry metrics.Registry
 
 	queue chan string
@@ -30,27 +30,28 @@
 	conn    *grpc.ClientConn
 }
 
-// NewNotifier returns a notifier; local takes the notices while this entry
-// owns the cell.
-func NewNotifier(o *owner.Service, local JobNotices, registry metrics.Registry) *Notifier {
-	return &Notifier{owner: o, local: local, registry: registry, queue: make(chan string, noticeQueue)}
+// NewNotifier returns a notifier. local handles the notices while this entry owns
+// the cell.
+func NewNotifier(o *owner.Service, local JobNoticeHandler, registry metrics.Registry) *Notifier {
+	return &Notifier{owner: o, local: local, registry: registry, queue: make(chan string, noticeQueueSize)}
 }
 
-// Start begins to send.
+// Start starts sending queued notices.
 func (n *Notifier) Start(context.Context) error {
 	n.loops.Begin()
-	n.loops.Go(n.loop)
+	n.loops.Go(n.sendLoop)
 	return nil
 }
 
-// Stop ends the sending.
+// Stop stops sending and closes the connection to the owner.
 func (n *Notifier) Stop(context.Context) error {
 	n.loops.End()
 	n.disconnect()
 	return nil
 }
 
-// JobChanged queues a notice. It never blocks.
+// JobChanged passes a notice to the local handler or queues it for the owner. It
+// never blocks: if the queue is full, the notice is dropped.
 func (n *Notifier) JobChanged(id string) {
 	if n.local.Notify(id) {
 		return
@@ -62,7 +63,7 @@
 	}
 }
 
-func (n *Notifier) loop(ctx context.Context) {
+func (n *Notifier) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/entry/node/rpcserver.go
+++ b/internal/entry/node/rpcserver.go
@@ -11,14 +11,14 @@
 	"google.golang.org/grpc"
 )
 
-// PeerService answers the other entries.
-type PeerService interface {
+// ExchangeHandler handles the state of another entry and returns this entry's.
+type ExchangeHandler interface {
 	HandleExchange(*rpc.PeerState) *rpc.PeerState
 }
 
-// JobNotices takes in notices of changed job rows; false means that this entry
-// does not own the cell.
-type JobNotices interface {
+// JobNoticeHandler handles notices of changed job rows. Notify returns false if
+// this entry does not own the cell.
+type JobNoticeHandler interface {
 	Notify(id string) bool
 }
 
@@ -29,20 +29,20 @@
 
 	address string
 	members Members
-	peers   PeerService
-	notices JobNotices
+	peers   ExchangeHandler
+	notices JobNoticeHandler
 	links   *links.Server
 
-	server *grpc.Server
-	served sync.WaitGroup
+	server  *grpc.Server
+	serving sync.WaitGroup
 }
 
-// NewRPCServer returns a server that does not listen yet.
-func NewRPCServer(address string, members Members, peers PeerService, notices JobNotices, l *links.Server) *RPCServer {
+// NewRPCServer returns a server that listens once it is started.
+func NewRPCServer(address string, members Members, peers ExchangeHandler, notices JobNoticeHandler, l *links.Server) *RPCServer {
 	return &RPCServer{address: address, members: members, peers: peers, notices: notices, links: l}
 }
 
-// Start listens and serves.
+// Start opens the listener and serves it in the background.
 func (s *RPCServer) Start(context.Context) error {
 	listener, err := net.Listen("tcp", s.address)
 	if err != nil {
@@ -54,35 +54,35 @@
 	rpc.RegisterAnnounceServer(s.server, s)
 	rpc.RegisterPeerServer(s.server, s)
 	rpc.RegisterLinkServer(s.server, s.links)
-	s.served.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer s.served.Done()
+		defer s.serving.Done()
 		// Serve returns an error only when the listener is closed.
 		_ = s.server.Serve(listener)
 	}()
 	return nil
 }
 
-// Stop closes the links and the listener. It comes after the services that
-// need links have finished their work.
+// Stop closes the links and the listener. It must be called after the services
+// that use the links have stopped.
 func (s *RPCServer) Stop(context.Context) error {
 	s.links.Close()
 	s.server.Stop()
-	s.served.Wait()
+	s.serving.Wait()
 	return nil
 }
 
-// Entries lists the live entries for an agent that came through the balancer.
+// Entries lists the live entries for an agent that connected through the balancer.
 func (s *RPCServer) Entries(context.Context, *rpc.EntriesRequest) (*rpc.EntriesReply, error) {
 	return &rpc.EntriesReply{Entries: s.members.Entries()}, nil
 }
 
-// Exchange swaps states with another entry.
+// Exchange takes the state of another entry and returns this entry's.
 func (s *RPCServer) Exchange(_ context.Context, state *rpc.PeerState) (*rpc.PeerState, error) {
 	return s.peers.HandleExchange(state), nil
 }
 
-// Notify takes in the notice of a changed job row.
+// Notify handles another entry's notice of a changed job row.
 func (s *RPCServer) Notify(_ context.Context, n *rpc.JobNotice) (*rpc.JobNoticeReply, error) {
 	return &rpc.JobNoticeReply{Accepted: s.notices.Notify(n.JobId)}, nil
 }
--- a/internal/entry/scheduler/workers.go
+++ b/internal/entry/scheduler/workers.go
@@ -22,7 +22,7 @@
 	rpc.GroupState_GROUP_STATE_ABSENT:       sched.GroupAbsent,
 }
 
-func reportOf(worker string, g *rpc.GroupReport) sched.GroupReport {
+func toGroupReport(worker string, g *rpc.GroupReport) sched.GroupReport {
 	return sched.GroupReport{
 		Worker:      worker,
 		JobID:       g.JobId,
@@ -37,14 +37,14 @@
 	}
 }
 
-// AgentUp takes in a linked worker agent and what it runs.
+// AgentUp adds a linked worker agent with the groups that it reports.
 func (s *Service) AgentUp(a links.Agent, groups []*rpc.GroupReport) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_WORKER {
 		return
 	}
 	w := &worker{agent: a, status: sched.WorkerStatus{Worker: a.ID, Healthy: true}, reports: map[sched.GroupRef]sched.GroupReport{}}
 	for _, g := range groups {
-		w.keep(reportOf(a.ID, g))
+		w.storeReport(toGroupReport(a.ID, g))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// AgentDown takes in the loss of a link.
+// AgentDown removes a worker agent whose link is lost.
 func (s *Service) AgentDown(a links.Agent) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_WORKER {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// AgentHeartbeat takes in a worker agent's state.
+// AgentHeartbeat updates a worker agent's status.
 func (s *Service) AgentHeartbeat(a links.Agent, hb *rpc.AgentHeartbeat) {
 	if a.Kind != rpc.EndpointKind_ENDPOINT_KIND_WORKER {
 		return
@@ -84,42 +84,44 @@
 	}
 }
 
-// RequestResult is not for the scheduler.
+// RequestResult ignores the results of requests, which the scheduler does not use.
 func (s *Service) RequestResult(links.Agent, *rpc.RequestResult) {}
 
-// GroupReport takes in a worker agent's report. Entries that do not own the
-// cell keep the newest one, for the case that they become the owner.
+// GroupReport stores a worker agent's report and passes it to the core. Entries
+// that do not own the cell store the latest one too, since they may become the
+// owner.
 func (s *Service) GroupReport(a links.Agent, g *rpc.GroupReport) {
-	report := reportOf(a.ID, g)
+	report := toGroupReport(a.ID, g)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.workers[a.ID]
 	if w == nil {
 		return
 	}
-	w.keep(report)
+	w.storeReport(report)
 	if s.term != nil && s.term.loaded {
 		s.term.step(report)
 	}
 }
 
-// keep notes the newest report of a group. Groups of which the agent holds
-// nothing any more are dropped.
-func (w *worker) keep(r sched.GroupReport) {
+// storeReport stores the latest report of a group. It drops groups for which the
+// agent no longer holds anything.
+func (w *worker) storeReport(r sched.GroupReport) {
 	ref := sched.GroupRef{JobID: r.JobID, Attempt: r.Attempt}
 	switch r.State {
 	case sched.GroupAbsent, sched.GroupRefused, sched.GroupStopped:
 		delete(w.reports, ref)
 		return
 	}
-	if len(w.reports) >= maxReports {
-		w.dropFinal()
+	if len(w.reports) >= maxReportsPerWorker {
+		w.dropFinalReport()
 	}
 	w.reports[ref] = r
 }
 
-// dropFinal makes room; the agent repeats final reports on its next link.
-func (w *worker) dropFinal() {
+// dropFinalReport drops one report of a group that has ended, to make room. The
+// agent repeats such reports on its next link.
+func (w *worker) dropFinalReport() {
 	for _, ref := range sortedRefs(w.reports) {
 		switch w.reports[ref].State {
 		case sched.GroupDone, sched.GroupFailed, sched.GroupCheckpointed:
