--- a/cmd/coltsfoot-agent/hosted.go
+++ b/cmd/coltsfoot-agent/hosted.go
@@ -42,13 +42,13 @@
 	if err != nil {
 		return err
 	}
-	return k.Invoke(func(kept *keeper.Keeper) error {
-		heartbeats := httpx.NewServer(httpx.ServerOptions{Listen: s.WorkerListen, Handler: platform.HeartbeatHandler(kept)})
+	return k.Invoke(func(keeperService *keeper.Keeper) error {
+		heartbeats := httpx.NewServer(httpx.ServerOptions{Listen: s.WorkerListen, Handler: platform.HeartbeatHandler(keeperService)})
 		pages := httpx.NewDebugServer(s.IP, h.Flags.MetricsPort, h.Registry, func() any { return k.DumpState() })
 		return k.RegisterAll(
 			kernel.Registration{Name: "pages", Service: pages},
 			kernel.Registration{Name: "heartbeats", Service: heartbeats},
-			kernel.Registration{Name: "keeper", Service: kept},
+			kernel.Registration{Name: "keeper", Service: keeperService},
 		)
 	})
 }
--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -23,56 +23,56 @@
 )
 
 const (
-	// hostedTerm is how long a renewal of the ownership lasts, hostedRenew the
+	// hostedTermDuration is how long a renewal of the ownership lasts, hostedRenew the
 	// time between two: a store that is sixty times slower, or one connection
 	// that is silent, does not end it.
-	hostedTerm  = 1700 * time.Millisecond
-	hostedRenew = 250 * time.Millisecond
-	// hostedTakeOver is how long the ownership's row has to be unchanged before
+	hostedTermDuration  = 1700 * time.Millisecond
+	hostedRenewInterval = 250 * time.Millisecond
+	// hostedTakeOverDelay is how long the ownership's row has to be unchanged before
 	// another entry claims it: three renewals. Workers are fenced by the term's
 	// token and their leases are waited for, so the earlier owner need not have
 	// stopped. hostedPoll is the time between two looks at the row.
-	hostedTakeOver = 750 * time.Millisecond
-	hostedPoll     = 200 * time.Millisecond
-	// hostedLameDuck is how long a leaving entry goes on accepting connections:
+	hostedTakeOverDelay = 750 * time.Millisecond
+	hostedPollInterval  = 200 * time.Millisecond
+	// hostedLameDuckDuration is how long a leaving entry goes on accepting connections:
 	// the balancer probes every second and takes it out after two misses.
-	hostedLameDuck = 2500 * time.Millisecond
-	// maxJobBytes bounds the body of a caller's request.
-	maxJobBytes = 1 << 20
+	hostedLameDuckDuration = 2500 * time.Millisecond
+	// maxCallerBodyBytes bounds the body of a caller's request.
+	maxCallerBodyBytes = 1 << 20
 )
 
-// leaving is set once the process has been asked to stop.
-type leaving struct{ flag atomic.Bool }
+// shutdownFlag is set once the process has been asked to stop.
+type shutdownFlag struct{ stopping atomic.Bool }
 
-func (l *leaving) Start(context.Context) error { return nil }
+func (l *shutdownFlag) Start(context.Context) error { return nil }
 
-func (l *leaving) Stop(context.Context) error {
-	l.flag.Store(true)
+func (l *shutdownFlag) Stop(context.Context) error {
+	l.stopping.Store(true)
 	return nil
 }
 
-// callers, probes and pages are the HTTP servers of a hosted entry.
+// callerServer, probeServer and debugServer are the HTTP servers of a hosted entry.
 type (
-	callers struct{ *httpx.Server }
-	probes  struct{ *httpx.Server }
-	pages   struct{ *httpx.Server }
+	callerServer struct{ *httpx.Server }
+	probeServer  struct{ *httpx.Server }
+	debugServer  struct{ *httpx.Server }
 )
 
-// hosted are all services of a hosted entry.
-type hosted struct {
+// hostedServices are all services of a hostedServices entry.
+type hostedServices struct {
 	dig.In
 
 	Ledger    *ledger.Client
 	Policies  *policy.Watcher
 	RPC       *graphs.Server
-	Pages     *pages
-	Probes    *probes
-	Callers   *callers
+	Pages     *debugServer
+	Probes    *probeServer
+	Callers   *callerServer
 	Owner     *owner.Service
 	Scheduler *graphs.Scheduler
 	Retention *retention.Service
 	Handover  *graphs.Handover
-	Leaving   *leaving
+	Leaving   *shutdownFlag
 }
 
 // runHosted runs a hosted entry.
@@ -90,7 +90,7 @@
 		func() zerolog.Logger { return h.Log },
 		func() metrics.Registry { return h.Registry },
 		func() clock { return clock(ledger.NewMonotonicClock()) },
-		func() *leaving { return &leaving{} },
+		func() *shutdownFlag { return &shutdownFlag{} },
 		func(s *settings.Hosted) *platform.Store { return platform.NewStore(s.TableAddress) },
 		hostedLedger, hostedPolicies, hostedOwner, hostedStore, hostedScheduler, hostedPeers, hostedHandover, hostedRPC,
 		hostedRetention, hostedFront, hostedCallers, hostedProbes, hostedPages,
@@ -98,13 +98,13 @@
 	if err != nil {
 		return err
 	}
-	return k.Invoke(func(all hosted) error { return registerHosted(k, all) })
+	return k.Invoke(func(all hostedServices) error { return registerHosted(k, all) })
 }
 
 // registerHosted registers the services in the order of their start. They stop
 // in reverse: the entry stops being ready, gives the ownership up, answers what
 // still comes, and then ends its connections.
-func registerHosted(k *kernel.Kernel, all hosted) error {
+func registerHosted(k *kernel.Kernel, all hostedServices) error {
 	return k.RegisterAll(
 		kernel.Registration{Name: "ledger", Service: all.Ledger},
 		kernel.Registration{Name: "policies", Service: all.Policies},
@@ -130,11 +130,11 @@
 
 func hostedOwner(l *ledger.Client, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
 	times := owner.Times{
-		Lease:     hostedTerm,
-		Renew:     hostedRenew,
+		Lease:     hostedTermDuration,
+		Renew:     hostedRenewInterval,
 		Margin:    200 * time.Millisecond,
-		Poll:      hostedPoll,
-		TakeOver:  hostedTakeOver,
+		Poll:      hostedPollInterval,
+		TakeOver:  hostedTakeOverDelay,
 		PermitTTL: time.Millisecond, // workers' leases are waited for one by one
 	}
 	self := owner.Self{ID: s.Node, Sole: true, Addr: s.EntryAddress(s.IP)}
@@ -168,26 +168,26 @@
 	return graphs.NewFront(p, store, graphs.NewOwnerClient(sch, o), peers, time.Now, registry, log)
 }
 
-func hostedCallers(s *settings.Hosted, f *graphs.Front, registry metrics.Registry) *callers {
-	return &callers{httpx.NewServer(httpx.ServerOptions{
+func hostedCallers(s *settings.Hosted, f *graphs.Front, registry metrics.Registry) *callerServer {
+	return &callerServer{httpx.NewServer(httpx.ServerOptions{
 		Listen:       s.ClientsListen,
 		Handler:      platform.CallerHandler(f),
-		MaxBodyBytes: maxJobBytes,
-		LameDuck:     hostedLameDuck,
+		MaxBodyBytes: maxCallerBodyBytes,
+		LameDuck:     hostedLameDuckDuration,
 		Registry:     registry,
 	})}
 }
 
-func hostedProbes(s *settings.Hosted, f *graphs.Front, l *leaving) *probes {
+func hostedProbes(s *settings.Hosted, f *graphs.Front, l *shutdownFlag) *probeServer {
 	ready := func() error {
-		if l.flag.Load() {
+		if l.stopping.Load() {
 			return errors.New("stopping")
 		}
 		return f.Ready()
 	}
-	return &probes{httpx.NewServer(httpx.ServerOptions{Listen: s.ReadyListen, Handler: platform.ReadyHandler(ready)})}
+	return &probeServer{httpx.NewServer(httpx.ServerOptions{Listen: s.ReadyListen, Handler: platform.ReadyHandler(ready)})}
 }
 
-func hostedPages(k *kernel.Kernel, s *settings.Hosted, flags procmain.HostedFlags, registry metrics.Registry) *pages {
-	return &pages{httpx.NewDebugServer(s.IP, flags.MetricsPort, registry, func() any { return k.DumpState() })}
+func hostedPages(k *kernel.Kernel, s *settings.Hosted, flags procmain.HostedFlags, registry metrics.Registry) *debugServer {
+	return &debugServer{httpx.NewDebugServer(s.IP, flags.MetricsPort, registry, func() any { return k.DumpState() })}
 }
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -28,9 +28,9 @@
 	"go.uber.org/dig"
 )
 
-// lameDuck is how long a leaving entry goes on accepting connections, so that
+// lameDuckDuration is how long a leaving entry goes on accepting connections, so that
 // the balancer sees that it is not ready before it is gone.
-const lameDuck = 500 * time.Millisecond
+const lameDuckDuration = 500 * time.Millisecond
 
 // clock is the process's monotonic clock.
 type clock func() time.Duration
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	if err := k.Invoke(bindMembership); err != nil {
+	if err := k.Invoke(bindPeerState); err != nil {
 		return err
 	}
 	return k.Invoke(func(all services) error { return register(k, all) })
@@ -109,7 +109,7 @@
 }
 
 func newMembership(l ledger.Ledger, s *settings.Entry, c clock, registry metrics.Registry, log zerolog.Logger) *membership.Service {
-	self := membership.Self{ID: string(s.ID), Addr: advertised(s), Zone: string(s.Zone)}
+	self := membership.Self{ID: string(s.ID), Addr: advertisedAddr(s), Zone: string(s.Zone)}
 	cfg := membership.Config{Metrics: registry, Log: log}
 	if s.Balancer != "" {
 		cfg.Seeds = []string{string(s.Balancer)}
@@ -117,7 +117,7 @@
 	return membership.New(l, self, membership.NewDialer(), c, cfg)
 }
 
-func advertised(s *settings.Entry) string {
+func advertisedAddr(s *settings.Entry) string {
 	if s.RPCAdvertise != "" {
 		return string(s.RPCAdvertise)
 	}
@@ -130,7 +130,7 @@
 }
 
 func newOwner(l ledger.Ledger, s *settings.Entry, m *membership.Service, config *confstate.Service, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
-	self := owner.Self{ID: string(s.ID), Addr: advertised(s)}
+	self := owner.Self{ID: string(s.ID), Addr: advertisedAddr(s)}
 	o := owner.New(l, string(s.Cell), self, c, owner.Config{
 		Times:   ownerTimes(),
 		Peers:   ownerPeers{config, m},
@@ -140,8 +140,8 @@
 	return o
 }
 
-// bindMembership sets what this entry tells its peers.
-func bindMembership(m *membership.Service, config *confstate.Service, o *owner.Service, srv *links.Server) {
+// bindPeerState sets what this entry tells its peers.
+func bindPeerState(m *membership.Service, config *confstate.Service, o *owner.Service, srv *links.Server) {
 	m.Bind(config, func(state *rpc.PeerState) {
 		a := o.Current()
 		state.OwnerEpoch = a.Epoch
@@ -253,7 +253,7 @@
 		Listen:       string(s.HTTPListen),
 		Handler:      r.Handler,
 		MaxBodyBytes: s.Limits.MaxBodyBytes,
-		LameDuck:     lameDuck,
+		LameDuck:     lameDuckDuration,
 		Registry:     registry,
 	})
 	return server
--- a/cmd/coltsfoot-standin/settings.go
+++ b/cmd/coltsfoot-standin/settings.go
@@ -15,9 +15,9 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range specsOf(s) {
-		if err := specs.Add(one.kind, one.value); err != nil {
-			return errors.Annotatef(err, "%s in %s", one.kind, path)
+	for _, item := range specsFromSettings(s) {
+		if err := specs.Add(item.kind, item.value); err != nil {
+			return errors.Annotatef(err, "%s in %s", item.kind, path)
 		}
 	}
 	return nil
@@ -28,7 +28,7 @@
 	value string
 }
 
-func specsOf(s *settings.Standin) []spec {
+func specsFromSettings(s *settings.Standin) []spec {
 	var out []spec
 	if s.Table.Listen != "" {
 		out = append(out, spec{"table", string(s.Table.Listen)})
