--- a/cmd/coltsfoot-agent/hosted.go
+++ b/cmd/coltsfoot-agent/hosted.go
@@ -16,7 +16,8 @@
 	"github.com/coltsfootlug/coltsfootlug/platform"
 )
 
-// runHosted runs the agent of the worker on this host.
+// runHosted runs the agent of the worker on this host, with the hosting
+// platform's settings file at path, and returns the exit code.
 func runHosted(path string) int {
 	return procmain.RunHosted("coltsfoot-agent", "agent", path, platform.LoadSettings, wireHosted)
 }
--- a/cmd/coltsfoot-agent/main.go
+++ b/cmd/coltsfoot-agent/main.go
@@ -1,5 +1,5 @@
-// Command coltsfoot-agent runs beside one endpoint, a minion or a worker: it
-// announces the endpoint, holds its slots and leases and starts its work.
+// Command coltsfoot-agent runs beside one endpoint, a minion or a worker. It
+// announces the endpoint, manages its slots and leases and starts its work.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 )
 
-// endpointTimeout bounds one call of the endpoint for which no other timeout is set.
+// endpointTimeout applies to calls to the endpoint that set no other timeout.
 const endpointTimeout = 10 * time.Minute
 
 func main() { os.Exit(run()) }
@@ -39,7 +39,7 @@
 	return procmain.Process{Kernel: k, Log: log, DrainTimeout: s.Drain.Timeout.D()}.Run()
 }
 
-// wire builds the services and registers them in the order of their start.
+// wire builds the services and registers them in start order.
 func wire(k *kernel.Kernel, s *settings.Agent, log zerolog.Logger) error {
 	err := k.Provide(
 		func() *settings.Agent { return s },
--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -23,25 +23,28 @@
 )
 
 const (
-	// hostedTermDuration is how long a renewal of the ownership lasts, hostedRenew the
-	// time between two: a store that is sixty times slower, or one connection
-	// that is silent, does not end it.
+	// hostedTermDuration is the validity of an ownership renewal. The owner renews
+	// every hostedRenewInterval, so that it keeps the ownership even if the store
+	// is sixty times slower or one connection stops responding.
 	hostedTermDuration  = 1700 * time.Millisecond
 	hostedRenewInterval = 250 * time.Millisecond
-	// hostedTakeOverDelay is how long the ownership's row has to be unchanged before
-	// another entry claims it: three renewals. Workers are fenced by the term's
-	// token and their leases are waited for, so the earlier owner need not have
-	// stopped. hostedPoll is the time between two looks at the row.
+	// hostedTakeOverDelay is the time for which the ownership row must be unchanged
+	// before another entry takes it over: three renewal intervals. The previous
+	// owner need not have stopped by then, because workers reject its fencing
+	// token and the new owner waits for their leases to expire. Entries read the
+	// row every hostedPollInterval.
 	hostedTakeOverDelay = 750 * time.Millisecond
 	hostedPollInterval  = 200 * time.Millisecond
-	// hostedLameDuckDuration is how long a leaving entry goes on accepting connections:
-	// the balancer probes every second and takes it out after two misses.
+	// hostedLameDuckDuration is the time for which a stopping entry still accepts
+	// connections. The balancer probes every second and removes an entry after
+	// two failed probes.
 	hostedLameDuckDuration = 2500 * time.Millisecond
-	// maxCallerBodyBytes bounds the body of a caller's request.
+	// maxCallerBodyBytes is the maximum body size of a caller's request.
 	maxCallerBodyBytes = 1 << 20
 )
 
-// shutdownFlag is set once the process has been asked to stop.
+// shutdownFlag is a service whose Stop records that the process is stopping, so
+// that the readiness probe fails.
 type shutdownFlag struct{ stopping atomic.Bool }
 
 func (l *shutdownFlag) Start(context.Context) error { return nil }
@@ -51,14 +54,14 @@
 	return nil
 }
 
-// callerServer, probeServer and debugServer are the HTTP servers of a hosted entry.
+// The HTTP servers of a hosted entry, as distinct types for dependency injection.
 type (
 	callerServer struct{ *httpx.Server }
 	probeServer  struct{ *httpx.Server }
 	debugServer  struct{ *httpx.Server }
 )
 
-// hostedServices are all services of a hostedServices entry.
+// hostedServices holds all services of a hosted entry.
 type hostedServices struct {
 	dig.In
 
@@ -75,7 +78,8 @@
 	Leaving   *shutdownFlag
 }
 
-// runHosted runs a hosted entry.
+// runHosted runs an entry with the hosting platform's settings file at path and
+// returns the exit code.
 func runHosted(path string) int {
 	return procmain.RunHosted("coltsfoot-entry", "entry", path, platform.LoadSettings, wireHosted)
 }
@@ -101,9 +105,9 @@
 	return k.Invoke(func(all hostedServices) error { return registerHosted(k, all) })
 }
 
-// registerHosted registers the services in the order of their start. They stop
-// in reverse: the entry stops being ready, gives the ownership up, answers what
-// still comes, and then ends its connections.
+// registerHosted registers the services in start order. They stop in reverse
+// order: the entry becomes not ready, gives up the ownership, answers the
+// requests that still arrive, and then closes its connections.
 func registerHosted(k *kernel.Kernel, all hostedServices) error {
 	return k.RegisterAll(
 		kernel.Registration{Name: "ledger", Service: all.Ledger},
@@ -135,7 +139,7 @@
 		Margin:    200 * time.Millisecond,
 		Poll:      hostedPollInterval,
 		TakeOver:  hostedTakeOverDelay,
-		PermitTTL: time.Millisecond, // workers' leases are waited for one by one
+		PermitTTL: time.Millisecond, // the new owner waits for each worker's lease instead
 	}
 	self := owner.Self{ID: s.Node, Sole: true, Addr: s.EntryAddress(s.IP)}
 	return owner.New(l, settings.HostedCell, self, c, owner.Config{Times: times, Metrics: registry, Log: log})
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -28,14 +28,14 @@
 	"go.uber.org/dig"
 )
 
-// lameDuckDuration is how long a leaving entry goes on accepting connections, so that
-// the balancer sees that it is not ready before it is gone.
+// lameDuckDuration is the time for which a stopping entry still accepts
+// connections, so that the balancer sees that it is not ready before it exits.
 const lameDuckDuration = 500 * time.Millisecond
 
 // clock is the process's monotonic clock.
 type clock func() time.Duration
 
-// services are all services of an entry.
+// services holds all services of an entry.
 type services struct {
 	dig.In
 
@@ -53,9 +53,9 @@
 	HTTP       *httpx.Server
 }
 
-// wire builds the services and registers them in the order of their start.
-// They stop in reverse: first no new calls, then the work in progress, then
-// the links and the lasting state.
+// wire builds the services and registers them in start order. They stop in
+// reverse order: the entry first stops accepting calls, then finishes the work in
+// progress, then closes the links to agents and the persistent state.
 func wire(k *kernel.Kernel, s *settings.Entry, log zerolog.Logger) error {
 	if s.Limits.MaxBodyBytes > rpc.MaxBodyBytes {
 		return errors.NotValidf("limits.max_body_bytes %d (at most %d)", s.Limits.MaxBodyBytes, rpc.MaxBodyBytes)
@@ -140,7 +140,8 @@
 	return o
 }
 
-// bindPeerState sets what this entry tells its peers.
+// bindPeerState connects membership to the state that this entry sends to its
+// peers.
 func bindPeerState(m *membership.Service, config *confstate.Service, o *owner.Service, srv *links.Server) {
 	m.Bind(config, func(state *rpc.PeerState) {
 		a := o.Current()
@@ -150,8 +151,9 @@
 	})
 }
 
-// ownerTimes lets a takeover after a kill end within the time in which urgent
-// work has to start: lease, margin and permission follow one another.
+// ownerTimes returns the timing of the ownership lease. After the owner is killed, a
+// takeover takes Lease, Margin and PermitTTL in sequence; the sum must be within
+// the time in which urgent work has to start.
 func ownerTimes() owner.Times {
 	return owner.Times{
 		Lease:     1500 * time.Millisecond,
@@ -162,7 +164,7 @@
 	}
 }
 
-// ownerPeers joins what ownership asks of the other entries.
+// ownerPeers combines the information about other entries that ownership needs.
 type ownerPeers struct {
 	config     *confstate.Service
 	membership *membership.Service
--- a/cmd/coltsfoot-standin/main.go
+++ b/cmd/coltsfoot-standin/main.go
@@ -1,6 +1,6 @@
 // Command coltsfoot-standin serves stand-ins for the platform's services, for
-// tests and the demo. They are named in a settings file (-settings FILE) or by
-// flags, each of which may be given several times:
+// tests and the demo. The stand-ins are configured in a settings file (-settings
+// FILE) or by flags, each of which may be repeated:
 //
 //	coltsfoot-standin -http 127.0.0.1:7000 \
 //	  -table 127.0.0.1:7001 -objects 127.0.0.1:7002 \
@@ -22,7 +22,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// drainTimeout bounds a planned stop; a stand-in has no work to finish.
+// drainTimeout bounds a graceful stop; a stand-in has no work to finish.
 const drainTimeout = 5 * time.Second
 
 func main() { os.Exit(run()) }
@@ -33,7 +33,7 @@
 	path := flags.String("settings", "", "`FILE` with stand-ins in TOML, in addition to those of the flags")
 	pages := flags.String("http", "", "`address` of the health, metrics and state pages")
 	specs.Register(flags)
-	// ExitOnError: Parse does not return an error.
+	// With ExitOnError, Parse never returns an error.
 	_ = flags.Parse(os.Args[1:])
 	if *path != "" {
 		if err := addSettings(&specs, *path); err != nil {
@@ -56,7 +56,8 @@
 	return procmain.Process{Kernel: k, Log: log, DrainTimeout: drainTimeout}.Run()
 }
 
-// newKernel registers the stand-ins and, with an address, their pages.
+// newKernel registers the stand-ins and, if the address pages is not empty, the
+// HTTP server of their health, metrics and state pages.
 func newKernel(group *standin.Group, pages string) (*kernel.Kernel, error) {
 	k := kernel.New()
 	if err := k.Register("standins", group); err != nil {
--- a/cmd/coltsfoot-standin/settings.go
+++ b/cmd/coltsfoot-standin/settings.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// addSettings adds the stand-ins that a settings file names.
+// addSettings adds the stand-ins that are configured in a settings file.
 func addSettings(specs *standin.Specs, path string) error {
 	s, err := settings.LoadStandin(path)
 	if err != nil {
--- a/cmd/coltsfootctl/main.go
+++ b/cmd/coltsfootctl/main.go
@@ -1,4 +1,4 @@
-// Command coltsfootctl is the operators' and callers' command line.
+// Command coltsfootctl is the command-line client for operators and callers.
 package main
 
 import (
