--- a/internal/external/guarded.go
+++ b/internal/external/guarded.go
@@ -58,8 +58,8 @@
 // guardedClientPool holds the guarded clients of one address. Idle clients are
 // reused in last-in, first-out order.
 type guardedClientPool struct {
-	address string
-	stream  bool // whether response bodies are streamed
+	address    string
+	streamBody bool // whether response bodies are streamed
 
 	mu    sync.Mutex
 	idle  []*guardedClient
@@ -81,7 +81,7 @@
 	}
 	guarded := &guardedClient{startBy: startBy}
 	guarded.http = NewHostClient(g.address, 1)
-	guarded.http.StreamResponseBody = g.stream
+	guarded.http.StreamResponseBody = g.streamBody
 	guarded.http.Dial = func(address string) (net.Conn, error) {
 		conn, err := dial(address)
 		if err != nil {
--- a/internal/external/minion.go
+++ b/internal/external/minion.go
@@ -19,7 +19,7 @@
 	// A streamed body keeps the Content-Length, which distinguishes a complete
 	// response from a truncated one.
 	c.http.StreamResponseBody = true
-	c.guardedPool.stream = true
+	c.guardedPool.streamBody = true
 	return minionClient{c}
 }
 
