--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -133,16 +133,16 @@
 }
 
 func hostedOwner(l *ledger.Client, s *settings.Hosted, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
-	times := owner.Times{
-		Lease:     hostedTermDuration,
-		Renew:     hostedRenewInterval,
-		Margin:    200 * time.Millisecond,
-		Poll:      hostedPollInterval,
-		TakeOver:  hostedTakeOverDelay,
-		PermitTTL: time.Millisecond, // the new owner waits for each worker's lease instead
+	times := owner.Timing{
+		Lease:         hostedTermDuration,
+		RenewInterval: hostedRenewInterval,
+		ClockMargin:   200 * time.Millisecond,
+		PollInterval:  hostedPollInterval,
+		TakeoverDelay: hostedTakeOverDelay,
+		PermitTTL:     time.Millisecond, // the new owner waits for each worker's lease instead
 	}
-	self := owner.Self{ID: s.Node, Sole: true, Addr: s.EntryAddress(s.IP)}
-	return owner.New(l, settings.HostedCell, self, c, owner.Config{Times: times, Metrics: registry, Log: log})
+	self := owner.Self{ID: s.Node, ExclusiveID: true, Addr: s.EntryAddress(s.IP)}
+	return owner.New(l, settings.HostedCell, self, c, owner.Config{Timing: times, Metrics: registry, Log: log})
 }
 
 func hostedPeers(s *settings.Hosted, o *owner.Service, log zerolog.Logger) *graphs.Peers {
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -132,7 +132,7 @@
 func newOwner(l ledger.Ledger, s *settings.Entry, m *membership.Service, config *confstate.Service, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
 	self := owner.Self{ID: string(s.ID), Addr: advertisedAddr(s)}
 	o := owner.New(l, string(s.Cell), self, c, owner.Config{
-		Times:   ownerTimes(),
+		Timing:  ownerTimes(),
 		Peers:   ownerPeers{config, m},
 		Metrics: registry,
 		Log:     log,
@@ -152,15 +152,15 @@
 }
 
 // ownerTimes returns the timing of the ownership lease. After the owner is killed, a
-// takeover takes Lease, Margin and PermitTTL in sequence; the sum must be within
-// the time in which urgent work has to start.
-func ownerTimes() owner.Times {
-	return owner.Times{
-		Lease:     1500 * time.Millisecond,
-		Renew:     400 * time.Millisecond,
-		Margin:    200 * time.Millisecond,
-		Poll:      200 * time.Millisecond,
-		PermitTTL: route.PermitTTL,
+// takeover takes Lease, ClockMargin and PermitTTL in sequence; the sum must be
+// within the time in which urgent work has to start.
+func ownerTimes() owner.Timing {
+	return owner.Timing{
+		Lease:         1500 * time.Millisecond,
+		RenewInterval: 400 * time.Millisecond,
+		ClockMargin:   200 * time.Millisecond,
+		PollInterval:  200 * time.Millisecond,
+		PermitTTL:     route.PermitTTL,
 	}
 }
 
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -1,7 +1,7 @@
-// Package owner decides which entry owns the scheduling of a cell. Ownership
-// is a row of the ledger with an epoch; the owner renews it, the others watch
-// it and take it over by a conditional write once it has not changed for
-// longer than the lease.
+// Package owner elects the entry that owns the scheduling of a cell. Ownership
+// is a row of the ledger with an epoch. The owner renews the row within its
+// lease; the other entries poll it and claim it with a conditional write when it
+// has not changed for longer than the lease.
 package owner
 
 import (
@@ -10,80 +10,85 @@
 	"github.com/coltsfootlug/coltsfootlug/internal/confstate"
 )
 
-// Times of ownership.
+// Default timing of ownership.
 const (
-	// DefaultLease is how long one renewal lasts.
+	// DefaultLease is the validity of the ownership after one renewal.
 	DefaultLease = 3 * time.Second
-	// DefaultRenew is the time between two renewals.
-	DefaultRenew = time.Second
-	// DefaultMargin covers the difference of clock rates during a lease.
-	DefaultMargin = 300 * time.Millisecond
-	// DefaultPoll is the time between two looks at the row by the others.
-	DefaultPoll = 400 * time.Millisecond
-	// DefaultPermitTTL is how long a permission to start lasts that an owner has given.
+	// DefaultRenewInterval is the time between two renewals by the owner.
+	DefaultRenewInterval = time.Second
+	// DefaultClockMargin bounds the drift between two clocks during one lease.
+	DefaultClockMargin = 300 * time.Millisecond
+	// DefaultPollInterval is the time between two reads of the row by an entry
+	// that is not the owner.
+	DefaultPollInterval = 400 * time.Millisecond
+	// DefaultPermitTTL is the validity of a permission to start work that the
+	// owner has given.
 	DefaultPermitTTL = 2 * time.Second
 
-	// retryInterval is the time until a write is tried again that was refused.
-	retryInterval = 200 * time.Millisecond
-	// watchGap is the longest time between two reads of an unbroken watch. It
+	// writeRetryDelay is the delay before a failed write is retried.
+	writeRetryDelay = 200 * time.Millisecond
+	// maxWatchGap is the longest time between two reads of an unbroken watch. It
 	// is shorter than the time after which this process reports the store as
-	// failing, so that an owner that goes on through an outage hears of the
-	// watch before the row is claimed.
-	watchGap = 1200 * time.Millisecond
-	// minWatch is how long a watch lasts at least before the row is claimed. By
-	// then no report of this process that the store fails counts any more, so
-	// that an owner that goes on through an outage has stopped.
-	minWatch = confstate.MaxPeerReportAge + 200*time.Millisecond
+	// failing. An owner that continues through an outage therefore sees that this
+	// entry reaches the store again before the row is claimed.
+	maxWatchGap = 1200 * time.Millisecond
+	// minWatchDuration is the shortest watch after which the row may be claimed if
+	// TakeoverDelay is 0. By then every report of a store failure by this process
+	// has expired, so an owner that continued through an outage has stopped.
+	minWatchDuration = confstate.MaxPeerReportAge + 200*time.Millisecond
 )
 
-// Times configures a core.
-type Times struct {
-	Lease     time.Duration
-	Renew     time.Duration
-	Margin    time.Duration
-	Poll      time.Duration
-	PermitTTL time.Duration
-	// TakeOver is how long the row has to be unchanged before another process
-	// claims it; 0 for until the lease is over on any clock. With a shorter time
-	// the term of the earlier owner may go on for Overlap: whoever acts for the
-	// cell has to be safe by its epochs alone.
-	TakeOver time.Duration
-}
-
-// Overlap is for how long an earlier owner may still act after a claim.
-func (t Times) Overlap() time.Duration {
-	if t.TakeOver == 0 {
+// Timing configures a Core. Zero durations other than TakeoverDelay take the
+// defaults.
+type Timing struct {
+	Lease         time.Duration
+	RenewInterval time.Duration
+	ClockMargin   time.Duration
+	PollInterval  time.Duration
+	PermitTTL     time.Duration
+	// TakeoverDelay is the time for which the row must be unchanged before
+	// another process claims it. 0 waits until the lease has expired on any clock.
+	// With a shorter delay the term of the previous owner may continue for
+	// Overlap, so whoever acts for the cell must be safe by its epochs alone.
+	TakeoverDelay time.Duration
+}
+
+// Overlap returns the longest time for which the previous owner may still act
+// after a claim.
+func (t Timing) Overlap() time.Duration {
+	if t.TakeoverDelay == 0 {
 		return 0
 	}
-	return max(0, t.Lease-t.TakeOver)
+	return max(0, t.Lease-t.TakeoverDelay)
 }
 
-func (t Times) withDefaults() Times {
-	setDuration(&t.Lease, DefaultLease)
-	setDuration(&t.Renew, DefaultRenew)
-	setDuration(&t.Margin, DefaultMargin)
-	setDuration(&t.Poll, DefaultPoll)
-	setDuration(&t.PermitTTL, DefaultPermitTTL)
+func (t Timing) withDefaults() Timing {
+	setDefault(&t.Lease, DefaultLease)
+	setDefault(&t.RenewInterval, DefaultRenewInterval)
+	setDefault(&t.ClockMargin, DefaultClockMargin)
+	setDefault(&t.PollInterval, DefaultPollInterval)
+	setDefault(&t.PermitTTL, DefaultPermitTTL)
 	return t
 }
 
-func setDuration(v *time.Duration, def time.Duration) {
+func setDefault(v *time.Duration, def time.Duration) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-// Self identifies this process. Incarnation differs for each start of it.
+// Self identifies this process. Incarnation differs for each start of the
+// process.
 type Self struct {
 	ID          string
 	Addr        string
 	Incarnation string
-	// Sole tells that no earlier process with the ID is alive, so that its
-	// ownership may be taken at once.
-	Sole bool
+	// ExclusiveID states that no earlier process with this ID is alive, so its
+	// ownership may be claimed at once.
+	ExclusiveID bool
 }
 
-// Row is the row of a cell's ownership.
+// Row is the stored record of a cell's ownership.
 type Row struct {
 	EntryID     string `json:"entry_id"`
 	Addr        string `json:"addr"`
@@ -93,47 +98,50 @@
 	Released    bool   `json:"released,omitempty"`
 }
 
-// Event is an input of the core.
+// Event is an input of Core.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick prompts Core to start the action that is due.
 type Tick struct{}
 
-// ReadDone answers a Read. Version is 0 for an absent row.
+// ReadDone is the result of a Read. Version is 0 if the row does not exist.
 type ReadDone struct {
 	Version uint64
 	Row     Row
 }
 
-// ReadFailed says that a Read got no answer.
+// ReadFailed reports that a Read returned no row.
 type ReadFailed struct{}
 
-// WriteDone says that the Write took effect and gave the row this version.
+// WriteDone reports that the Write took effect. Version is the new version of
+// the row.
 type WriteDone struct{ Version uint64 }
 
-// WriteConflict says that the Write did not take effect, as the row is another.
+// WriteConflict reports that the Write did not take effect because the row has
+// another version. It carries the stored row.
 type WriteConflict struct {
 	Version uint64
 	Row     Row
 }
 
-// WriteFailed says that the Write did not take effect and never will.
+// WriteFailed reports that the Write did not take effect and never will.
 type WriteFailed struct{}
 
-// WriteUnknown says that the Write may have taken effect or still may.
+// WriteUnknown reports that the Write may have taken effect or may still do so.
 type WriteUnknown struct{}
 
-// PeerEpoch brings the epoch of an owner that another entry knows.
+// PeerEpoch carries the epoch of an owner that another entry has reported.
 type PeerEpoch struct{ Epoch uint64 }
 
-// Release gives the ownership up for good, for a planned stop.
+// Release gives the ownership up permanently, for a planned stop.
 type Release struct{}
 
-// Resign ends the term of this process without a write, as it cannot reach the
-// row. Whoever hears of it may claim the row at once.
+// Resign ends the term of this process without a write, for use when it cannot
+// reach the row. An entry that learns of the resignation may claim the row at
+// once.
 type Resign struct{}
 
-// PeerResigned says that the owner of an epoch has resigned.
+// PeerResigned reports that the owner with the epoch has resigned.
 type PeerResigned struct{ Epoch uint64 }
 
 func (Tick) event()          {}
@@ -148,13 +156,14 @@
 func (Resign) event()        {}
 func (PeerResigned) event()  {}
 
-// Action is an output of the core. At most one is in progress at a time.
+// Action is an output of Core. At most one is in progress at a time.
 type Action interface{ action() }
 
-// Read asks for the row.
+// Read requests a read of the row.
 type Read struct{}
 
-// Write asks for a conditional write of the row.
+// Write requests a conditional write of the row, which succeeds only if the row
+// still has Version.
 type Write struct {
 	Version uint64
 	Row     Row
@@ -163,276 +172,286 @@
 func (Read) action()  {}
 func (Write) action() {}
 
-// Core is the state of one process's part in the ownership of a cell. It is
-// pure: it does no I/O and reads no clock. Times are on the process's
-// monotonic clock, which goes on while the process is paused.
+// Core is the state machine of one process for the ownership of one cell. It
+// does no I/O and reads no clock. All times are on the monotonic clock of the
+// process, which advances while the process is paused.
 type Core struct {
-	self  Self
-	times Times
-
-	// The row as last seen or written.
-	seen    bool
-	version uint64
-	row     Row
-	// unchangedSince is when the row was first seen at version, in a series of
-	// reads without a gap; lastRead is the last of them.
+	self   Self
+	timing Timing
+
+	// The row as last read or written.
+	rowKnown bool
+	version  uint64
+	row      Row
+	// unchangedSince is when the row was first seen at version within the
+	// present watch: a series of reads and writes without a gap. lastObserved is
+	// the latest of them.
 	unchangedSince time.Duration
-	lastRead       time.Duration
-	watching       bool
-	watchSince     time.Duration // start of the series
-	readSent       time.Duration
-	readTook       time.Duration // by the last read that was answered
-
-	// epoch is that of the term held, 0 for none. The term is valid until
-	// validUntil and may start work from startAfter on.
-	epoch      uint64
-	validUntil time.Duration
-	startAfter time.Duration
-	highest    uint64 // highest epoch heard of
-	resigned   uint64 // epoch of the last term whose owner has resigned
-
-	busy     bool // an action is in progress
-	pending  Row
-	sentAt   time.Duration
-	nextSend time.Duration
-	nextRead time.Duration
-	mustRead bool
-	leaving  bool
-}
-
-// NewCore returns a core that has seen nothing.
-func NewCore(self Self, times Times) *Core {
-	return &Core{self: self, times: times.withDefaults()}
-}
-
-// Step takes an event and returns the action to carry out, if any.
+	lastObserved   time.Duration
+	watchUnbroken  bool
+	watchStart     time.Duration // start of the present watch
+	readSentAt     time.Duration
+	readLatency    time.Duration // of the last successful read
+
+	// heldEpoch is the epoch of the term that this process holds, 0 for none.
+	// The term is valid until validUntil and may start work from startAfter on.
+	heldEpoch     uint64
+	validUntil    time.Duration
+	startAfter    time.Duration
+	highestEpoch  uint64 // highest known epoch of any owner
+	resignedEpoch uint64 // epoch of the latest term known to have been resigned
+
+	inFlight    bool // an action is in progress
+	pendingRow  Row
+	writeSentAt time.Duration
+	nextWrite   time.Duration
+	nextRead    time.Duration
+	mustRead    bool
+	releasing   bool
+}
+
+// NewCore returns a Core that knows nothing of the row.
+func NewCore(self Self, timing Timing) *Core {
+	return &Core{self: self, timing: timing.withDefaults()}
+}
+
+// Step applies an event and returns the action to execute, if any.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
 	switch e := ev.(type) {
 	case Tick:
 		return c.tick(now)
 	case ReadDone:
-		c.busy, c.mustRead = false, false
-		c.readTook = now - c.readSent
-		c.observe(now, e.Version, e.Row)
+		c.inFlight, c.mustRead = false, false
+		c.readLatency = now - c.readSentAt
+		c.applyRow(now, e.Version, e.Row)
 	case ReadFailed:
-		c.busy, c.watching = false, false
+		c.inFlight, c.watchUnbroken = false, false
 	case WriteDone:
-		c.busy = false
-		c.written(now, e.Version)
+		c.inFlight = false
+		c.applyWrite(now, e.Version)
 	case WriteConflict:
-		c.busy = false
-		c.observe(now, e.Version, e.Row)
+		c.inFlight = false
+		c.applyRow(now, e.Version, e.Row)
 	case WriteFailed:
-		c.busy = false
-		c.nextSend = now + retryInterval
+		c.inFlight = false
+		c.nextWrite = now + writeRetryDelay
 	case WriteUnknown:
-		c.busy, c.mustRead, c.watching = false, true, false
+		c.inFlight, c.mustRead, c.watchUnbroken = false, true, false
 	case PeerEpoch:
-		c.hear(e.Epoch)
+		c.observeEpoch(e.Epoch)
 	case Resign:
-		if c.epoch > 0 {
-			c.resigned = c.epoch
-			c.drop()
+		if c.heldEpoch > 0 {
+			c.resignedEpoch = c.heldEpoch
+			c.endTerm()
 		}
 	case PeerResigned:
-		c.resigned = max(c.resigned, e.Epoch)
+		c.resignedEpoch = max(c.resignedEpoch, e.Epoch)
 	case Release:
-		c.leaving = true
-		c.nextSend = now
+		c.releasing = true
+		c.nextWrite = now
 	}
 	return nil
 }
 
 func (c *Core) tick(now time.Duration) []Action {
 	switch {
-	case c.busy:
+	case c.inFlight:
 		return nil
 	case c.mustRead:
-		return c.read(now)
-	case c.epoch > 0:
-		return c.renew(now)
+		return c.readIfDue(now)
+	case c.heldEpoch > 0:
+		return c.renewIfDue(now)
 	case c.mayClaim(now):
 		return c.claim(now)
-	case now >= c.nextRead && !c.leaving:
-		return c.read(now)
+	case now >= c.nextRead && !c.releasing:
+		return c.readIfDue(now)
 	}
 	return nil
 }
 
-func (c *Core) read(now time.Duration) []Action {
+func (c *Core) readIfDue(now time.Duration) []Action {
 	if now < c.nextRead {
 		return nil
 	}
-	c.busy = true
-	c.readSent = now
-	c.nextRead = now + c.times.Poll
+	c.inFlight = true
+	c.readSentAt = now
+	c.nextRead = now + c.timing.PollInterval
 	return []Action{Read{}}
 }
 
-// renew sends the next beat, or the release when this process is leaving.
-func (c *Core) renew(now time.Duration) []Action {
-	if now < c.nextSend {
+// renewIfDue returns the write of the next renewal, or of the release while
+// this process is stopping.
+func (c *Core) renewIfDue(now time.Duration) []Action {
+	if now < c.nextWrite {
 		return nil
 	}
 	row := c.row
 	row.Beat++
-	row.Released = c.leaving
-	c.nextSend = now + c.times.Renew
+	row.Released = c.releasing
+	c.nextWrite = now + c.timing.RenewInterval
 	return c.write(now, row)
 }
 
 func (c *Core) write(now time.Duration, row Row) []Action {
-	c.busy = true
-	c.pending = row
-	c.sentAt = now
+	c.inFlight = true
+	c.pendingRow = row
+	c.writeSentAt = now
 	return []Action{Write{Version: c.version, Row: row}}
 }
 
-// mayClaim reports whether the row is free: absent, released, or unchanged
-// for long enough.
+// mayClaim reports whether this process may claim the row: it is available, it
+// belongs to an earlier incarnation of an exclusive ID, or it has been unchanged
+// for longer than unchangedLimit in an unbroken watch.
 func (c *Core) mayClaim(now time.Duration) bool {
-	if !c.seen || c.leaving || now < c.nextSend {
+	if !c.rowKnown || c.releasing || now < c.nextWrite {
 		return false
 	}
-	if c.free() || c.self.Sole && c.row.EntryID == c.self.ID {
+	if c.rowAvailable() || c.self.ExclusiveID && c.row.EntryID == c.self.ID {
 		return true
 	}
-	if !c.watching || now-c.lastRead > watchGap {
+	if !c.watchUnbroken || now-c.lastObserved > maxWatchGap {
 		return false
 	}
-	if c.times.TakeOver == 0 && now-c.watchSince <= minWatch {
+	if c.timing.TakeoverDelay == 0 && now-c.watchStart <= minWatchDuration {
 		return false
 	}
-	return now-c.unchangedSince > c.patience()
+	return now-c.unchangedSince > c.unchangedLimit()
 }
 
-// slowReads is the number of this process's reads for which an owner whose
-// table is as slow may take longer to renew: it sends a renewal only after the
-// last one was answered, and the row is seen when a read returns.
-const slowReads = 3
+// renewalReads bounds the time in which an owner renews, in read latencies of
+// this process, if its store calls are as slow as the ones here: the owner sends
+// a renewal only after the previous one was answered, and the row is seen here
+// only when a read returns.
+const renewalReads = 3
 
-// patience is how long the row has to be unchanged before it is claimed.
-func (c *Core) patience() time.Duration {
-	over := c.times.Lease + c.times.Margin
-	if c.times.TakeOver == 0 {
-		return over
+// unchangedLimit returns the time for which the row must be unchanged before it
+// is claimed.
+func (c *Core) unchangedLimit() time.Duration {
+	untilExpiry := c.timing.Lease + c.timing.ClockMargin
+	if c.timing.TakeoverDelay == 0 {
+		return untilExpiry
 	}
-	return min(over, c.times.TakeOver+slowReads*c.readTook)
+	return min(untilExpiry, c.timing.TakeoverDelay+renewalReads*c.readLatency)
 }
 
-func (c *Core) free() bool {
-	return c.version == 0 || c.row.Released || c.row.Epoch > 0 && c.row.Epoch == c.resigned
+// rowAvailable reports whether the row may be claimed without a wait: it does
+// not exist, was released, or its owner has resigned.
+func (c *Core) rowAvailable() bool {
+	return c.version == 0 || c.row.Released || c.row.Epoch > 0 && c.row.Epoch == c.resignedEpoch
 }
 
 func (c *Core) claim(now time.Duration) []Action {
-	c.nextSend = now + c.times.Renew
+	c.nextWrite = now + c.timing.RenewInterval
 	return c.write(now, Row{
 		EntryID:     c.self.ID,
 		Addr:        c.self.Addr,
 		Incarnation: c.self.Incarnation,
-		Epoch:       max(c.row.Epoch, c.highest) + 1,
+		Epoch:       max(c.row.Epoch, c.highestEpoch) + 1,
 		Beat:        1,
 	})
 }
 
-// written takes over a row that this process has written. Validity counts from
-// before the write was sent.
-func (c *Core) written(now time.Duration, version uint64) {
-	clean := c.free()
-	claimed := c.epoch == 0
-	c.see(now, version, c.pending)
-	if c.pending.Released || c.pending.Epoch == c.resigned {
-		c.drop()
+// applyWrite records a row that this process has written. The lease counts from
+// before the write was sent, because the others may have seen the row since then.
+func (c *Core) applyWrite(now time.Duration, version uint64) {
+	wasAvailable := c.rowAvailable()
+	newTerm := c.heldEpoch == 0
+	c.recordRow(now, version, c.pendingRow)
+	if c.pendingRow.Released || c.pendingRow.Epoch == c.resignedEpoch {
+		c.endTerm()
 		return
 	}
-	c.hold(c.pending.Epoch)
-	c.validUntil = c.sentAt + c.times.Lease - c.times.Margin
-	if claimed {
-		c.startAfter = c.firstStart(now, clean)
+	c.setTerm(c.pendingRow.Epoch)
+	c.validUntil = c.writeSentAt + c.timing.Lease - c.timing.ClockMargin
+	if newTerm {
+		c.startAfter = c.earliestStart(now, wasAvailable)
 	}
-	if c.leaving {
-		c.nextSend = now
+	if c.releasing {
+		c.nextWrite = now
 	}
 }
 
-// firstStart returns from when on a new term may start work: at once when the
-// earlier owner has released the row, otherwise when the permissions that it
-// may have given up to the end of its lease are over.
-func (c *Core) firstStart(now time.Duration, clean bool) time.Duration {
-	if clean {
+// earliestStart returns the time from which a new term may start work. That is
+// now if the previous owner has released the row; otherwise the permissions that
+// it may have given up to the end of its lease must expire first.
+func (c *Core) earliestStart(now time.Duration, wasAvailable bool) time.Duration {
+	if wasAvailable {
 		return now
 	}
-	return now + c.times.PermitTTL + c.times.Margin
+	return now + c.timing.PermitTTL + c.timing.ClockMargin
 }
 
-// observe takes over a row that was read.
-func (c *Core) observe(now time.Duration, version uint64, row Row) {
-	wasHeld := c.epoch
-	c.see(now, version, row)
-	c.highest = max(c.highest, row.Epoch)
-	if !c.mine(row) {
-		c.drop()
+// applyRow records a row that was read or returned by a conflict, and begins or
+// ends the term accordingly.
+func (c *Core) applyRow(now time.Duration, version uint64, row Row) {
+	prevEpoch := c.heldEpoch
+	c.recordRow(now, version, row)
+	c.highestEpoch = max(c.highestEpoch, row.Epoch)
+	if !c.isOwnTerm(row) {
+		c.endTerm()
 		return
 	}
-	c.hold(row.Epoch)
-	c.nextSend = now
-	if wasHeld == 0 {
-		c.startAfter = c.firstStart(now, false)
+	c.setTerm(row.Epoch)
+	c.nextWrite = now
+	if prevEpoch == 0 {
+		c.startAfter = c.earliestStart(now, false)
 	}
 }
 
-// mine reports whether a row shows a term of this process that no later one has
-// followed.
-func (c *Core) mine(row Row) bool {
-	return row.Epoch > 0 && row.Epoch != c.resigned && row.Epoch >= c.highest && row.Incarnation == c.self.Incarnation && !row.Released
+// isOwnTerm reports whether the row is a term of this process and no higher
+// epoch is known.
+func (c *Core) isOwnTerm(row Row) bool {
+	return row.Epoch > 0 && row.Epoch != c.resignedEpoch && row.Epoch >= c.highestEpoch && row.Incarnation == c.self.Incarnation && !row.Released
 }
 
-func (c *Core) see(now time.Duration, version uint64, row Row) {
-	unbroken := c.watching && now-c.lastRead <= watchGap
+// recordRow stores the latest known row and continues the watch, or starts a
+// new one after a gap.
+func (c *Core) recordRow(now time.Duration, version uint64, row Row) {
+	unbroken := c.watchUnbroken && now-c.lastObserved <= maxWatchGap
 	if !unbroken {
-		c.watchSince = now
+		c.watchStart = now
 	}
 	if version != c.version || !unbroken {
 		c.unchangedSince = now
 	}
-	c.seen, c.watching = true, true
-	c.version, c.row, c.lastRead = version, row, now
+	c.rowKnown, c.watchUnbroken = true, true
+	c.version, c.row, c.lastObserved = version, row, now
 }
 
-func (c *Core) hold(epoch uint64) {
-	if c.epoch != epoch {
+func (c *Core) setTerm(epoch uint64) {
+	if c.heldEpoch != epoch {
 		c.validUntil = 0
 	}
-	c.epoch = epoch
-	c.highest = max(c.highest, epoch)
+	c.heldEpoch = epoch
+	c.highestEpoch = max(c.highestEpoch, epoch)
 }
 
-func (c *Core) drop() {
-	c.epoch, c.validUntil, c.startAfter = 0, 0, 0
+func (c *Core) endTerm() {
+	c.heldEpoch, c.validUntil, c.startAfter = 0, 0, 0
 }
 
-// hear ends the term when a higher epoch exists.
-func (c *Core) hear(epoch uint64) {
-	c.highest = max(c.highest, epoch)
-	if c.epoch > 0 && epoch > c.epoch {
-		c.drop()
+// observeEpoch records an epoch and ends the term if the epoch is higher.
+func (c *Core) observeEpoch(epoch uint64) {
+	c.highestEpoch = max(c.highestEpoch, epoch)
+	if c.heldEpoch > 0 && epoch > c.heldEpoch {
+		c.endTerm()
 		c.mustRead = true
 	}
 }
 
-// Outage tells what the peers know of the store, for the time in which the
-// lease cannot be renewed.
-type Outage struct {
-	// Everywhere is true while no entry reaches the store.
-	Everywhere bool
-	// Down is true while this entry's store is down.
-	Down bool
+// StoreOutage describes which entries cannot reach the store. It decides whether
+// an owner that cannot renew its lease may continue running work.
+type StoreOutage struct {
+	// AllEntries is true while no entry reaches the store.
+	AllEntries bool
+	// ThisEntry is true while this entry does not reach the store.
+	ThisEntry bool
 }
 
-// Authority is this process's right to act for a cell at one moment.
+// Authority states what this process may do for a cell at one moment.
 type Authority struct {
-	// Owner is true while this process may renew running work, and start work
-	// if StoreDown is false and StartAfter has passed.
+	// Owner is true while this process may renew running work. It may also start
+	// work if StoreDown is false and StartAfter has passed.
 	Owner      bool
 	Epoch      uint64
 	StartAfter time.Duration
@@ -441,27 +460,28 @@
 	StoreDown  bool
 }
 
-// Authority returns the rights at a time. A process that was paused past its
-// lease has none, as its clock went on.
-func (c *Core) Authority(now time.Duration, o Outage) Authority {
-	a := Authority{Epoch: c.highest}
-	if c.seen && !c.free() {
-		a.OwnerID, a.OwnerAddr = c.row.EntryID, c.row.Addr
+// Authority returns the rights at the time now. A process that was paused past
+// its lease has none, because its clock advanced during the pause.
+func (c *Core) Authority(now time.Duration, outage StoreOutage) Authority {
+	auth := Authority{Epoch: c.highestEpoch}
+	if c.rowKnown && !c.rowAvailable() {
+		auth.OwnerID, auth.OwnerAddr = c.row.EntryID, c.row.Addr
 	}
-	if c.epoch == 0 || c.leaving || c.validUntil == 0 {
-		return a
+	if c.heldEpoch == 0 || c.releasing || c.validUntil == 0 {
+		return auth
 	}
 	valid := now < c.validUntil
-	if !valid && !o.Everywhere {
-		return a
+	if !valid && !outage.AllEntries {
+		return auth
 	}
-	a.Owner = true
-	a.StartAfter = c.startAfter
-	a.StoreDown = !valid || o.Down
-	return a
+	auth.Owner = true
+	auth.StartAfter = c.startAfter
+	auth.StoreDown = !valid || outage.ThisEntry
+	return auth
 }
 
-// Released reports whether a leaving process holds the row no longer.
+// Released reports whether this process is stopping and no longer holds the
+// row.
 func (c *Core) Released() bool {
-	return c.leaving && c.epoch == 0 && !c.busy && !c.mustRead
+	return c.releasing && c.heldEpoch == 0 && !c.inFlight && !c.mustRead
 }
