--- a/cmd/coltsfoot-entry/hosted.go
+++ b/cmd/coltsfoot-entry/hosted.go
@@ -28,12 +28,12 @@
 	// is sixty times slower or one connection stops responding.
 	hostedTermDuration  = 1700 * time.Millisecond
 	hostedRenewInterval = 250 * time.Millisecond
-	// hostedTakeOverDelay is the time for which the ownership row must be unchanged
+	// hostedTakeoverDelay is the time for which the ownership row must be unchanged
 	// before another entry takes it over: three renewal intervals. The previous
 	// owner need not have stopped by then, because workers reject its fencing
 	// token and the new owner waits for their leases to expire. Entries read the
 	// row every hostedPollInterval.
-	hostedTakeOverDelay = 750 * time.Millisecond
+	hostedTakeoverDelay = 750 * time.Millisecond
 	hostedPollInterval  = 200 * time.Millisecond
 	// hostedLameDuckDuration is the time for which a stopping entry still accepts
 	// connections. The balancer probes every second and removes an entry after
@@ -138,7 +138,7 @@
 		RenewInterval: hostedRenewInterval,
 		ClockMargin:   200 * time.Millisecond,
 		PollInterval:  hostedPollInterval,
-		TakeoverDelay: hostedTakeOverDelay,
+		TakeoverDelay: hostedTakeoverDelay,
 		PermitTTL:     time.Millisecond, // the new owner waits for each worker's lease instead
 	}
 	self := owner.Self{ID: s.Node, ExclusiveID: true, Addr: s.EntryAddress(s.IP)}
--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -132,7 +132,7 @@
 func newOwner(l ledger.Ledger, s *settings.Entry, m *membership.Service, config *confstate.Service, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
 	self := owner.Self{ID: string(s.ID), Addr: advertisedAddr(s)}
 	o := owner.New(l, string(s.Cell), self, c, owner.Config{
-		Timing:  ownerTimes(),
+		Timing:  ownerTiming(),
 		Peers:   ownerPeers{config, m},
 		Metrics: registry,
 		Log:     log,
@@ -151,10 +151,10 @@
 	})
 }
 
-// ownerTimes returns the timing of the ownership lease. After the owner is killed, a
+// ownerTiming returns the timing of the ownership lease. After the owner is killed, a
 // takeover takes Lease, ClockMargin and PermitTTL in sequence; the sum must be
 // within the time in which urgent work has to start.
-func ownerTimes() owner.Timing {
+func ownerTiming() owner.Timing {
 	return owner.Timing{
 		Lease:         1500 * time.Millisecond,
 		RenewInterval: 400 * time.Millisecond,
