--- a/cmd/coltsfoot-entry/wiring.go
+++ b/cmd/coltsfoot-entry/wiring.go
@@ -28,14 +28,14 @@
 	"go.uber.org/dig"
 )
 
-// lameDuck is how long a leaving entry goes on accepting connections, so that
-// the balancer sees that it is not ready before it is gone.
-const lameDuck = 500 * time.Millisecond
+// lameDuckDuration is the time for which a stopping entry still accepts
+// connections, so that the balancer sees that it is not ready before it exits.
+const lameDuckDuration = 500 * time.Millisecond
 
 // clock is the process's monotonic clock.
 type clock func() time.Duration
 
-// services are all services of an entry.
+// services holds all services of an entry.
 type services struct {
 	dig.In
 
@@ -53,9 +53,9 @@
 	HTTP       *httpx.Server
 }
 
-// wire builds the services and registers them in the order of their start.
-// They stop in reverse: first no new calls, then the work in progress, then
-// the links and the lasting state.
+// wire builds the services and registers them in start order. They stop in
+// reverse order: the entry first stops accepting calls, then finishes the work in
+// progress, then closes the links to agents and the persistent state.
 func wire(k *kernel.Kernel, s *settings.Entry, log zerolog.Logger) error {
 	if s.Limits.MaxBodyBytes > rpc.MaxBodyBytes {
 		return errors.NotValidf("limits.max_body_bytes %d (at most %d)", s.Limits.MaxBodyBytes, rpc.MaxBodyBytes)
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	if err := k.Invoke(bindMembership); err != nil {
+	if err := k.Invoke(bindPeerState); err != nil {
 		return err
 	}
 	return k.Invoke(func(all services) error { return register(k, all) })
@@ -109,7 +109,7 @@
 }
 
 func newMembership(l ledger.Ledger, s *settings.Entry, c clock, registry metrics.Registry, log zerolog.Logger) *membership.Service {
-	self := membership.Self{ID: string(s.ID), Addr: advertised(s), Zone: string(s.Zone)}
+	self := membership.Self{ID: string(s.ID), Addr: advertisedAddr(s), Zone: string(s.Zone)}
 	cfg := membership.Config{Metrics: registry, Log: log}
 	if s.Balancer != "" {
 		cfg.Seeds = []string{string(s.Balancer)}
@@ -117,7 +117,7 @@
 	return membership.New(l, self, membership.NewDialer(), c, cfg)
 }
 
-func advertised(s *settings.Entry) string {
+func advertisedAddr(s *settings.Entry) string {
 	if s.RPCAdvertise != "" {
 		return string(s.RPCAdvertise)
 	}
@@ -130,9 +130,9 @@
 }
 
 func newOwner(l ledger.Ledger, s *settings.Entry, m *membership.Service, config *confstate.Service, c clock, registry metrics.Registry, log zerolog.Logger) *owner.Service {
-	self := owner.Self{ID: string(s.ID), Addr: advertised(s)}
+	self := owner.Self{ID: string(s.ID), Addr: advertisedAddr(s)}
 	o := owner.New(l, string(s.Cell), self, c, owner.Config{
-		Timing:  ownerTimes(),
+		Timing:  ownerTiming(),
 		Peers:   ownerPeers{config, m},
 		Metrics: registry,
 		Log:     log,
@@ -140,8 +140,9 @@
 	return o
 }
 
-// bindMembership sets what this entry tells its peers.
-func bindMembership(m *membership.Service, config *confstate.Service, o *owner.Service, srv *links.Server) {
+// bindPeerState connects membership to the state that this entry sends to its
+// peers.
+func bindPeerState(m *membership.Service, config *confstate.Service, o *owner.Service, srv *links.Server) {
 	m.Bind(config, func(state *rpc.PeerState) {
 		a := o.Current()
 		state.OwnerEpoch = a.Epoch
@@ -150,9 +151,10 @@
 	})
 }
 
-// ownerTimes lets a takeover after a kill end within the time in which urgent
-// work has to start: lease, margin and permission follow one another.
-func ownerTimes() owner.Timing {
+// ownerTiming returns the timing of the ownership lease. After the owner is killed, a
+// takeover takes Lease, ClockMargin and PermitTTL in sequence; the sum must be
+// within the time in which urgent work has to start.
+func ownerTiming() owner.Timing {
 	return owner.Timing{
 		Lease:         1500 * time.Millisecond,
 		RenewInterval: 400 * time.Millisecond,
@@ -162,7 +164,7 @@
 	}
 }
 
-// ownerPeers joins what ownership asks of the other entries.
+// ownerPeers combines the information about other entries that ownership needs.
 type ownerPeers struct {
 	config     *confstate.Service
 	membership *membership.Service
@@ -253,7 +255,7 @@
 		Listen:       string(s.HTTPListen),
 		Handler:      r.Handler,
 		MaxBodyBytes: s.Limits.MaxBodyBytes,
-		LameDuck:     lameDuck,
+		LameDuck:     lameDuckDuration,
 		Registry:     registry,
 	})
 	return server
--- a/internal/agent/keeper/keeper.go
+++ b/internal/agent/keeper/keeper.go
@@ -261,11 +261,11 @@
 	if k.worker == nil || k.worker.Incarnation() != t.incarnation {
 		return
 	}
-	if list.Born != 0 && list.Born != t.startUnixMillis {
-		k.log.Info().Str("worker", t.instance).Int64("born", list.Born).Msg("worker restarted")
+	if list.StartUnixMillis != 0 && list.StartUnixMillis != t.startUnixMillis {
+		k.log.Info().Str("worker", t.instance).Int64("born", list.StartUnixMillis).Msg("worker restarted")
 		k.resetWorkerState()
 		info := *k.worker
-		info.StartUnixMillis = list.Born
+		info.StartUnixMillis = list.StartUnixMillis
 		k.worker, k.heartbeatNumber = &info, 0
 	}
 	now := k.clock()
--- a/internal/agent/keeper/orders.go
+++ b/internal/agent/keeper/orders.go
@@ -156,7 +156,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		_, err := k.runner.Stop(callCtx, t.instance, external.StopRun{Task: ref.task, Run: ref.run, Epoch: t.epoch})
 		cancel()
-		if errors.Is(err, external.ErrRunEpoch) || errors.Is(err, external.ErrRunOtherOne) {
+		if errors.Is(err, external.ErrRunStaleEpoch) || errors.Is(err, external.ErrRunWrongInstance) {
 			return // left to the next owner or the new incarnation
 		}
 		if err == nil && k.hold(ctx, 0) == nil {
--- a/internal/agent/keeper/session.go
+++ b/internal/agent/keeper/session.go
@@ -251,7 +251,7 @@
 	for ctx.Err() == nil && !k.listIsCurrent() {
 		if err := k.hold(ctx, 0); err == nil {
 			return
-		} else if errors.Is(err, external.ErrRunEpoch) {
+		} else if errors.Is(err, external.ErrRunStaleEpoch) {
 			return
 		}
 		kernel.Sleep(ctx, holdRetryInterval)
--- a/internal/external/client.go
+++ b/internal/external/client.go
@@ -12,17 +12,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Bounds of one client.
+// Limits of one client.
 const (
 	maxConnsPerClient = 64
-	// maxIdleConnDuration is shorter than the time after which servers close
-	// idle connections: a call on one that is being closed may have been sent.
+	// maxIdleConnDuration is shorter than the servers' idle timeout: if a server
+	// closes a connection during a call, the client cannot tell whether the
+	// request was received.
 	maxIdleConnDuration = time.Second
 	maxResponseBytes    = 64 << 20
 	connectTimeout      = time.Second
 )
 
-// notSentError marks a failure before the first byte of a request was written.
+// notSentError wraps an error that occurred before the first byte of the request
+// was written.
 type notSentError struct{ cause error }
 
 func (e *notSentError) Error() string { return e.cause.Error() }
@@ -31,25 +33,25 @@
 
 // client sends requests to one platform service. It never retries.
 type client struct {
-	service string
-	base    string
-	timeout time.Duration
-	http    *fasthttp.HostClient
-	guarded *guardedLanes
+	service     string
+	base        string
+	timeout     time.Duration
+	http        *fasthttp.HostClient
+	guardedPool *guardedClientPool
 }
 
 func newClient(service, url string, timeout time.Duration) *client {
 	address := strings.TrimPrefix(strings.TrimRight(url, "/"), "http://")
 	return &client{
-		service: service,
-		base:    "http://" + address,
-		timeout: timeout,
-		http:    NewHostClient(address, maxConnsPerClient),
-		guarded: &guardedLanes{address: address},
+		service:     service,
+		base:        "http://" + address,
+		timeout:     timeout,
+		http:        NewHostClient(address, maxConnsPerClient),
+		guardedPool: &guardedClientPool{address: address},
 	}
 }
 
-// NewHostClient returns an HTTP client of one address that never retries.
+// NewHostClient returns an HTTP client for one address. It never retries.
 func NewHostClient(address string, maxConns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -74,22 +76,22 @@
 	return conn, nil
 }
 
-// do sends req and reads the head of its answer, at least, before the earlier
-// of ctx's deadline and the client's timeout. The caller calls done when it has
-// read the body of resp.
-func (c *client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (done func(), err error) {
+// do sends req and reads at least the header of the response, within the earlier
+// of ctx's deadline and the client's timeout. The caller must call release after
+// it has read the body of resp.
+func (c *client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (release func(), err error) {
 	startBy, ok := StartBy(ctx)
 	if !ok {
 		return func() {}, c.doWith(ctx, c.http, req, resp)
 	}
-	lane, err := c.guarded.acquire(startBy)
+	guarded, err := c.guardedPool.acquire(startBy)
 	if err != nil {
 		return func() {}, err
 	}
-	return func() { c.guarded.release(lane) }, c.doWith(ctx, lane.http, req, resp)
+	return func() { c.guardedPool.release(guarded) }, c.doWith(ctx, guarded.http, req, resp)
 }
 
-func (c *client) doWith(ctx context.Context, host *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) error {
+func (c *client) doWith(ctx context.Context, httpClient *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) error {
 	if err := ctx.Err(); err != nil {
 		return &notSentError{err}
 	}
@@ -97,15 +99,16 @@
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	err := host.DoDeadline(req, resp, deadline)
+	err := httpClient.DoDeadline(req, resp, deadline)
 	if err == fasthttp.ErrNoFreeConns {
 		return &notSentError{err}
 	}
 	return err
 }
 
-// exchange sends one request and returns a copy of the response's body.
-// An answer that is neither 2xx nor 404 counts as no answer.
+// exchange sends one request and returns a copy of the response body. It returns
+// ErrNotFound for status 404 and ErrUnavailable for any other status that is
+// not 2xx.
 func (c *client) exchange(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -114,8 +117,8 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI(c.base + path)
 	req.SetBodyRaw(body)
-	done, err := c.do(ctx, req, resp)
-	defer done()
+	release, err := c.do(ctx, req, resp)
+	defer release()
 	if err != nil {
 		return nil, errors.WithType(errors.Annotatef(err, "%s: %s %s", c.service, method, path), ErrUnavailable)
 	}
@@ -128,17 +131,17 @@
 	return bytes.Clone(resp.Body()), nil
 }
 
-// post sends in as JSON and decodes the answer into out, which may be nil.
+// post sends in as JSON and decodes the response into out, which may be nil.
 func (c *client) post(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return errors.Annotatef(err, "%s: %s", c.service, path)
 	}
-	answer, err := c.exchange(ctx, fasthttp.MethodPost, path, body)
+	respBody, err := c.exchange(ctx, fasthttp.MethodPost, path, body)
 	if err != nil || out == nil {
 		return err
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
+	if err := json.Unmarshal(respBody, out); err != nil {
 		return errors.WithType(errors.Annotatef(err, "%s: %s: answer", c.service, path), ErrUnavailable)
 	}
 	return nil
--- a/internal/external/guarded.go
+++ b/internal/external/guarded.go
@@ -10,61 +10,63 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxGuardedCalls bounds the guarded calls of one client in progress.
+// maxGuardedCalls is the maximum number of concurrent guarded calls of a client.
 const maxGuardedCalls = 1024
 
 type startByKey struct{}
 
-// WithStartBy returns a context whose calls send their first byte before t or
-// not at all; a call that comes too late fails as one that was not sent. The
-// time is looked at directly before the write, so that a process which was
-// paused after its decision has no effect when it wakes.
+// WithStartBy returns a context whose calls are sent before t or not at all. A
+// call after t fails with an error that marks it as not sent. The clock is
+// checked immediately before the first write, so that a process that was paused
+// after its decision to call sends nothing when it resumes.
 func WithStartBy(ctx context.Context, t time.Time) context.Context {
 	return context.WithValue(ctx, startByKey{}, t)
 }
 
-// StartBy returns the time that WithStartBy has set.
+// StartBy returns the time set by WithStartBy.
 func StartBy(ctx context.Context) (t time.Time, ok bool) {
 	t, ok = ctx.Value(startByKey{}).(time.Time)
 	return t, ok
 }
 
-// errLapsed says that a guarded call came too late.
-const errLapsed = errors.ConstError("permission to start has lapsed before the call")
+// errPermitLapsed is the cause of a guarded call that was not sent because its
+// start time limit had passed.
+const errPermitLapsed = errors.ConstError("permission to start has lapsed before the call")
 
-// guardedLane is one connection whose writes are guarded. It serves one call
-// at a time.
-type guardedLane struct {
+// guardedClient is an HTTP client with one connection whose writes are guarded.
+// It serves one call at a time.
+type guardedClient struct {
 	http    *fasthttp.HostClient
 	startBy time.Time
 	sent    bool
 }
 
-// guardedConn refuses the first write of a call after the lane's time.
+// guardedConn rejects the first write of a call after the client's startBy.
 type guardedConn struct {
 	net.Conn
-	lane *guardedLane
+	client *guardedClient
 }
 
 func (c *guardedConn) Write(b []byte) (int, error) {
-	if !c.lane.sent && time.Now().After(c.lane.startBy) {
-		return 0, &notSentError{errLapsed}
+	if !c.client.sent && time.Now().After(c.client.startBy) {
+		return 0, &notSentError{errPermitLapsed}
 	}
-	c.lane.sent = true
+	c.client.sent = true
 	return c.Conn.Write(b)
 }
 
-// guardedLanes keeps the idle lanes of a client; the one used last is used next.
-type guardedLanes struct {
-	address string
-	stream  bool // of response bodies
+// guardedClientPool holds the guarded clients of one address. Idle clients are
+// reused in last-in, first-out order.
+type guardedClientPool struct {
+	address    string
+	streamBody bool // whether response bodies are streamed
 
 	mu    sync.Mutex
-	idle  []*guardedLane
+	idle  []*guardedClient
 	inUse int
 }
 
-func (g *guardedLanes) acquire(startBy time.Time) (*guardedLane, error) {
+func (g *guardedClientPool) acquire(startBy time.Time) (*guardedClient, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inUse >= maxGuardedCalls {
@@ -72,27 +74,27 @@
 	}
 	g.inUse++
 	if n := len(g.idle); n > 0 {
-		lane := g.idle[n-1]
+		guarded := g.idle[n-1]
 		g.idle = g.idle[:n-1]
-		lane.startBy, lane.sent = startBy, false
-		return lane, nil
+		guarded.startBy, guarded.sent = startBy, false
+		return guarded, nil
 	}
-	lane := &guardedLane{startBy: startBy}
-	lane.http = NewHostClient(g.address, 1)
-	lane.http.StreamResponseBody = g.stream
-	lane.http.Dial = func(address string) (net.Conn, error) {
+	guarded := &guardedClient{startBy: startBy}
+	guarded.http = NewHostClient(g.address, 1)
+	guarded.http.StreamResponseBody = g.streamBody
+	guarded.http.Dial = func(address string) (net.Conn, error) {
 		conn, err := dial(address)
 		if err != nil {
 			return nil, err
 		}
-		return &guardedConn{conn, lane}, nil
+		return &guardedConn{conn, guarded}, nil
 	}
-	return lane, nil
+	return guarded, nil
 }
 
-func (g *guardedLanes) release(lane *guardedLane) {
+func (g *guardedClientPool) release(guarded *guardedClient) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inUse--
-	g.idle = append(g.idle, lane)
+	g.idle = append(g.idle, guarded)
 }
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -163,15 +163,15 @@
 		r.enforceLease()
 		switch run := r.runs[o.Task]; {
 		case r.staleEpoch(o.Epoch):
-			return external.ErrRunEpoch
+			return external.ErrRunStaleEpoch
 		case r.faults.Unhealthy:
-			return external.ErrRunBusy
+			return external.ErrRunWorkerUnhealthy
 		case run != nil && run.run == o.Run:
 			return nil
 		case run != nil || r.highestStopped[o.Task] >= o.Run:
-			return external.ErrRunOld
+			return external.ErrRunEnded
 		case r.uptime() > o.Deadline:
-			return external.ErrRunLate
+			return external.ErrRunDeadlinePassed
 		}
 		r.extendLease(o.Deadline)
 		r.startRun(o)
@@ -218,7 +218,7 @@
 	return r.applyWithFaults(ctx, instance, func() error {
 		r.enforceLease()
 		if r.staleEpoch(o.Epoch) {
-			return external.ErrRunEpoch
+			return external.ErrRunStaleEpoch
 		}
 		r.highestStopped[o.Task] = max(r.highestStopped[o.Task], o.Run)
 		if run := r.runs[o.Task]; run != nil && run.run == o.Run {
@@ -242,7 +242,7 @@
 	r.enforceLease()
 	if r.staleEpoch(o.Epoch) {
 		r.mu.Unlock()
-		return external.RunList{}, external.ErrRunEpoch
+		return external.RunList{}, external.ErrRunStaleEpoch
 	}
 	r.extendLease(o.Deadline)
 	r.acknowledged = max(r.acknowledged, o.Seen)
@@ -274,7 +274,7 @@
 }
 
 func (r *Runner) runList() external.RunList {
-	out := external.RunList{Clock: r.uptime(), Born: r.startCount, Ended: append([]graph.RunEnd(nil), r.unacknowledged...)}
+	out := external.RunList{Clock: r.uptime(), StartUnixMillis: r.startCount, Ended: append([]graph.RunEnd(nil), r.unacknowledged...)}
 	for task, run := range r.runs {
 		percent := int(100 * time.Since(run.startedAt) / run.duration)
 		out.Running = append(out.Running, graph.RunState{Task: task, Run: run.run, Checkpoint: run.checkpoint, Percent: min(percent, 99)})
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -18,7 +18,7 @@
 var (
 	logMessagePattern = regexp.MustCompile(`\.Msg\("([^"]+)"\)`)
 	reasonPattern     = regexp.MustCompile(`\bReason[A-Za-z]+ +(?:route\.)?(?:Reason )?= "([a-z-]+)"`)
-	metricPattern     = regexp.MustCompile(`(?:GetOrRegister(?:Counter|Gauge|GaugeFloat64|Timer|Meter|Histogram)|\.count)\("([a-z_0-9.]+)"`)
+	metricPattern     = regexp.MustCompile(`(?:GetOrRegister(?:Counter|Gauge|GaugeFloat64|Timer|Meter|Histogram)|\.(?:count|incCounter))\("([a-z_0-9.]+)"`)
 )
 
 // TestOperationsNamesLogLinesAndMetrics checks that docs/OPERATIONS.md explains each
