--- a/Makefile
+++ b/Makefile
@@ -36,7 +36,7 @@
 demo: build
 	$(GO) run ./test/demo
 
-# The days of both sites with their reports, as a table: make report FILES="a.json b.json".
+# Prints the bench reports of simulated days, of both sites, as a table: make report FILES="a.json b.json".
 report:
 	$(GO) run ./platform/report $(FILES)
 
--- a/test/run.sh
+++ b/test/run.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs all Go tests. Tests that KNOWN-RED.txt lists are printed and passed
-# over; any other failure fails the run. A line "test: PACKAGE TESTNAME" in
-# KNOWN-RED.txt names one test; a line "fuzz: COMMAND" names a run that make
-# test does not include, a line "hunt: COMMAND" a day of the kit's bench.
+# Runs all Go tests. Tests listed in KNOWN-RED.txt are printed and skipped; any
+# other failure fails the run. In KNOWN-RED.txt, a line "test: PACKAGE TESTNAME"
+# names one test, a line "fuzz: COMMAND" a run that make test does not include,
+# and a line "hunt: COMMAND" a simulated day of the platform's bench.
 # Packages that use rapid run with a fixed seed.
 set -u
 cd "$(dirname "$0")/.." || exit 1
