--- a/internal/entry/httpapi/httpapi.go
+++ b/internal/entry/httpapi/httpapi.go
@@ -109,8 +109,9 @@
 }
 
 // lookupProfile returns the named profile. If there is none, or if no configuration
-// has been read yet, it writes a problem and returns false. keyed is true if an earlier call with the same idempotency
-// key stands for this one.
+// has been read yet, it writes a problem and returns false. keyed is true if the call
+// has an idempotency key and is not a request marked idempotent: an earlier call with
+// the same key may have run, and the problem says so.
 func (a *API) lookupProfile(ctx *fasthttp.RequestCtx, name string, keyed bool) (api.Profile, bool) {
 	config := a.Config.Current()
 	if config.Version == 0 {
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -5,8 +5,8 @@
 // durations since the start of the owner's term.
 //
 // A new owner passes the configuration, then every row that is not final
-// (Submit), then Ownership. Reports about jobs whose row has not been passed yet
-// are kept until the permissions of the previous owner have expired.
+// (Submit), then OwnerStatus. Reports about jobs whose row has not been passed
+// yet are kept until the permissions of the previous owner have expired.
 package sched
 
 import (
